--- a/src/gateway/decide/accounts.rs
+++ b/src/gateway/decide/accounts.rs
@@ -1,23 +1,23 @@
-//! What teams asked, were sent and waited for, second by second.
+//! Per-second counts of what teams asked for, what was sent to endpoints and what failed.
 //!
-//! The load that this answers: a few teams press through many routers, and somebody asks afterwards
-//! what each of them got in which second. Rates over the window of shares can't be taken apart
-//! again, and lines of single calls are left out where most calls are; exact counts of each second
-//! add up over all routers.
+//! Load pattern: a few teams exceed their shares through many routers, and an operator later needs
+//! to know what each of them got in which second. Rates over the share window can't be split into
+//! seconds again, and log lines of single calls are dropped when there are most calls; exact counts
+//! per second can be summed over all routers.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use super::super::routes::TeamKey;
 
-/// Teams that a line names: those that asked most. More than press at a time, and few enough for a
-/// line of a kilobyte.
+/// Most teams in a log line, those with the highest demand first. More teams than exceed their
+/// shares at a time, and few enough for a line of one kilobyte.
 const LINE_TEAMS: usize = 16;
 
-/// What a team asked and got.
+/// Counts of one team.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamAccount {
-    /// Tokens asked.
+    /// Tokens of all its requests.
     pub asked: f64,
     /// Tokens of requests that were sent to endpoints.
     pub sent: f64,
@@ -25,7 +25,7 @@
     pub short: u32,
 }
 
-/// What all teams asked and got at this router since the last line.
+/// Counts of all teams at this router since the last log line.
 #[derive(Debug, Default)]
 pub struct TeamAccounts {
     rows: BTreeMap<TeamKey, TeamAccount>,
@@ -37,7 +37,7 @@
         self.rows.entry(team.clone()).or_default()
     }
 
-    /// Counts a request that came.
+    /// Counts an arriving request.
     pub fn ask(&mut self, team: &TeamKey, tokens: f64) {
         self.row(team).asked += tokens;
         self.largest = self.largest.max(tokens);
@@ -53,7 +53,7 @@
         self.row(team).short += 1;
     }
 
-    /// What was counted since it was last taken; nothing if no team asked.
+    /// Takes the counts since the last call; `None` if no team was counted.
     pub fn take(&mut self) -> Option<AccountLine> {
         if self.rows.is_empty() {
             return None;
@@ -68,7 +68,7 @@
     }
 }
 
-/// An account as its log line has it: `flows=TEAM:ASKED:SENT:SHORT,...`.
+/// The counts as formatted in the log: `flows=TEAM:ASKED:SENT:SHORT,...`.
 #[derive(Debug)]
 pub struct AccountLine {
     rows: Vec<(TeamKey, TeamAccount)>,
--- a/src/gateway/decide/budget.rs
+++ b/src/gateway/decide/budget.rs
@@ -1,8 +1,9 @@
-//! One retry budget over all routers, without a store.
+//! One retry budget for all routers, without a store.
 //!
-//! The fleet may repeat `ratio` of a service's requests, and `slack` besides, in any window. Each
-//! router spends that ratio of the requests that it took itself and an even part of the slack:
-//! the sum over routers is the fleet's budget whatever the skew of traffic among them.
+//! The fleet may retry `ratio` of a service's requests plus `slack` requests in any window. Each
+//! router spends that ratio of the requests that it received itself and an equal part of the slack,
+//! so the sum over routers stays within the fleet's budget however unevenly traffic is spread among
+//! them.
 
 use std::collections::BTreeMap;
 
@@ -12,18 +13,18 @@
 use super::super::routes::ServiceKey;
 use super::window::WindowCount;
 
-/// Part of the budget that is spent. The rest covers requests that a window of ten buckets counts
-/// too long, and a restarted router that forgot what it had spent.
+/// Fraction of the budget that routers spend. The rest covers requests that the ten buckets of a
+/// window count too long, and a restarted router that lost its counts.
 const SPENT_PART: f64 = 0.75;
 
-/// The published bounds of retries.
+/// The published limits on retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBounds {
-    /// Repeats per request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats besides, over the whole fleet.
+    /// Additional retries per window, over the whole fleet.
     pub slack: f64,
-    /// The window.
+    /// The length of the window.
     pub window: TimeSpan,
 }
 
@@ -33,7 +34,7 @@
     repeats: WindowCount,
 }
 
-/// What this router may still repeat.
+/// This router's part of the retry budget.
 #[derive(Debug)]
 pub struct RetryBudget {
     bounds: RetryBounds,
@@ -41,7 +42,7 @@
 }
 
 impl RetryBudget {
-    /// An unspent budget.
+    /// Creates an unspent budget.
     #[must_use]
     pub fn new(bounds: RetryBounds) -> Self {
         Self {
@@ -60,12 +61,12 @@
             })
     }
 
-    /// Counts a request of a caller.
+    /// Counts a caller's request.
     pub fn request(&mut self, now: Moment, service: &ServiceKey) {
         self.counts(service).requests.add(now, 1.0);
     }
 
-    /// Takes one repeat out of the budget; whether there was one.
+    /// Takes one retry from the budget. Returns false if the budget is used up.
     pub fn take(&mut self, now: Moment, service: &ServiceKey, routers: usize) -> bool {
         let RetryBounds { ratio, slack, .. } = self.bounds;
         let counts = self.counts(service);
--- a/src/gateway/decide/capacity.rs
+++ b/src/gateway/decide/capacity.rs
@@ -1,46 +1,48 @@
-//! What the endpoints can really do, when that is less than what is published.
+//! Estimate of the fleet's capacity while it is below the published rate.
 //!
-//! The load that this answers: many endpoints are away, slow, or fewer than the published rate was
-//! made for, while a few teams flood. Measured against a rate that is out of reach no team is
-//! beyond its share, so routers refuse by chance: whoever comes through the router with the
-//! deepest queues loses, small teams as often as those that flood. The rate to share out is then
-//! what the fleet serves.
+//! Load pattern: many endpoints are away, slow, or fewer than the published rate assumes, while a
+//! few teams flood. Measured against a rate that is out of reach, no team exceeds its share, so
+//! refusals hit at random: calls through the router with the deepest queues are refused, and small
+//! teams lose as often as the flooding ones. The rate to share out is then the rate that the fleet
+//! serves.
 
 use crate::units::Moment;
 
-/// Part of the asked tokens within shares that are turned away from full endpoints, beyond which
-/// the fleet counts as saturated. Below it single endpoints are full for a moment.
+/// Tokens within shares that are turned away from full endpoints, as a fraction of the demand,
+/// above which the fleet counts as saturated. Below it, single endpoints are briefly full.
 const SATURATED_PART: f64 = 0.03;
 
-/// Growth of the estimate a second while nothing is turned away. A fleet that lost half of its
-/// endpoints has found its rate again three seconds after they are back.
+/// Growth of the estimate per second while nothing is turned away. A fleet that lost half of its
+/// endpoints reaches its full rate three seconds after they return.
 const GROWTH_PER_S: f64 = 0.25;
 
-/// Weight of a look, a tenth of a second, at what a saturated fleet serves: the counts go over
-/// seconds already, and the mean only keeps single looks from moving all shares.
+/// Weight of a sample of the served rate, taken every tenth of a second, while the fleet is
+/// saturated. The samples are already averages over seconds; the moving average only keeps single
+/// samples from shifting all shares.
 const LOOK_WEIGHT: f64 = 0.2;
 
-/// What all routers together were asked, served and turned away, in tokens a second.
+/// Demand, service and refusals of all routers together, in tokens per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct FleetFlow {
-    /// Asked.
+    /// Tokens asked for.
     pub asked: f64,
-    /// Served.
+    /// Tokens of requests that were sent to endpoints.
     pub served: f64,
-    /// Turned away from full endpoints although within their teams' shares.
+    /// Tokens refused because endpoints were full although the team was within its share.
     pub turned_away: f64,
 }
 
-/// The rate to share out.
+/// Estimate of the rate to share out among teams.
 #[derive(Debug, Default)]
 pub struct CapacityEstimate {
-    /// What the fleet serves, while that is less than published.
+    /// The rate that the fleet serves, while it is below the published rate.
     limit: Option<f64>,
     looked_at: Moment,
 }
 
 impl CapacityEstimate {
-    /// The rate to share out among teams, from what is published and what all routers see.
+    /// Returns the rate to share out among teams, from the published rate and the flow at all
+    /// routers.
     pub fn rate(&mut self, now: Moment, published: f64, flow: FleetFlow) -> f64 {
         #[allow(clippy::cast_precision_loss)]
         let passed_s = now.since(self.looked_at).0 as f64 / 1e6;
@@ -52,7 +54,7 @@
                 let limit = limit.unwrap_or(published);
                 Some(limit + LOOK_WEIGHT * (flow.served - limit))
             }
-            // A fleet that serves more than its limit and turns nothing away is not limited to it.
+            // A fleet that serves more than its limit without refusals has a higher capacity.
             (Some(limit), false) => {
                 let grown = limit * (1.0 + GROWTH_PER_S * passed_s.min(1.0));
                 Some(grown.max(flow.served))
@@ -62,7 +64,7 @@
         self.limit.unwrap_or(published)
     }
 
-    /// What the fleet serves, while that is less than published.
+    /// Returns the rate that the fleet serves, while it is below the published rate.
     #[must_use]
     pub fn limit(&self) -> Option<f64> {
         self.limit
--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -1,4 +1,4 @@
-//! The decision core of a gateway router: tables, and what happens to them.
+//! The decision core of a gateway router: its tables and the operations on them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -38,59 +38,61 @@
 use super::shares::TeamFlow;
 use super::sizes::SizeTable;
 
-/// Weight of a new measurement in a service's mean stay: about twenty answers change it, a second
-/// or two of usual traffic.
+/// Weight of a new measurement in the moving average of a service's request duration: it follows
+/// the last twenty answers or so, a second or two of usual traffic.
 const LEARNING_WEIGHT: f64 = 0.08;
 
-/// Prompt tokens below which the time to a first token says nothing about reading speed.
+/// Queued prompt tokens below which the time to the first token says nothing about prefill speed,
+/// so that it is not learned from.
 const LEARNING_TOKENS: f64 = 2_000.0;
 
-/// Pause between two accounts of teams in the log.
+/// Interval between two log lines with the teams' counts.
 const TEAM_ACCOUNT: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// Teams held to their shares that get lines: those that are asked most of. A few flood at a time.
+/// Most teams over their share that are logged, those with the highest demand first. Only a few
+/// flood at a time.
 const ACCOUNT_TEAMS: usize = 4;
 
-/// What a call asks of the core.
+/// A call that asks to be admitted.
 #[derive(Debug)]
 pub struct CallAsk<'a> {
     /// The call's route.
     pub route: &'a RouteEntry,
-    /// The service chosen for it.
+    /// The service chosen for the call.
     pub service: &'a ServiceKey,
-    /// The published figures of the service.
+    /// The published settings of the service.
     pub shape: Option<&'a ServiceEntry>,
     /// The caller's team.
     pub team: Option<&'a TeamKey>,
-    /// The prompt, for model engines.
+    /// The prompt, if the service runs model engines.
     pub prompt: Option<&'a PromptShape>,
-    /// Endpoints that were tried already.
+    /// Endpoints that were already tried for this call.
     pub tried: &'a [EndpointKey],
-    /// What the request asks, to recognise its resends.
+    /// Hash of the request's content, to recognise its resends.
     pub fingerprint: RequestFingerprint,
     /// Time since the call arrived.
     pub waited: TimeSpan,
-    /// Time that the call has left.
+    /// Time left until the call's deadline.
     pub left: TimeSpan,
 }
 
 /// Why a call is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// No endpoint takes work.
+    /// No endpoint of the service takes work.
     NoEndpoint,
-    /// All endpoints that are left asked for a pause.
+    /// All remaining endpoints asked for a pause.
     Paused,
-    /// No endpoint would answer within the objective.
+    /// No endpoint is predicted to answer within the objective.
     Overload,
-    /// Its team is beyond its share while endpoints are busy.
+    /// The team exceeds its share while endpoints are busy.
     OverShare,
-    /// It was running in several crashes of endpoints.
+    /// The request was running during several crashes of endpoints.
     Quarantined,
 }
 
 impl RefusalCause {
-    /// The cause as logs and metrics name it.
+    /// Returns the cause's label in logs and metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -103,36 +105,36 @@
     }
 }
 
-/// What happens to a call.
+/// The decision on a call.
 #[derive(Debug)]
 pub enum Admission {
-    /// It is sent.
+    /// The call is sent to an endpoint.
     Send(AttemptTicket),
-    /// It is refused; it may come back after this time.
+    /// The call is refused; the caller may retry after `retry_after`.
     Refuse {
-        /// Why.
+        /// Why the call is refused.
         cause: RefusalCause,
         /// When an endpoint is expected to have room.
         retry_after: TimeSpan,
-        /// The least predicted time to a first output, in ms; 0 if none was predicted.
+        /// The lowest predicted time to the first output, in ms; 0 if none was predicted.
         expected_ms: f64,
     },
 }
 
-/// One attempt that was placed. It must be given back to [`GatewayCore::ended`].
+/// An attempt that was placed at an endpoint. It must be passed to [`GatewayCore::ended`].
 #[derive(Debug)]
 pub struct AttemptTicket {
-    /// Where it goes.
+    /// The endpoint.
     pub entry: EndpointEntry,
     /// Predicted time to the first output, in ms.
     pub first_ms: f64,
-    /// The engine from which shared parts are fetched that this one lacks.
+    /// The engine from which this endpoint fetches shared prompt parts that it lacks.
     pub fetch_from: Option<SocketAddr>,
-    /// Prompt tokens that the endpoint must read.
+    /// Prompt tokens that the endpoint must prefill.
     pub uncached: f64,
-    /// Those of them that other requests share.
+    /// The subset of `uncached` that belongs to shared prompt parts.
     pub reread: f64,
-    /// Prompt tokens that were queued there, this request's included.
+    /// Prompt tokens queued at the endpoint, including this request's.
     pub queued: f64,
     placed_at: Moment,
     is_reading: bool,
@@ -141,12 +143,12 @@
 }
 
 impl AttemptTicket {
-    /// Resolves when another process has taken the place of the one that this was placed at.
+    /// Resolves when the endpoint process of this attempt is replaced by a new one.
     pub async fn replaced(&self) {
         self.replaced.cancelled().await;
     }
 
-    /// Something came from the endpoint.
+    /// Records that data arrived from the endpoint.
     pub fn hear(&self, now: Moment) {
         self.heard.hear(now);
     }
@@ -155,19 +157,20 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The endpoint answered, and the answer is the request's own matter.
+    /// The endpoint answered; errors in the answer are due to the request itself.
     Answered,
     /// The endpoint failed.
     Failed,
-    /// The endpoint broke off; this is what the request asked.
+    /// The endpoint broke off the attempt; holds the request's fingerprint.
     Lost(RequestFingerprint),
     /// No connection was made.
     NotReached,
-    /// Nothing listens at its address.
+    /// Nothing listens at the endpoint's address.
     Gone,
-    /// The endpoint said that it is full.
+    /// The endpoint reported that it is full.
     Full,
-    /// The caller left or the time was over; says nothing about the endpoint.
+    /// The caller disconnected or the deadline passed. Not counted against the endpoint unless it
+    /// was silent.
     Abandoned,
 }
 
@@ -176,32 +179,32 @@
     TimeSpan((seconds * 1e6) as u64)
 }
 
-/// The core.
+/// The state behind a router's decisions.
 #[derive(Debug)]
 pub struct GatewayCore {
     config: GatewayConfig,
     domain: SmolStr,
-    /// Endpoints.
+    /// The endpoint table.
     pub endpoints: EndpointTable,
-    /// Shares of teams.
+    /// The teams' shares.
     pub shares: ShareTable,
     capacity: CapacityEstimate,
     accounts: TeamAccounts,
-    /// When teams were last accounted for in the log.
+    /// When the teams' counts were last logged.
     accounted_at: Moment,
-    /// Requests that crash endpoints.
+    /// Quarantine for requests that crash endpoints.
     pub quarantine: CrashQuarantine,
     budget: RetryBudget,
     sizes: SizeTable,
     holds: BTreeMap<ServiceKey, f64>,
     routers: usize,
     reading_speed: f64,
-    /// Whether this router's own link or lateness delays what it measures.
+    /// True if this router's own link or lateness delays what it measures.
     is_disturbed: bool,
 }
 
 impl GatewayCore {
-    /// A core that knows nothing yet.
+    /// Creates a core without endpoints or measurements.
     #[must_use]
     pub fn new(config: GatewayConfig, domain: SmolStr) -> Self {
         let bounds = RetryBounds {
@@ -227,34 +230,36 @@
         }
     }
 
-    /// Takes over the endpoints that are used now, registered or kept.
+    /// Sets the endpoints in use: registered ones and those kept beyond their registration.
     pub fn set_endpoints(&mut self, now: Moment, entries: &BTreeMap<EndpointKey, EndpointEntry>) {
         for former in self.endpoints.replace(now, entries) {
             self.quarantine.ended(now, &former);
         }
     }
 
-    /// Takes over whether this router's own link or lateness delays what it measures.
+    /// Sets whether this router's own link or lateness delays what it measures.
     ///
-    /// Guards against a host that shuts itself out of idle endpoints: its full link delays every
-    /// answer, so that all endpoints seem many times too slow and some not reachable, and it
-    /// refuses what any of them would serve. Its measurements say nothing of endpoints then.
+    /// Guards against a host that stops using idle endpoints: its full link delays every answer, so
+    /// all endpoints seem many times too slow and some unreachable, and it refuses calls that any
+    /// of them would serve. While the router is disturbed, its measurements are not held against
+    /// endpoints.
     pub fn set_disturbed(&mut self, is_disturbed: bool) {
         self.is_disturbed = is_disturbed;
     }
 
-    /// Whether this router's own link or lateness delays what it measures.
+    /// Returns true if this router's own link or lateness delays what it measures.
     #[must_use]
     pub fn is_disturbed(&self) -> bool {
         self.is_disturbed
     }
 
-    /// Takes over how many routers share the retry budget.
+    /// Sets the number of routers that share the retry budget.
     pub fn set_routers(&mut self, routers: usize) {
         self.routers = routers;
     }
 
-    /// Takes over the other routers' work at endpoints, by the numbers of their processes.
+    /// Sets the other routers' load at endpoints, keyed by the 32-bit numbers of the endpoint
+    /// processes.
     pub fn set_peer_loads(&mut self, loads: &BTreeMap<u32, PeerLoad>) {
         for row in self.endpoints.rows_mut() {
             row.peers = loads.get(&row.life).copied().unwrap_or_default();
@@ -262,7 +267,7 @@
         }
     }
 
-    /// Counts a call that arrived; how it stands to its team's share.
+    /// Counts an arriving call and returns how it stands to its team's share.
     pub fn arrived(&mut self, now: Moment, ask: &CallAsk<'_>) -> ShareStanding {
         self.budget.request(now, ask.service);
         if let Some(prompt) = ask.prompt {
@@ -279,19 +284,21 @@
         }
     }
 
-    /// Accounts for a generation that this router was too late to look at. Shares go by what routers
-    /// can look at: a part of a share that lies at a late router is lost.
+    /// Counts a generation that this router refused because it was running late. Shares follow the
+    /// demand that routers can handle: the part of a share assigned to a late router is lost.
     pub fn refused_late(&mut self, team: &TeamKey, prompt: &PromptShape) {
         self.accounts.ask(team, prompt.share_tokens());
         self.accounts.fall_short(team);
     }
 
-    /// Takes a repeat of a request out of the fleet's budget; whether there was one.
+    /// Takes one retry from the fleet's budget. Returns false if the budget is used up.
     pub fn take_repeat(&mut self, now: Moment, service: &ServiceKey) -> bool {
         self.budget.take(now, service, self.routers)
     }
 
-    /// Sets teams' shares from what all routers were asked and what the endpoints can do.
+    /// Computes the teams' shares from the demand at all routers and the capacity of the endpoints.
+    /// `published` is the published token rate; `elsewhere` and `turned_away_elsewhere` come from
+    /// the other routers. Rates are in tokens per second.
     pub fn share_out(
         &mut self,
         now: Moment,
@@ -330,19 +337,19 @@
         }
     }
 
-    /// Counts a request of a team that was refused or had no output in time.
+    /// Counts a team's request that was refused or had no output in time.
     pub fn fell_short(&mut self, team: &TeamKey) {
         self.accounts.fall_short(team);
     }
 
-    /// Logs what teams asked, were sent and waited for since the last account.
+    /// Logs the teams' demand, sent tokens and failed requests since the last log line.
     fn account_for_teams(&mut self, passed: TimeSpan) {
         if let Some(line) = self.accounts.take() {
             spdlog::info!("teams: span_ms={} {line}", passed.as_millis());
         }
     }
 
-    /// Logs what the teams that are held to their shares ask, get and may have.
+    /// Logs the demand, service and allowance of teams that are limited to their shares.
     fn account_for_shares(&self, now: Moment, rate: f64) {
         let limited = self.shares.limited();
         let (count, level) = (limited.len(), self.shares.level());
@@ -365,7 +372,7 @@
         }
     }
 
-    /// Decides where a call goes, or that it is refused.
+    /// Decides which endpoint gets a call, or refuses it.
     pub fn admit(&mut self, now: Moment, ask: &CallAsk<'_>, standing: ShareStanding) -> Admission {
         if let Some(retry_after) = self.quarantine.refused_for(now, ask.fingerprint) {
             return Admission::Refuse {
@@ -399,8 +406,8 @@
         self.ticket(now, ask, &placement)
     }
 
-    /// Refuses a call that no endpoint may get. A caller does best to come back when the first pause
-    /// is over: before, it would be refused again.
+    /// Refuses a call that no endpoint can take. The caller should retry when the first pause ends:
+    /// an earlier retry would be refused again.
     fn without_endpoint(&self, now: Moment, service: &ServiceKey) -> Admission {
         let least = TimeSpan::from_millis(self.config.retry_after_ms);
         let (cause, retry_after) = match self.endpoints.pause_left(now, service) {
@@ -442,10 +449,10 @@
         self.holds.get(service).copied().unwrap_or(first)
     }
 
-    /// The predicted time to a first output up to which a call is sent, in ms.
+    /// Returns the highest predicted time to the first output at which a call is still sent, in ms.
     ///
-    /// A long prompt may take its whole objective to be read on an idle engine. When it has a
-    /// turn, its own reading does not count.
+    /// Prefilling a long prompt may take its whole objective on an idle engine. When the size table
+    /// grants it a turn, its own prefill time does not count against the limit.
     #[allow(clippy::cast_precision_loss)]
     fn limit_ms(&self, ask: &CallAsk<'_>, standing: ShareStanding, alone_ms: f64) -> f64 {
         let objective = ask.route.objective_ms as f64;
@@ -465,12 +472,13 @@
         limit.min(left)
     }
 
-    /// The part of the objective for a team that is served so many times its share, by all routers.
+    /// Returns the fraction of the objective that a team over its share may use; `served` is its
+    /// service at all routers as a multiple of its share.
     ///
-    /// What endpoints can do beyond the published rate would go to whoever asks most often. The
-    /// more a team has of it already, the emptier an endpoint must be to give it more, so that
-    /// teams beyond their shares get about the same. The square makes twice the service need a
-    /// quarter of the queue.
+    /// Capacity beyond the published rate would otherwise go to the team that asks most often. The
+    /// more of it a team already gets, the emptier an endpoint must be to serve it more, so that
+    /// all teams over their shares get about the same. With the square, a team served twice as much
+    /// is limited to a quarter of the queue.
     fn beyond_part(&self, served: f64) -> f64 {
         self.config.over_share_part / (served * served)
     }
@@ -492,7 +500,7 @@
         };
         row.active += 1;
         row.pending_tokens += placement.uncached;
-        // A plain service answers when it is done; an engine when it has read the prompt.
+        // A plain service answers when the request is done; an engine once the prompt is prefilled.
         let stay_ms = if ask.prompt.is_some() { 0.0 } else { hold_ms };
         row.health.begins(now, placement.first_ms + stay_ms);
         if let Some(prompt) = ask.prompt {
@@ -521,7 +529,7 @@
         })
     }
 
-    /// The first output of an attempt arrived.
+    /// Records the first output of an attempt.
     #[allow(clippy::cast_precision_loss)]
     pub fn first_output(&mut self, now: Moment, ticket: &mut AttemptTicket) {
         self.stop_reading(ticket);
@@ -548,7 +556,7 @@
         }
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     #[allow(clippy::cast_precision_loss)]
     pub fn ended(&mut self, now: Moment, mut ticket: AttemptTicket, end: AttemptEnd) {
         let had_output = !ticket.is_reading;
@@ -583,14 +591,14 @@
                 self.quarantine.ended(now, &ticket.entry);
             }
             AttemptEnd::Full => row.was_full(now),
-            // Callers that give up on an endpoint that hangs are the only sign of it where the
-            // request may not run elsewhere.
+            // Where a request may not run elsewhere, callers that give up are the only sign that an
+            // endpoint hangs.
             AttemptEnd::Abandoned if was_silent => row.health.count(now, true),
             AttemptEnd::Abandoned => {}
         }
     }
 
-    /// Forgets parts that were sent long ago, so that the tables stay small.
+    /// Forgets prompt parts that were sent long ago, to keep the tables small.
     pub fn forget_parts(&mut self, now: Moment) {
         let kept = TimeSpan::from_millis(self.config.part_memory_ms);
         for row in self.endpoints.rows_mut() {
--- a/src/gateway/decide/departures.rs
+++ b/src/gateway/decide/departures.rs
@@ -1,40 +1,41 @@
-//! Endpoints that left of late, as routers tell each other in their messages.
+//! Endpoints that left recently, for the gossip between routers.
 //!
-//! The load that this answers: a host whose link a flood fills, so that connections to other
-//! routers time out for seconds while small datagrams still come. Such a router hears that a newer
-//! list exists and can't fetch it. The numbers of the processes that left are a few bytes in each
-//! message; they are in force one round after a reader knows them, and the list follows when it can.
+//! Load pattern: a flood fills a host's link, so that connections to other routers time out for
+//! seconds while small datagrams still arrive. Such a router learns that a newer endpoint list
+//! exists but can't fetch it. Each message therefore carries the numbers of the processes that
+//! left, a few bytes each. They take effect one gossip round after a router that reads the store
+//! knows them; the list follows when it can be fetched.
 
 use std::collections::BTreeMap;
 
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
-/// Time for which a departure is told: longer than a full link holds a list back.
+/// Time for which a departure is reported: longer than a full link delays an endpoint list.
 const TELLING_TIME: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// Departures in one message: 160 bytes of it. A fleet that replaces more endpoints in ten seconds
-/// tells the latest ones.
+/// Most departures in one message: 160 bytes of it. If more endpoints leave within ten seconds, the
+/// latest ones are reported.
 const MOST_TOLD: usize = 32;
 
-/// Endpoints that left of late, by the numbers of their processes.
+/// Endpoints that left recently, keyed by the numbers of their processes.
 #[derive(Debug, Default)]
 pub struct DepartureTable {
     left: BTreeMap<u32, Moment>,
 }
 
 impl DepartureTable {
-    /// An endpoint left: it said so, or is registered no longer.
+    /// Records that an endpoint left: it is registered as leaving or no longer registered.
     pub fn left(&mut self, now: Moment, life: u32) {
         self.left.insert(life, now);
     }
 
-    /// An endpoint takes work, perhaps again.
+    /// Records that an endpoint takes work, possibly again after it left.
     pub fn is_here(&mut self, life: u32) {
         self.left.remove(&life);
     }
 
-    /// What to tell the others, the latest first.
+    /// Returns the departures to report to other routers, latest first.
     pub fn telling(&mut self, now: Moment) -> Vec<u32> {
         self.left.retain(|_, at| now.since(*at) < TELLING_TIME);
         let mut latest: Vec<(Moment, u32)> =
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints: what is published of them and what was learned from traffic.
+//! The table of endpoints: their published data and what was learned from traffic.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,65 +19,66 @@
 use super::words::EndpointWords;
 use super::words::WordTable;
 
-/// First pause after a connection that was not made, and the longest, in ms. A restart of an
-/// endpoint takes seconds; trying every 2 s finds it soon and costs few connections.
+/// First and longest pause after a failed connection, in ms. An endpoint restarts within seconds; a
+/// retry every 2 s notices it soon and costs few connections.
 const FIRST_PAUSE_MS: u64 = 250;
 const LONGEST_PAUSE_MS: u64 = 2_000;
 
-/// Pause after an endpoint said that it is full, in ms: about as long as the counts that other
-/// routers send take to tell it.
+/// Pause after an endpoint reported that it is full, in ms: about the time until the load counts
+/// from the other routers show it.
 const FULL_PAUSE_MS: u64 = 150;
 
-/// Processes in one message that said that they leave: 256 bytes of it. A fleet of which more leave
-/// while the store is away tells the others when the store does.
+/// Most leaving processes listed in one message: 256 bytes of it. If more of them leave while the
+/// store is away, the other routers learn of the rest once the store is back.
 const MOST_WORDS_TOLD: usize = 32;
 
-/// Work of other routers at one endpoint.
+/// Load of the other routers at one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PeerLoad {
-    /// Requests.
+    /// Requests in flight.
     pub active: u32,
-    /// Prompt tokens that wait to be read. A sum of whole numbers, so that taking them away again
-    /// leaves nothing.
+    /// Prompt tokens that wait for prefill. A sum of whole numbers, so that subtracting them again
+    /// leaves exactly zero.
     pub pending_tokens: f64,
-    /// What they tell of its health.
+    /// The endpoint's health as the other routers report it.
     pub health: ToldHealth,
 }
 
-/// One endpoint.
+/// The row of one endpoint.
 #[derive(Debug)]
 pub struct EndpointRow {
-    /// What it registered.
+    /// The registered entry.
     pub entry: EndpointEntry,
-    /// Its number in the order of rendezvous hashing. A restart keeps it, so that the parts whose
-    /// home it is stay where all routers look for them.
+    /// The endpoint's hash for rendezvous hashing. It stays the same over restarts, so that all
+    /// routers keep looking for prompt parts at the same home endpoint.
     pub hash: u64,
-    /// The hash of its process's life.
+    /// Hash that identifies the endpoint process; a restart changes it.
     life_hash: u64,
-    /// Its process's number between routers: the low half of that hash. Two processes with one
-    /// number would be believed to have each other's load, once in hundreds of fleets.
+    /// The number of the process in messages between routers: the low 32 bits of `life_hash`. If
+    /// two processes had the same number, each would be credited with the other's load; that
+    /// happens in one of hundreds of fleets.
     pub life: u32,
-    /// Cancelled when another process has taken its place.
+    /// Cancelled when another process replaces this one.
     pub replaced: CancellationToken,
-    /// This router's requests there.
+    /// This router's requests in flight at the endpoint.
     pub active: u32,
-    /// Prompt tokens of this router's requests that wait to be read there.
+    /// Prompt tokens of this router's requests that wait for prefill at the endpoint.
     pub pending_tokens: f64,
-    /// The other routers' work there.
+    /// The other routers' load at the endpoint.
     pub peers: PeerLoad,
-    /// How well it works.
+    /// The endpoint's health.
     pub health: EndpointHealth,
-    /// No new work before.
+    /// The endpoint gets no new work before this time.
     pub paused_until: Moment,
-    /// No new work from then on, if it is kept beyond its registration.
+    /// For an endpoint kept beyond its registration: no new work from this time on.
     used_until: Option<Moment>,
-    /// Whether another router tells that it left, in a newer list than this router's.
+    /// True if another router with a newer endpoint list reports that the endpoint left.
     is_told_left: bool,
-    /// What it said of itself.
+    /// What the endpoint process announced about itself in its answers.
     words: EndpointWords,
-    /// Connections in a row that were not made.
+    /// Consecutive failed connections.
     refused: u32,
-    /// When this router last sent a shared part there.
+    /// When this router last sent each shared prompt part to the endpoint.
     pub parts: BTreeMap<u64, Moment>,
 }
 
@@ -104,94 +105,97 @@
         }
     }
 
-    /// Whether it may get new work.
+    /// Returns true if the endpoint may get new work.
     ///
-    /// Guards against an endpoint that is gone and still used: one that is kept beyond its
-    /// registration ends here by itself, whatever becomes of the control thread or of reading.
+    /// Guards against an endpoint that is gone but still used: the use of an endpoint that is kept
+    /// beyond its registration ends here, even if the control thread or the reader of the list is
+    /// stuck.
     #[must_use]
     pub fn is_ready(&self, now: Moment) -> bool {
         self.is_listed_ready(now) && self.words.takes_work(now)
     }
 
-    /// Whether it may get new work by what is known from lists.
+    /// Returns true if the endpoint may get new work according to the endpoint lists.
     fn is_listed_ready(&self, now: Moment) -> bool {
         let is_over = self.used_until.is_some_and(|until| now >= until);
         self.is_taking_work() && !is_over && !self.is_told_left
     }
 
-    /// Whether it said that it leaves.
+    /// Returns true if the endpoint announced that it is leaving.
     #[must_use]
     pub fn said_leaving(&self) -> bool {
         self.words.is_leaving
     }
 
-    /// For how long it still wants nothing, if that is all that keeps work from it.
+    /// Returns the rest of the pause that the endpoint asked for, if nothing else keeps work from
+    /// it.
     fn pause_left(&self, now: Moment) -> Option<TimeSpan> {
         let is_paused = !self.words.is_leaving && now < self.words.paused_until;
         (is_paused && self.is_listed_ready(now)).then(|| self.words.paused_until.since(now))
     }
 
-    /// Whether it takes new work by its registration.
+    /// Returns true if the endpoint is registered as ready.
     fn is_taking_work(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
 
-    /// Requests of all routers there, as far as known.
+    /// Requests of all routers at the endpoint, as far as known.
     #[must_use]
     pub fn total_active(&self) -> u32 {
         self.active + self.peers.active
     }
 
-    /// Prompt tokens of all routers that wait to be read there, as far as known.
+    /// Prompt tokens of all routers that wait for prefill at the endpoint, as far as known.
     #[must_use]
     pub fn total_pending(&self) -> f64 {
         self.pending_tokens + self.peers.pending_tokens
     }
 
-    /// A connection was not made.
+    /// Records a failed connection: pauses the endpoint with exponential backoff.
     pub fn not_reached(&mut self, now: Moment) {
         let pause = FIRST_PAUSE_MS << self.refused.min(8);
         self.refused += 1;
         self.paused_until = now + TimeSpan::from_millis(pause.min(LONGEST_PAUSE_MS));
     }
 
-    /// A connection was not made while this router's own link was at fault: the endpoint is left
-    /// alone for a moment, which says nothing of the next time.
+    /// Records a connection that failed while this router's own link was at fault: pauses the
+    /// endpoint briefly and leaves the backoff as it is.
     pub fn not_reached_by_fault(&mut self, now: Moment) {
         self.paused_until = now + TimeSpan::from_millis(FIRST_PAUSE_MS);
     }
 
-    /// The endpoint answered something.
+    /// Records that the endpoint answered: resets the backoff.
     pub fn reached(&mut self) {
         self.refused = 0;
     }
 
-    /// The endpoint said that it is full.
+    /// Records that the endpoint reported that it is full: pauses it briefly.
     pub fn was_full(&mut self, now: Moment) {
         self.paused_until = now + TimeSpan::from_millis(FULL_PAUSE_MS);
     }
 }
 
-/// All endpoints, in the order of their keys.
+/// All endpoints, sorted by key.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     rows: Vec<EndpointRow>,
-    /// Places of a service's rows. A decision looks at each of them: a look-up by key for each
-    /// would take half of its time at 140 endpoints.
+    /// Indices of each service's rows. A decision looks at all of them: with a look-up by key for
+    /// each, the look-ups would take half of its time at 140 endpoints.
     services: BTreeMap<ServiceKey, Vec<usize>>,
-    /// Those that left of late.
+    /// Endpoints that left recently.
     pub departures: DepartureTable,
-    /// What processes said of themselves, also such as no list names at the moment.
+    /// What endpoint processes announced about themselves, including processes that no list has at
+    /// the moment.
     words: WordTable,
 }
 
 impl EndpointTable {
-    /// Takes over what is registered now. Rows of known endpoints keep what was learned.
+    /// Replaces the registered endpoints. Rows of known endpoints keep what was learned.
     ///
-    /// Guards against an endpoint that starts again under its key: its queue, its cache and its
-    /// failures ended with the process, and calls that wait for the former process wait in vain.
-    /// The later process gets a row of its own, and attempts at the former one are told.
-    /// Returns the former processes that others have replaced.
+    /// Guards against an endpoint that restarts under its key: the queue, cache and failures of the
+    /// former process are gone, and calls waiting for that process would wait in vain. The new
+    /// process gets a fresh row, and attempts at the former one are cancelled. Returns the former
+    /// processes that were replaced.
     pub fn replace(
         &mut self,
         now: Moment,
@@ -237,7 +241,8 @@
         replaced
     }
 
-    /// Takes over what a process says of itself in an answer; whether it leaves and that is news.
+    /// Applies what a process announced in an answer. Returns true if it announced for the first
+    /// time that it is leaving.
     pub fn said(&mut self, now: Moment, entry: &EndpointEntry, words: SpokenWords) -> bool {
         let SpokenWords { is_leaving, pause } = words;
         let life = entry.life().hash();
@@ -252,10 +257,10 @@
         is_news
     }
 
-    /// Takes over which processes said to other routers that they leave.
+    /// Applies other routers' reports of processes that announced that they are leaving.
     ///
-    /// Guards against a leaving endpoint that each router has to be told of by an answer of its own:
-    /// every one of them would send it a call that it may cut.
+    /// Guards against a leaving endpoint that announces it to each router separately: every router
+    /// would have to send it a call, which it may cut, to find out.
     pub fn take_told_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
             if self.words.leaves(now, *life) {
@@ -268,12 +273,13 @@
         let words = self.words.of(life);
         for row in self.rows.iter_mut().filter(|row| row.life_hash == life) {
             let (key, born) = (&row.entry.key, row.entry.born);
-            spdlog::info!("endpoint: key={key} born={born} leaves, as it told another router");
+            spdlog::info!("endpoint: key={key} born={born} is leaving, reported by another router");
             row.words = words;
         }
     }
 
-    /// Processes that said that they leave and are still listed as ready, to tell the others.
+    /// Returns the processes that announced that they are leaving but are still listed as ready,
+    /// for the messages to the other routers.
     #[must_use]
     pub fn telling_leaving(&self, now: Moment) -> Vec<u64> {
         let leaving = self.rows.iter().filter(|row| row.said_leaving());
@@ -282,25 +288,26 @@
         lives.take(MOST_WORDS_TOLD).collect()
     }
 
-    /// How long until one of a service's endpoints ends the pause that it asked for; nothing if
-    /// none of them is only paused.
+    /// Returns the time until the first of a service's endpoints ends the pause that it asked for;
+    /// `None` if no endpoint is kept from work by such a pause alone.
     #[must_use]
     pub fn pause_left(&self, now: Moment, service: &ServiceKey) -> Option<TimeSpan> {
         let rows = self.of_service(service);
         rows.filter_map(|row| row.pause_left(now)).min()
     }
 
-    /// Takes over which endpoints have left by the word of routers with a newer list.
+    /// Sets which endpoints have left according to routers with a newer endpoint list.
     ///
     /// Guards against a list that can't be fetched in time, see [`super::departures`]: an endpoint
-    /// that left long ago would go on getting work. It holds until this router's own list is as new.
+    /// that left long ago would still get work. The reports apply until this router's own list is
+    /// as new.
     pub fn set_told_left(&mut self, told: &BTreeSet<u32>) {
         for row in &mut self.rows {
             row.is_told_left = told.contains(&row.life);
         }
     }
 
-    /// Ends an endpoint's use at a moment, unless it is registered again before.
+    /// Ends the use of an endpoint at `until`, unless it is registered again before.
     pub fn end_at(&mut self, key: &EndpointKey, until: Moment) {
         if let Some(row) = self.get_mut(key) {
             row.used_until = Some(until);
@@ -312,34 +319,35 @@
         found.ok()
     }
 
-    /// One endpoint.
+    /// Returns one endpoint.
     #[must_use]
     pub fn get(&self, key: &EndpointKey) -> Option<&EndpointRow> {
         self.place(key).map(|place| &self.rows[place])
     }
 
-    /// The row of the process that an attempt was placed at; nothing if that has ended.
+    /// Returns the row of the process that an attempt was placed at; `None` if that process has
+    /// ended.
     pub fn of_attempt(&mut self, entry: &EndpointEntry) -> Option<&mut EndpointRow> {
         let row = self.get_mut(&entry.key)?;
         (row.entry.born == entry.born).then_some(row)
     }
 
-    /// Whether the process that an attempt was placed at still may get the request.
+    /// Returns true if the process that an attempt was placed at may still get the request.
     ///
-    /// Guards against a request that reaches an endpoint long after it left: a connection takes up
-    /// to its timeout, and the news came meanwhile.
+    /// Guards against a request that reaches an endpoint long after it left: connecting takes up to
+    /// the connection timeout, and the report that it left may arrive meanwhile.
     #[must_use]
     pub fn takes_work(&self, now: Moment, entry: &EndpointEntry) -> bool {
         let row = self.get(&entry.key);
         row.is_some_and(|row| row.entry.born == entry.born && row.is_ready(now))
     }
 
-    /// One endpoint, to change.
+    /// Returns one endpoint for modification.
     pub fn get_mut(&mut self, key: &EndpointKey) -> Option<&mut EndpointRow> {
         self.place(key).map(|place| &mut self.rows[place])
     }
 
-    /// The endpoints of a service.
+    /// Returns the endpoints of a service.
     pub fn of_service(&self, service: &ServiceKey) -> impl Iterator<Item = &EndpointRow> {
         let places = self.services.get(service).map(Vec::as_slice);
         places
@@ -348,18 +356,19 @@
             .map(|place| &self.rows[*place])
     }
 
-    /// All endpoints.
+    /// Returns all endpoints.
     pub fn rows(&self) -> impl Iterator<Item = &EndpointRow> {
         self.rows.iter()
     }
 
-    /// All endpoints, to change.
+    /// Returns all endpoints for modification.
     pub fn rows_mut(&mut self) -> impl Iterator<Item = &mut EndpointRow> {
         self.rows.iter_mut()
     }
 
-    /// Whether this router's word on endpoints' health is worth telling: not while most of those
-    /// that it uses are silent to it, since then its own links are at fault.
+    /// Returns true if this router's health observations should be reported to the others: not
+    /// while most of the endpoints that it uses are silent to it, since its own links are then
+    /// probably at fault.
     #[must_use]
     pub fn is_trustworthy(&self, now: Moment) -> bool {
         let used = self.rows.iter().filter(|row| row.active > 0);
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -1,10 +1,10 @@
-//! How well an endpoint does its work, by what routers see of it.
+//! Health of endpoints, measured by the routers' own traffic.
 //!
-//! The load that this answers: endpoints that fail, hang or slow down while their probes say that
-//! they are well, and the reverse. In a fleet of a hundred routers each of them sees little of one
-//! endpoint, a call in some seconds, so routers tell each other what they saw. What a router is
-//! told weighs as much as its own; a router to which most endpoints are silent tells nothing,
-//! since the fault is more likely its own.
+//! Load pattern: endpoints that fail, hang or slow down while their probes report them as healthy,
+//! and the reverse. In a fleet of a hundred routers each router sees little of one endpoint, one
+//! call every few seconds, so routers share their observations. Reports from other routers weigh as
+//! much as a router's own observations. A router to which most endpoints are silent reports
+//! nothing, since the fault is more likely its own.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -13,77 +13,81 @@
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
-/// Time after which a failure counts half, in us. Three seconds: an endpoint that failed is tried
-/// again a few seconds later, which is how long short faults of endpoints last.
+/// Half-life of counted attempts and failures, in us. Three seconds: an endpoint that failed is
+/// tried again a few seconds later, which is how long short faults of endpoints last.
 const HALF_LIFE_US: f64 = 3_000_000.0;
 
-/// Attempts that an endpoint is taken to have passed before the first one counts, so that one
-/// failure alone does not shut an endpoint out.
+/// Successful attempts assumed before the first counted one, so that a single failure does not
+/// exclude an endpoint.
 const PRIOR_ATTEMPTS: f64 = 3.0;
 
-/// Counts are told in hundredths of an attempt, since they fade.
+/// Units per attempt in reported counts: they are sent in hundredths of an attempt, since the decay
+/// makes them fractional.
 const HUNDREDTHS: f64 = 100.0;
 
-/// Silence beyond twice the expected time to a first output after which an endpoint is taken for
-/// hung, in ms: a step of a full batch with a long prompt, and a loaded router's delay.
+/// Silence beyond twice the expected time to the first output after which an endpoint counts as
+/// hung, in ms. It covers one step of a full batch with a long prompt and the delay of a loaded
+/// router.
 const SILENCE_MS: f64 = 300.0;
 
-/// Silence in the middle of streams that says the same. Engines that read long prompts give an
-/// event in an eighth of a second; a preempted stream pauses, but not all streams of an engine.
+/// Silence in all streams after which an endpoint counts as hung. An engine that prefills long
+/// prompts sends an event every eighth of a second; a preempted stream pauses, but never all
+/// streams of an engine at once.
 const STREAM_SILENCE: TimeSpan = TimeSpan::from_millis(800);
 
-/// Age up to which a sign of life counts.
+/// Age up to which received data shows that an endpoint is alive.
 const HEARD_FRESH: TimeSpan = TimeSpan::from_millis(600);
 
-/// Time beyond the expected by which an endpoint is silent to this router although others hear
-/// from it, as behind a cut link.
+/// Time overdue after which an endpoint counts as silent to this router even if other routers
+/// receive data from it, as behind a cut link.
 const SILENT_ALONE: TimeSpan = TimeSpan::from_millis(2_000);
 
-/// Others that must find an endpoint silent before a router does that has not tried it itself.
+/// Number of other routers that must report an endpoint as silent before a router that has not
+/// tried it does so too.
 const SILENT_TELLERS: u32 = 2;
 
-/// Weight of a new measurement of slowness: about twenty answers change it. It is not told to
-/// others: their sums made all routers refuse more, since single measurements err upwards.
+/// Weight of a new measurement in the moving average of slowness, which follows the last twenty
+/// answers or so. Slowness is not reported to other routers: with shared sums all routers refused
+/// more, since single measurements err upwards.
 const LEARNING_WEIGHT: f64 = 0.08;
 
-/// Time for which a measured slowness holds without another measurement. In a fleet of a hundred
-/// routers each of them measures an engine about once in that time.
+/// Time for which a measured slowness holds in full without a new measurement. In a fleet of a
+/// hundred routers each of them measures an engine about once in that time.
 const SLOWNESS_FRESH: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// Time after which half of it is believed from then on, in us.
+/// Half-life of the measured slowness from then on, in us.
 const SLOWNESS_HALF_LIFE_US: f64 = 1_500_000.0;
 
-/// Bounds of what a single measurement may say of an engine's slowness, so that one stalled
-/// request does not shut an engine out.
+/// Bounds of a single slowness measurement, so that one stalled request does not exclude an engine.
 const SLOWNESS_RANGE: (f64, f64) = (0.5, 8.0);
 
-/// Sums of what other routers tell of one endpoint.
+/// Totals of the other routers' reports on one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ToldHealth {
     /// Attempts, in hundredths.
     pub attempts: u32,
-    /// Failures among them, in hundredths.
+    /// Failed attempts, in hundredths.
     pub failures: u32,
-    /// Routers that heard of it of late.
+    /// Routers that recently received data from the endpoint.
     pub hearing: u32,
-    /// Routers to which it is silent.
+    /// Routers to which the endpoint is silent.
     pub silent: u32,
 }
 
-/// By when something should be heard of an endpoint.
+/// When the next data from an endpoint is due.
 #[derive(Debug, Clone, Copy)]
 struct AnswerExpectation {
     since: Moment,
     by: Moment,
 }
 
-/// When a router last heard anything of an endpoint; shared with its attempts there, so that an
-/// event of a stream costs no look-up.
+/// When a router last received data from an endpoint. Shared with the attempts at the endpoint, so
+/// that an event of a stream needs no look-up.
 #[derive(Debug, Clone, Default)]
 pub struct HeardClock(Arc<AtomicU64>);
 
 impl HeardClock {
-    /// Something came from the endpoint.
+    /// Records that data arrived from the endpoint.
     pub fn hear(&self, now: Moment) {
         self.0.store(now.0, Ordering::Relaxed);
     }
@@ -96,20 +100,20 @@
 /// The health of one endpoint.
 #[derive(Debug)]
 pub struct EndpointHealth {
-    /// When anything was heard of it.
+    /// When this router last received data from the endpoint.
     pub heard: HeardClock,
-    /// What others tell.
+    /// The other routers' reports.
     pub told: ToldHealth,
     attempts: f64,
     failures: f64,
     counted_at: Moment,
-    /// Measured time to the first output against the predicted one; 1 is as predicted.
+    /// Measured time to the first output divided by the predicted time; 1 is as predicted.
     slowness: f64,
     learned_at: Moment,
     expectation: Option<AnswerExpectation>,
-    /// This router's attempts before their first output.
+    /// This router's attempts that wait for their first output.
     waiting: u32,
-    /// This router's attempts after it.
+    /// This router's attempts that had their first output.
     streaming: u32,
 }
 
@@ -130,7 +134,7 @@
     }
 }
 
-/// Part that remains of something after a time, with this half-life in us.
+/// Returns the fraction that remains after exponential decay with the given half-life in us.
 fn remaining(since: Moment, now: Moment, half_life_us: f64) -> f64 {
     #[allow(clippy::cast_precision_loss)]
     let passed = now.since(since).0 as f64;
@@ -138,7 +142,7 @@
 }
 
 impl EndpointHealth {
-    /// An attempt begins whose first output is expected after so long.
+    /// Records the start of an attempt; `expected_ms` is the predicted time to its first output.
     pub fn begins(&mut self, now: Moment, expected_ms: f64) {
         let heard = self.heard.last();
         let is_answered = self.expectation.is_none_or(|known| heard >= known.since);
@@ -151,14 +155,14 @@
         self.waiting += 1;
     }
 
-    /// An attempt gives its first output.
+    /// Records the first output of an attempt.
     pub fn outputs(&mut self, now: Moment) {
         self.heard.hear(now);
         self.waiting = self.waiting.saturating_sub(1);
         self.streaming += 1;
     }
 
-    /// An attempt is over.
+    /// Records the end of an attempt.
     pub fn ends(&mut self, had_output: bool) {
         if had_output {
             self.streaming = self.streaming.saturating_sub(1);
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt and whether it failed.
     pub fn count(&mut self, now: Moment, failed: bool) {
         let kept = remaining(self.counted_at, now, HALF_LIFE_US);
         self.counted_at = now;
@@ -175,7 +179,7 @@
         self.failures = self.failures * kept + f64::from(u8::from(failed));
     }
 
-    /// The rate of failures of all routers' attempts, from 0 to 1.
+    /// Returns the failure rate over all routers' attempts, from 0 to 1.
     #[must_use]
     pub fn failure_rate(&self, now: Moment) -> f64 {
         let told_failures = f64::from(self.told.failures) / HUNDREDTHS;
@@ -188,7 +192,8 @@
         failures / (attempts + PRIOR_ATTEMPTS)
     }
 
-    /// Learns from one measured time to a first output against the predicted one.
+    /// Updates the slowness from one measurement; `ratio` is the measured time to the first output
+    /// divided by the predicted time.
     pub fn learn_slowness(&mut self, now: Moment, ratio: f64) {
         let known = self.slowness(now);
         let sample = (known * ratio).clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
@@ -196,30 +201,30 @@
         self.learned_at = now;
     }
 
-    /// Measured time to the first output against the predicted one.
+    /// Returns the measured time to the first output divided by the predicted time.
     ///
-    /// Guards against a router that has learned that all endpoints are slow, and so refuses every
-    /// call: it would measure nothing any more and never learn better. What was not measured again
-    /// for a while fades.
+    /// Guards against a router that has learned that all endpoints are slow and so refuses every
+    /// call: it would take no new measurements and never correct itself. A slowness that is not
+    /// measured again therefore decays towards 1.
     #[must_use]
     pub fn slowness(&self, now: Moment) -> f64 {
         let fading_since = self.learned_at + SLOWNESS_FRESH;
         1.0 + (self.slowness - 1.0) * remaining(fading_since, now, SLOWNESS_HALF_LIFE_US)
     }
 
-    /// Whether something came from it of late.
+    /// Returns true if this router recently received data from the endpoint.
     #[must_use]
     pub fn is_heard(&self, now: Moment) -> bool {
         now.since(self.heard.last()) < HEARD_FRESH
     }
 
-    /// Whether this router has waited for the endpoint for longer than one that works takes.
+    /// Returns true if this router has waited for the endpoint for longer than a healthy one takes.
     #[must_use]
     pub fn is_silent_here(&self, now: Moment) -> bool {
         self.overdue(now) > TimeSpan(0)
     }
 
-    /// Time for which something has been overdue.
+    /// Returns how long the next data from the endpoint has been overdue.
     fn overdue(&self, now: Moment) -> TimeSpan {
         let heard = self.heard.last();
         let first = match self.expectation {
@@ -234,9 +239,9 @@
         first.max(next)
     }
 
-    /// Whether it hangs. A request that waits longer than predicted does not say so by itself: an
-    /// endpoint that anybody hears from works, and is merely loaded. Only one that has kept this
-    /// router waiting for long is taken to be silent to this router alone.
+    /// Returns true if the endpoint hangs. A request that waits longer than predicted is not
+    /// enough: an endpoint from which any router receives data works and is merely loaded. Only an
+    /// endpoint that is overdue by more than two seconds counts as silent to this router alone.
     #[must_use]
     pub fn is_silent(&self, now: Moment) -> bool {
         let overdue = self.overdue(now);
@@ -248,7 +253,8 @@
         nobody_hears && is_missed
     }
 
-    /// What this router tells of its attempts there: all, and failures among them, in hundredths.
+    /// Returns this router's counts for the reports to other routers: attempts, and failures among
+    /// them, in hundredths.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn telling(&self, now: Moment) -> (u32, u32) {
--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -1,45 +1,48 @@
-//! What teams get when they ask more than there is: the max-min level, and what those that press
-//! get beyond it.
+//! Max-min fair level under overload, and the allowances of teams above it.
 //!
-//! The load that this answers: a few teams ask many times their shares, through any number of
-//! routers, while endpoints do more than the published rate or less. What each of them is served is
-//! known a second or two late, so all answers to it are bounded or means over all that press.
+//! Load pattern: a few teams ask for many times their shares, through any number of routers, while
+//! the endpoints' capacity is above or below the published rate. The service of each team is known
+//! a second or two late, so every correction is bounded or uses the mean over all teams above the
+//! level.
 
 use std::collections::BTreeMap;
 
 use super::shares::TeamFlow;
 
-/// How strongly service that differs from a share steers the allowance. Of a bias of 2 between two
-/// teams 1.3 remains; the mean over the window of shares keeps it from swinging.
+/// Exponent of the correction of a team's allowance by its service. A bias of 2 between two teams
+/// is reduced to 1.3; the mean over the share window prevents oscillation.
 const CORRECTION_POWER: f64 = 1.5;
 
-/// Bounds of the correction. A flood's first second is served many times its share before its demand
-/// is known; paid back in full, the team would get a tenth of its share for as long as the window.
-/// And routers that could not serve a team must not make the others flood.
+/// Bounds of the correction. In a flood's first second a team is served many times its share before
+/// its demand is known; compensated in full, it would get a tenth of its share for a whole window.
+/// The upper bound keeps routers that could not serve a team from making the other routers flood.
 const LEAST_CORRECTION: f64 = 0.6;
 const MOST_CORRECTION: f64 = 1.3;
 
-/// What teams that press may get beyond their shares at least, against a share. Less would leave
-/// endpoints idle that were full a moment ago.
+/// Least allowance beyond the share of a team above the level, as a fraction of the share. Less
+/// would leave endpoints idle that were full a moment ago.
 const LEAST_SPARE: f64 = 0.5;
 
-/// What each of them may get against the mean of what they got. The rest is room to find out that
-/// endpoints can do more, and for parts that are not asked for where they lie.
+/// Allowance beyond the share relative to the mean of what the teams above the level got beyond it.
+/// The excess over 1 lets the fleet find out that endpoints can do more, and makes up for
+/// allowances at routers where they are not used.
 const SPARE_GROWTH: f64 = 1.5;
 
-/// Teams that ask more than the level, over the window of shares and still.
+/// Returns the teams whose demand is above the level, both over the share window and in the last
+/// moments.
 pub fn pressing(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> impl Iterator<Item = &TeamFlow> {
     let flows = flows.values();
     flows.filter(move |flow| flow.asked > level && flow.asked_lately > level)
 }
 
-/// What each team that presses may get beyond the level; nothing if fewer than two press.
+/// Returns what each team above the level may get beyond it; `None` if fewer than two teams are
+/// above it.
 ///
-/// Guards against service that swings. Whether a request beyond its share finds an endpoint empty
-/// enough depends on what its team was served, which is known a second or two late: without a
-/// bound on the rate the team gets nothing and several times its share by turns, and another one
-/// that presses for a few seconds falls between. The mean over all of them is known as late and
-/// hardly moves.
+/// Guards against oscillating service. Whether a request beyond its team's share finds an endpoint
+/// empty enough depends on the team's service, which is known a second or two late. Without a limit
+/// on the rate, the team gets alternately nothing and several times its share, and a team that
+/// exceeds the level for only a few seconds may get nothing. The mean over all of them is known as
+/// late but hardly changes.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn spare_level(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> Option<f64> {
@@ -53,11 +56,11 @@
     Some((SPARE_GROWTH * mean).max(LEAST_SPARE * level))
 }
 
-/// What the team gets that presses and gets least, at least the level.
+/// Returns the service of the least served team above the level, at least the level.
 ///
-/// What endpoints do beyond the published rate goes to whoever finds one nearly idle, which is more often
-/// the team that asks more and has shorter prompts. Against its share alone it got twice the level
-/// while another one got the level.
+/// Capacity beyond the published rate goes to the team that finds an endpoint nearly idle, which is
+/// more often the team with more requests and shorter prompts. When compared with its share alone,
+/// such a team got twice the level while another one got the level.
 #[must_use]
 pub fn least_served(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> f64 {
     let served = pressing(level, flows).map(|flow| flow.served);
@@ -65,13 +68,12 @@
     least.max(level)
 }
 
-/// By how much a team's allowance is raised or lowered, from its share and what all routers
-/// together serve it.
+/// Returns the factor for a team's allowance, from its share and its service at all routers.
 ///
-/// The load that this answers: two teams that flood, one through many routers and one through a
-/// few small ones. An allowance that is not asked for in time at one router is not used at another,
-/// and demand counted from messages is late, so that equal shares gave one team twice what the
-/// other got. What they were served is known; it steers the allowances until it is equal.
+/// Load pattern: two teams flood, one through many routers and one through a few small ones. An
+/// allowance that is not used in time at one router is not available at another, and demand counted
+/// from messages is late, so that equal allowances gave one team twice the service of the other.
+/// Their service is known; it adjusts the allowances until the service is equal.
 #[must_use]
 pub fn correction(level: f64, served: f64) -> f64 {
     let ratio = level / served.max(1.0);
@@ -80,7 +82,8 @@
         .clamp(LEAST_CORRECTION, MOST_CORRECTION)
 }
 
-/// The most that a demand gets, so that all together get `rate`; infinite if all fit.
+/// Returns the max-min fair level: the limit per demand at which all demands together get `rate`;
+/// infinite if all fit.
 #[must_use]
 pub fn max_min_level(rate: f64, demands: impl Iterator<Item = f64>) -> f64 {
     let mut sorted: Vec<f64> = demands.collect();
--- a/src/gateway/decide/mod.rs
+++ b/src/gateway/decide/mod.rs
@@ -1,7 +1,8 @@
-//! The gateway's decisions: no I/O, no clock, no global randomness.
+//! The gateway's decision logic: no I/O, no clock, no global randomness.
 //!
-//! Every router decides alone, from its own counts and from what the others tell of theirs. An
-//! endpoint's own refusal is the last word, so a wrong belief costs time and never correctness.
+//! Each router decides on its own, from its own counts and the counts that the other routers
+//! gossip. An endpoint can still refuse a request, so outdated information costs time but never
+//! correctness.
 
 pub mod accounts;
 pub mod budget;
--- a/src/gateway/decide/window.rs
+++ b/src/gateway/decide/window.rs
@@ -3,10 +3,10 @@
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
-/// Buckets a window is cut into. A count is then at most a tenth of the window too old.
+/// Buckets per window. An amount is counted at most a tenth of the window too long.
 const BUCKETS: usize = 10;
 
-/// A sum over the last while.
+/// A sum over a sliding window.
 #[derive(Debug, Clone)]
 pub struct WindowCount {
     bucket_us: u64,
@@ -15,7 +15,7 @@
 }
 
 impl WindowCount {
-    /// An empty window of that length.
+    /// Creates an empty window.
     #[must_use]
     pub fn new(length: TimeSpan) -> Self {
         Self {
@@ -37,13 +37,13 @@
         self.newest = self.newest.max(current);
     }
 
-    /// Adds to the present bucket.
+    /// Adds an amount to the current bucket.
     pub fn add(&mut self, now: Moment, amount: f64) {
         self.advance(now);
         self.buckets[slot(self.newest)] += amount;
     }
 
-    /// The sum over the window.
+    /// Returns the sum over the window.
     pub fn sum(&mut self, now: Moment) -> f64 {
         self.advance(now);
         self.buckets.iter().sum()
