--- a/tests/gateway_capacity.rs
+++ b/tests/gateway_capacity.rs
@@ -1,4 +1,4 @@
-//! Shares of what the endpoints can really do, without a network.
+//! Shares of the estimated capacity of the endpoints, without a network.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
 
-/// The published rate.
+/// The published rate, in tokens per second.
 const PUBLISHED: f64 = 2_700_000.0;
 
 fn ms(millis: u64) -> Moment {
@@ -35,8 +35,8 @@
     assert!(capacity.limit().is_none());
 }
 
-/// Two thirds of the engines are away. Teams ask twice what is left; against the published rate
-/// none of them is beyond its share, and routers turn away whoever comes.
+/// Two thirds of the engines are away, and teams ask for twice the remaining capacity. Measured
+/// against the published rate no team exceeds its share, so routers would refuse calls at random.
 #[test]
 fn a_saturated_fleet_shares_what_it_serves() {
     let mut capacity = CapacityEstimate::default();
@@ -47,9 +47,9 @@
     assert!((8e5..1e6).contains(&rate), "{rate}");
 }
 
-/// Guards against a rate of a first moment: as traffic begins, one long request is turned away
-/// while next to nothing has been served yet, and a team is held to a tenth of its share for
-/// seconds.
+/// Guards against a capacity estimate from the first moments of traffic: one long request is turned
+/// away while almost nothing has been served yet, and a team would be limited to a tenth of its
+/// share for seconds.
 #[test]
 fn the_first_moments_of_traffic_do_not_set_the_rate() {
     let mut capacity = CapacityEstimate::default();
@@ -69,7 +69,7 @@
     assert!(rate > 0.8 * PUBLISHED, "{rate}");
 }
 
-/// The engines are back. The estimate must not hold the fleet to what it could do before.
+/// The engines are back. The estimate must not limit the fleet to its earlier capacity.
 #[test]
 fn a_fleet_that_has_recovered_shares_the_published_rate_again() {
     let mut capacity = CapacityEstimate::default();
@@ -82,8 +82,8 @@
     }
 }
 
-/// One team floods a fleet that can do far less than is published. The small team must be within
-/// its share and the flood beyond it, or both are turned away alike.
+/// One team floods a fleet whose capacity is far below the published rate. The small team must be
+/// within its share and the flooding one beyond it; otherwise both are turned away alike.
 #[test]
 fn a_flood_is_beyond_its_share_of_what_is_left() {
     let (small, flood) = (
@@ -108,6 +108,6 @@
         shares.share_out(now, rate, &BTreeMap::new());
     }
     assert_eq!(turned.0, 0);
-    // It asks 2 M tokens a second and is owed 0.85 M.
+    // It asks for 2 M tokens a second and its share is 0.85 M.
     assert!((25..45).contains(&turned.1), "{turned:?}");
 }
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -1,5 +1,5 @@
-//! The gateway's decisions without a network: placement, admission, retries, and what is believed
-//! of endpoints.
+//! The gateway's decisions without a network: placement, admission, retries, and how failing
+//! endpoints are treated.
 
 use smol_str::SmolStr;
 
@@ -30,8 +30,8 @@
 use self::engines::service;
 use self::engines::three_engines;
 
-/// Long prompts with large shared parts, short ones, and small checks, as a registry's engines
-/// get them.
+/// Long prompts with large shared parts, short prompts, and small checks: the usual load of a
+/// registry's engines.
 const KINDS: [LoadKind; 3] = [
     LoadKind {
         per_s: 50.0,
@@ -56,8 +56,9 @@
     },
 ];
 
-/// Requests that share a long part come to different routers. Spread over all engines, each of
-/// these reads the part; the engines' time goes into reading the same tokens again.
+/// Requests that share a long prompt part arrive at different routers. If they are spread over all
+/// engines, each engine prefills the part, and the engines' time goes into prefilling the same
+/// tokens again.
 #[test]
 fn routers_that_never_spoke_send_a_shared_part_to_the_same_engine() {
     let (mut one, mut other) = (three_engines(), three_engines());
@@ -83,8 +84,8 @@
     assert!(places.iter().any(|place| *place != home), "{places:?}");
 }
 
-/// The usual load: the engines have room if shared parts are found in their caches, and are
-/// overloaded if each reads them again.
+/// The usual load: the engines have room if shared parts are in their prefix caches, and are
+/// overloaded if each engine prefills them again.
 #[test]
 fn the_usual_load_is_in_time_where_round_robin_is_late() {
     for seed in 1..4 {
@@ -102,8 +103,8 @@
     }
 }
 
-/// Half as much again as the engines can do. What can't be in time is refused at once, and the
-/// rest is in time; no kind is left out.
+/// Overload: half as much again as the engines can do. Requests that can't be in time must be
+/// refused at once, the rest must be in time, and no kind may starve.
 #[test]
 fn under_overload_most_of_what_is_sent_is_in_time_and_no_kind_starves() {
     let heavy = KINDS.map(|kind| LoadKind {
@@ -122,8 +123,8 @@
     }
 }
 
-/// Prompts of ten times the usual size come under overload. Their own reading takes most of the
-/// objective, so that any queue would refuse them each time.
+/// Prompts of ten times the usual size arrive under overload. Their own prefill takes most of the
+/// objective, so that any queue would get them refused each time.
 #[test]
 fn the_longest_prompts_are_served_half_as_often_as_their_kind_or_more() {
     let heavy = KINDS.map(|kind| LoadKind {
@@ -142,8 +143,8 @@
     }
 }
 
-/// Ten calls an instant after an endpoint refused them all. Its pause must not turn into refusals
-/// of what comes next while there is no other endpoint.
+/// Calls arrive just after all endpoints have reported that they are full. The pauses must not turn
+/// into refusals while there is no other endpoint.
 #[test]
 fn pauses_of_all_endpoints_refuse_nothing() {
     let mut core = three_engines();
@@ -158,8 +159,8 @@
     }
 }
 
-/// An engine fails part of its requests while the others don't. Work must go around it, and come
-/// back when it has been well for a while.
+/// One engine fails its requests while the others work. Work must avoid it, and return once it has
+/// been healthy for a while.
 #[test]
 fn work_goes_around_a_failing_endpoint_and_comes_back() {
     let mut core = three_engines();
@@ -191,8 +192,8 @@
     assert!(well > 30, "{well} of 200 at an endpoint that is well again");
 }
 
-/// Endpoints fail everywhere at once. Repeats of all routers together must stay within the
-/// published ratio and slack, or they double the load on what still works.
+/// Endpoints fail everywhere at once. The retries of all routers together must stay within the
+/// published ratio and slack; more would double the load on the endpoints that still work.
 #[test]
 fn repeats_of_all_routers_stay_within_the_published_budget() {
     let bounds = RetryBounds {
@@ -204,7 +205,7 @@
     let mut routers: Vec<RetryBudget> = (0..8).map(|_| RetryBudget::new(bounds)).collect();
     let (mut requests, mut repeats) = (0.0, 0.0);
     for step in 0..3_000_usize {
-        // Half of all traffic comes to one router.
+        // Half of all traffic arrives at one router.
         let router = if step % 2 == 0 { 0 } else { step % 8 };
         let now = ms(step as u64 * 10);
         routers[router].request(now, &service);
@@ -243,7 +244,7 @@
     assert_eq!(name("other.example", "/a/"), None);
 }
 
-/// Shape of engines that fetch each other's memory over a link of 550 Gbit/s.
+/// Service whose engines fetch each other's prefix caches over a link of 550 Gbit/s.
 fn fetching_service() -> ServiceEntry {
     let mut service = engine_service();
     if let Some(engine) = &mut service.engine {
@@ -253,9 +254,9 @@
     service
 }
 
-/// A part of 4,870 tokens lies at its home, which has a queue. Another engine gets it from there
-/// in a seventh of the time that reading takes; without that the request waits, or the part is
-/// read again while other engines idle.
+/// A part of 4,870 tokens is cached at its home engine, which has a queue. Another engine can fetch
+/// it in a seventh of the prefill time; without the fetch the request waits, or the part is
+/// prefilled again while other engines are idle.
 #[test]
 fn a_request_goes_to_an_idle_engine_that_fetches_the_kept_part() {
     let mut core = three_engines();
@@ -279,7 +280,7 @@
     assert!(reread < 1.0, "{reread}");
 }
 
-/// Where engines fetch nothing, nothing names a holder.
+/// Guards against naming an engine to fetch from where the service's engines can't fetch.
 #[test]
 fn engines_that_can_not_fetch_are_told_of_no_holder() {
     let mut core = three_engines();
--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -1,4 +1,4 @@
-//! Endpoints that left, as routers tell each other in their messages, without a network.
+//! Departures of endpoints that routers report to each other, without a network.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,7 +18,7 @@
 use self::engines::ready;
 use self::engines::router_with;
 
-/// Silence after which a router is taken for gone.
+/// Silence after which a router counts as gone.
 const TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
 
 fn ms(millis: u64) -> Moment {
@@ -29,8 +29,8 @@
     core.endpoints.departures.telling(now).into_iter().collect()
 }
 
-/// One endpoint says that it leaves, one is registered no longer, one has started again. A router
-/// with an older list sends nothing to any of the three, and work to the others.
+/// One endpoint is registered as leaving, one is no longer registered, and one has restarted. A
+/// router with an older list must send nothing to these three and still use the others.
 #[test]
 fn what_left_is_told_however_it_left() {
     let all = endpoints("engine", 5);
@@ -45,13 +45,13 @@
     assert_eq!(left.len(), 3);
     other.endpoints.set_told_left(&left);
     assert_eq!(ready(&other, ms(200)), 2);
-    // Its own newer list decides; nobody tells it of anything any more.
+    // Once it has the newer list itself, that list decides and no reports are needed.
     other.set_endpoints(ms(300), &newer);
     other.endpoints.set_told_left(&BTreeSet::new());
     assert_eq!(ready(&other, ms(300)), 3);
 }
 
-/// An endpoint whose registration was gone for a moment is told as here again.
+/// An endpoint whose registration was missing for a moment must no longer be reported as departed.
 #[test]
 fn what_came_back_is_told_no_longer() {
     let all = endpoints("engine", 2);
@@ -62,8 +62,8 @@
     assert!(told(&mut core, ms(200)).is_empty());
 }
 
-/// A fleet replaces hundreds of endpoints at once. Messages stay small, and after ten seconds
-/// they tell nothing.
+/// A fleet replaces hundreds of endpoints at once. Messages must stay small, and after ten seconds
+/// report no departures.
 #[test]
 fn departures_take_little_of_a_message() {
     let mut core = router_with(&endpoints("engine", 300));
@@ -72,8 +72,8 @@
     assert!(told(&mut core, ms(10_100)).is_empty());
 }
 
-/// A router that lags believes an older list. Its word on who left must not count against a newer
-/// one, nor that of a router which is gone.
+/// A router that lags has an older list. Its reports of departures must not override a newer list,
+/// nor may those of a router that is gone.
 #[test]
 fn only_live_routers_with_a_newer_list_are_believed() {
     let mut peers = PeerTable::default();
@@ -91,8 +91,9 @@
     assert!(peers.left(ms(1_500), TIMEOUT, 19).is_empty());
 }
 
-/// A call is placed, and its connection takes as long as the news that the endpoint left. The look
-/// just before the request goes out must find that, whether the list or a message brought it.
+/// A call is placed, and the report that its endpoint left arrives while it connects. The check
+/// just before the request is sent must notice it, whether the list or a message brought the
+/// report.
 #[test]
 fn a_placement_is_void_once_its_endpoint_left() {
     let all = endpoints("engine", 3);
--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -1,5 +1,5 @@
-//! What routers believe of endpoints that fail or hang while their probes say that they are well,
-//! from their own calls and from each other's words, without a network.
+//! Health of endpoints that fail or hang while their probes report them as healthy, from a router's
+//! own calls and other routers' reports, without a network.
 
 use smol_str::SmolStr;
 
@@ -30,7 +30,7 @@
     core
 }
 
-/// Places a short prompt of its own, at `now`.
+/// Places a short prompt without shared parts, at `now`.
 fn placed(core: &mut GatewayCore, now: Moment, number: u64) -> AttemptTicket {
     let prompt = PromptShape {
         prompt_tokens: 500,
@@ -56,9 +56,9 @@
     (core.endpoints.rows().nth(index).unwrap().life, load)
 }
 
-/// An engine goes dark: it accepts requests and says nothing, and its probe is good. Requests that
-/// may not run elsewhere wait there until their callers give up, seconds later. Work that comes in
-/// the meantime must go elsewhere, not only what comes after the first caller gave up.
+/// An engine hangs: it accepts requests and sends nothing, while its probe succeeds. Requests that
+/// may not run elsewhere wait there until their callers give up, seconds later. Work that arrives
+/// before the first caller gives up must already go elsewhere.
 #[test]
 fn a_dark_engine_gets_no_more_work_after_half_a_second() {
     let mut core = core(2);
@@ -77,8 +77,8 @@
 }
 
 /// An engine takes longer than predicted, since other routers sent it work that this one does not
-/// know of yet. They hear from it. Taken for dark, its work would go to the others, which then are
-/// late in their turn, until all seem dark.
+/// know of yet, and they receive data from it. If it counted as hung, its work would go to the
+/// other engines, which then would be late in turn, until all engines seem hung.
 #[test]
 fn a_busy_engine_that_others_hear_from_is_used() {
     let mut core = core(2);
@@ -96,8 +96,8 @@
     assert_eq!(used.len(), 2);
 }
 
-/// Two routers find an engine dark. A third one that has sent it nothing for a while must not find
-/// out for itself at the cost of a caller; in a fleet of a hundred each would.
+/// Two routers report an engine as silent. A third one that has sent it nothing for a while must
+/// not find out for itself at the cost of a caller; in a fleet of a hundred routers each would.
 #[test]
 fn a_router_takes_the_word_of_two_others_for_silence() {
     let mut core = core(2);
@@ -113,8 +113,8 @@
     }
 }
 
-/// An engine resets half of its requests; each router sees one of them in some seconds. Together
-/// they know it at once.
+/// An engine resets half of its requests, and each router sees one of them every few seconds. Their
+/// combined reports must show it at once.
 #[test]
 fn failures_that_others_saw_count() {
     let mut core = core(3);
@@ -132,8 +132,8 @@
     }
 }
 
-/// One request in seven fails by itself wherever it runs. All routers know the same sums, in which
-/// one endpoint is a little better by chance: if that decided, all would send everything there.
+/// One request in seven fails wherever it runs. All routers know the same totals, in which one
+/// endpoint is slightly better by chance: if that decided, all routers would send everything there.
 #[test]
 fn small_differences_of_failures_move_nothing() {
     let mut core = core(3);
@@ -161,8 +161,8 @@
     assert!(counts.values().all(|count| *count >= 10), "{counts:?}");
 }
 
-/// A router's own links to the engines are cut. Its word that all of them are silent must not
-/// reach the others.
+/// A router's own links to the engines are cut. Its reports that all of them are silent must not
+/// reach the other routers.
 #[test]
 fn a_router_with_cut_links_is_not_trustworthy() {
     let mut core = core(4);
@@ -173,7 +173,8 @@
     assert!(!core.endpoints.is_trustworthy(ms(4_000)));
 }
 
-/// Gives the engine so many first outputs, each `factor` times later than predicted.
+/// Runs `count` attempts whose first output takes `factor` times the predicted time, and returns
+/// the time in ms at the end.
 fn late_outputs(core: &mut GatewayCore, count: u64, factor: f64, from: u64) -> u64 {
     let mut at = from;
     for number in 0..count {
@@ -193,9 +194,9 @@
     at
 }
 
-/// A flood fills a small host's link, and every first output comes late there. The host takes all
-/// engines for slow, refuses every call, and measures nothing that could teach it better: the
-/// engines idle while it refuses what its neighbours serve.
+/// A flood fills a small host's link, and every first output arrives late there. The router learns
+/// that all engines are slow, refuses every call, and then takes no measurements that could correct
+/// it: the engines idle while it refuses calls that other routers serve.
 #[test]
 fn a_router_that_measured_slow_engines_does_not_shut_itself_out() {
     let mut core = core(1);
@@ -205,7 +206,7 @@
     assert!(row.health.slowness(ms(end + 10_000)) < 1.1);
 }
 
-/// The same host knows that its link is full: what it measures is its own delay.
+/// The same host knows that its link is full: the delay that it measures is its own.
 #[test]
 fn a_disturbed_router_blames_no_endpoint() {
     let mut core = core(1);
