--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -161,7 +161,7 @@
     Answered,
     /// The endpoint failed.
     Failed,
-    /// The endpoint broke off the attempt; holds the request's fingerprint.
+    /// The endpoint broke off the attempt; carries the request's fingerprint.
     Lost(RequestFingerprint),
     /// No connection was made.
     NotReached,
