--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -19,7 +19,7 @@
 use super::call_state::CallState;
 use super::call_state::fingerprint;
 use super::decide::Admission;
-use super::decide::CallAsk;
+use super::decide::AdmissionRequest;
 use super::decide::RefusalCause;
 use super::decide::shares::ShareStanding;
 use super::front::Traffic;
@@ -212,10 +212,10 @@
     }
 }
 
-fn ask_of<'a>(call: &'a CallState, table: &'a RouteTable) -> CallAsk<'a> {
+fn ask_of<'a>(call: &'a CallState, table: &'a RouteTable) -> AdmissionRequest<'a> {
     let now = Instant::now();
     let micros = |span: Duration| TimeSpan(u64::try_from(span.as_micros()).unwrap_or(u64::MAX));
-    CallAsk {
+    AdmissionRequest {
         route: &call.route,
         service: &call.service,
         shape: table.services.get(&call.service),
--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -55,7 +55,7 @@
 
 /// A call that asks to be admitted.
 #[derive(Debug)]
-pub struct CallAsk<'a> {
+pub struct AdmissionRequest<'a> {
     /// The call's route.
     pub route: &'a RouteEntry,
     /// The service chosen for the call.
@@ -268,7 +268,7 @@
     }
 
     /// Counts an arriving call and returns how it stands to its team's share.
-    pub fn arrived(&mut self, now: Moment, ask: &CallAsk<'_>) -> ShareStanding {
+    pub fn arrived(&mut self, now: Moment, ask: &AdmissionRequest<'_>) -> ShareStanding {
         self.budget.request(now, ask.service);
         if let Some(prompt) = ask.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
@@ -373,7 +373,12 @@
     }
 
     /// Decides which endpoint gets a call, or refuses it.
-    pub fn admit(&mut self, now: Moment, ask: &CallAsk<'_>, standing: ShareStanding) -> Admission {
+    pub fn admit(
+        &mut self,
+        now: Moment,
+        ask: &AdmissionRequest<'_>,
+        standing: ShareStanding,
+    ) -> Admission {
         if let Some(retry_after) = self.quarantine.refused_for(now, ask.fingerprint) {
             return Admission::Refuse {
                 cause: RefusalCause::Quarantined,
@@ -427,7 +432,7 @@
     fn placed(
         &self,
         now: Moment,
-        ask: &CallAsk<'_>,
+        ask: &AdmissionRequest<'_>,
         engine: Option<EngineShape>,
     ) -> Option<Placement> {
         let model = EngineModel {
@@ -454,7 +459,7 @@
     /// Prefilling a long prompt may take its whole objective on an idle engine. When the size table
     /// grants it a turn, its own prefill time does not count against the limit.
     #[allow(clippy::cast_precision_loss)]
-    fn limit_ms(&self, ask: &CallAsk<'_>, standing: ShareStanding, alone_ms: f64) -> f64 {
+    fn limit_ms(&self, ask: &AdmissionRequest<'_>, standing: ShareStanding, alone_ms: f64) -> f64 {
         let objective = ask.route.objective_ms as f64;
         let part = match standing {
             ShareStanding::Within => self.config.objective_part,
@@ -489,7 +494,12 @@
         TimeSpan::from_millis(least.max(excess_ms as u64))
     }
 
-    fn ticket(&mut self, now: Moment, ask: &CallAsk<'_>, placement: &Placement) -> Admission {
+    fn ticket(
+        &mut self,
+        now: Moment,
+        ask: &AdmissionRequest<'_>,
+        placement: &Placement,
+    ) -> Admission {
         let hold_ms = self.hold_ms(ask.service);
         let Some(row) = self.endpoints.get_mut(&placement.endpoint) else {
             return Admission::Refuse {
--- a/src/gateway/decide/mod.rs
+++ b/src/gateway/decide/mod.rs
@@ -22,9 +22,9 @@
 
 pub use budget::RetryBudget;
 pub use core::Admission;
+pub use core::AdmissionRequest;
 pub use core::AttemptEnd;
 pub use core::AttemptTicket;
-pub use core::CallAsk;
 pub use core::GatewayCore;
 pub use core::RefusalCause;
 pub use endpoints::EndpointTable;
--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -12,9 +12,9 @@
 
 use verbenaturn::gateway::config::GatewayConfig;
 use verbenaturn::gateway::decide::Admission;
+use verbenaturn::gateway::decide::AdmissionRequest;
 use verbenaturn::gateway::decide::AttemptEnd;
 use verbenaturn::gateway::decide::AttemptTicket;
-use verbenaturn::gateway::decide::CallAsk;
 use verbenaturn::gateway::decide::GatewayCore;
 use verbenaturn::gateway::decide::endpoints::PeerLoad;
 use verbenaturn::gateway::decide::shares::TeamFlow;
@@ -151,8 +151,8 @@
     shape: &'a ServiceEntry,
     team: &'a TeamKey,
     prompt: &'a PromptShape,
-) -> CallAsk<'a> {
-    CallAsk {
+) -> AdmissionRequest<'a> {
+    AdmissionRequest {
         route,
         service,
         shape: Some(shape),
--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -6,9 +6,9 @@
 
 use verbenaturn::gateway::config::GatewayConfig;
 use verbenaturn::gateway::decide::Admission;
+use verbenaturn::gateway::decide::AdmissionRequest;
 use verbenaturn::gateway::decide::AttemptEnd;
 use verbenaturn::gateway::decide::AttemptTicket;
-use verbenaturn::gateway::decide::CallAsk;
 use verbenaturn::gateway::decide::GatewayCore;
 use verbenaturn::gateway::decide::RefusalCause;
 use verbenaturn::gateway::protocol::PromptShape;
@@ -54,7 +54,7 @@
     };
     let (route, shape) = (route("queries", 800), engine_service());
     let (service, team) = ("engine".parse().unwrap(), TeamKey(SmolStr::new("nadi")));
-    let call = CallAsk {
+    let call = AdmissionRequest {
         fingerprint,
         ..ask(&route, &service, &shape, &team, &prompt)
     };
