--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -47,7 +47,7 @@
 const LEARNING_TOKENS: f64 = 2_000.0;
 
 /// Interval between two log lines with the teams' counts.
-const TEAM_ACCOUNT: TimeSpan = TimeSpan::from_millis(1_000);
+const TEAM_LOG_INTERVAL: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// Most teams over their share that are logged, those with the highest demand first. Only a few
 /// flood at a time.
@@ -330,7 +330,7 @@
         }
         self.shares.share_out(now, rate, elsewhere);
         let passed = now.since(self.accounted_at);
-        if passed >= TEAM_ACCOUNT {
+        if passed >= TEAM_LOG_INTERVAL {
             self.accounted_at = now;
             self.account_for_teams(passed);
             self.account_for_shares(now, rate);
