--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -51,7 +51,7 @@
 
 /// Most teams over their share that are logged, those with the highest demand first. Only a few
 /// flood at a time.
-const ACCOUNT_TEAMS: usize = 4;
+const MAX_LIMITED_TEAMS_LOGGED: usize = 4;
 
 /// A call that asks to be admitted.
 #[derive(Debug)]
@@ -353,7 +353,7 @@
     fn account_for_shares(&self, now: Moment, rate: f64) {
         let limited = self.shares.limited();
         let (count, level) = (limited.len(), self.shares.level());
-        for held in limited.iter().take(ACCOUNT_TEAMS) {
+        for held in limited.iter().take(MAX_LIMITED_TEAMS_LOGGED) {
             let LimitedTeam {
                 team,
                 flow,
