--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -332,7 +332,7 @@
         let passed = now.since(self.accounted_at);
         if passed >= TEAM_LOG_INTERVAL {
             self.accounted_at = now;
-            self.account_for_teams(passed);
+            self.log_teams(passed);
             self.account_for_shares(now, rate);
         }
     }
@@ -343,7 +343,7 @@
     }
 
     /// Logs the teams' demand, sent tokens and failed requests since the last log line.
-    fn account_for_teams(&mut self, passed: TimeSpan) {
+    fn log_teams(&mut self, passed: TimeSpan) {
         if let Some(line) = self.accounts.take() {
             spdlog::info!("teams: span_ms={} {line}", passed.as_millis());
         }
