--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -333,7 +333,7 @@
         if passed >= TEAM_LOG_INTERVAL {
             self.accounted_at = now;
             self.log_teams(passed);
-            self.account_for_shares(now, rate);
+            self.log_limited_teams(now, rate);
         }
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Logs the demand, service and allowance of teams that are limited to their shares.
-    fn account_for_shares(&self, now: Moment, rate: f64) {
+    fn log_limited_teams(&self, now: Moment, rate: f64) {
         let limited = self.shares.limited();
         let (count, level) = (limited.len(), self.shares.level());
         for held in limited.iter().take(MAX_LIMITED_TEAMS_LOGGED) {
