--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -191,7 +191,7 @@
     capacity: CapacityEstimate,
     accounts: TeamAccounts,
     /// When the teams' counts were last logged.
-    accounted_at: Moment,
+    teams_logged_at: Moment,
     /// Quarantine for requests that crash endpoints.
     pub quarantine: CrashQuarantine,
     budget: RetryBudget,
@@ -217,7 +217,7 @@
             shares: ShareTable::new(seconds(config.share_window_s)),
             capacity: CapacityEstimate::default(),
             accounts: TeamAccounts::default(),
-            accounted_at: Moment(0),
+            teams_logged_at: Moment(0),
             quarantine: CrashQuarantine::default(),
             budget: RetryBudget::new(bounds),
             sizes: SizeTable::default(),
@@ -329,9 +329,9 @@
             );
         }
         self.shares.share_out(now, rate, elsewhere);
-        let passed = now.since(self.accounted_at);
+        let passed = now.since(self.teams_logged_at);
         if passed >= TEAM_LOG_INTERVAL {
-            self.accounted_at = now;
+            self.teams_logged_at = now;
             self.log_teams(passed);
             self.log_limited_teams(now, rate);
         }
