--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -44,7 +44,7 @@
 
 /// Queued prompt tokens below which the time to the first token says nothing about prefill speed,
 /// so that it is not learned from.
-const LEARNING_TOKENS: f64 = 2_000.0;
+const MIN_LEARNING_TOKENS: f64 = 2_000.0;
 
 /// Interval between two log lines with the teams' counts.
 const TEAM_LOG_INTERVAL: TimeSpan = TimeSpan::from_millis(1_000);
@@ -548,7 +548,7 @@
         };
         row.reached();
         row.health.outputs(now);
-        if ticket.queued < LEARNING_TOKENS || self.is_disturbed {
+        if ticket.queued < MIN_LEARNING_TOKENS || self.is_disturbed {
             return;
         }
         let measured = now.since(ticket.placed_at).0 as f64 / 1e3;
