--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -388,7 +388,7 @@
         }
         let engine = ask.shape.and_then(|shape| shape.engine);
         let Some(placement) = self.placed(now, ask, engine) else {
-            return self.without_endpoint(now, ask.service);
+            return self.refuse_without_endpoint(now, ask.service);
         };
         let limit = self.limit_ms(ask, standing, placement.alone_ms);
         #[allow(clippy::cast_precision_loss)]
@@ -413,7 +413,7 @@
 
     /// Refuses a call that no endpoint can take. The caller should retry when the first pause ends:
     /// an earlier retry would be refused again.
-    fn without_endpoint(&self, now: Moment, service: &ServiceKey) -> Admission {
+    fn refuse_without_endpoint(&self, now: Moment, service: &ServiceKey) -> Admission {
         let least = TimeSpan::from_millis(self.config.retry_after_ms);
         let (cause, retry_after) = match self.endpoints.pause_left(now, service) {
             Some(pause) => (RefusalCause::Paused, pause.max(least)),
