--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -463,7 +463,7 @@
         let objective = ask.route.objective_ms as f64;
         let part = match standing {
             ShareStanding::Within => self.config.objective_part,
-            ShareStanding::Beyond(served) => self.beyond_part(served),
+            ShareStanding::Beyond(served) => self.objective_part_over_share(served),
         };
         let left = ask.left.0 as f64 / 1e3;
         let mut limit = objective * part;
@@ -484,7 +484,7 @@
     /// more of it a team already gets, the emptier an endpoint must be to serve it more, so that
     /// all teams over their shares get about the same. With the square, a team served twice as much
     /// is limited to a quarter of the queue.
-    fn beyond_part(&self, served: f64) -> f64 {
+    fn objective_part_over_share(&self, served: f64) -> f64 {
         self.config.over_share_part / (served * served)
     }
 
