--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -281,7 +281,7 @@
 /// Whether the request may be written to one more endpoint.
 fn takes_repeat<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState) -> bool {
     let now = traffic.shared.clock.now();
-    call.has_attempts() && traffic.shared.core().take_repeat(now, &call.service)
+    call.has_attempts() && traffic.shared.core().take_retry(now, &call.service)
 }
 
 fn is_failure(answer: &BufferedAnswer) -> bool {
--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -292,7 +292,7 @@
     }
 
     /// Takes one retry from the fleet's budget. Returns false if the budget is used up.
-    pub fn take_repeat(&mut self, now: Moment, service: &ServiceKey) -> bool {
+    pub fn take_retry(&mut self, now: Moment, service: &ServiceKey) -> bool {
         self.budget.take(now, service, self.routers)
     }
 
