--- a/src/gateway/decide/budget.rs
+++ b/src/gateway/decide/budget.rs
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 struct ServiceCounts {
     requests: WindowCount,
-    repeats: WindowCount,
+    retries: WindowCount,
 }
 
 /// This router's part of the retry budget.
@@ -57,7 +57,7 @@
             .entry(service.clone())
             .or_insert_with(|| ServiceCounts {
                 requests: WindowCount::new(window),
-                repeats: WindowCount::new(window),
+                retries: WindowCount::new(window),
             })
     }
 
@@ -73,10 +73,10 @@
         #[allow(clippy::cast_precision_loss)]
         let part = slack / routers.max(1) as f64;
         let allowed = SPENT_PART * (ratio * counts.requests.sum(now) + part);
-        if counts.repeats.sum(now) + 1.0 > allowed {
+        if counts.retries.sum(now) + 1.0 > allowed {
             return false;
         }
-        counts.repeats.add(now, 1.0);
+        counts.retries.add(now, 1.0);
         true
     }
 }
