--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -196,7 +196,7 @@
     pub quarantine: CrashQuarantine,
     budget: RetryBudget,
     sizes: SizeTable,
-    holds: BTreeMap<ServiceKey, f64>,
+    mean_hold_ms: BTreeMap<ServiceKey, f64>,
     routers: usize,
     reading_speed: f64,
     /// True if this router's own link or lateness delays what it measures.
@@ -221,7 +221,7 @@
             quarantine: CrashQuarantine::default(),
             budget: RetryBudget::new(bounds),
             sizes: SizeTable::default(),
-            holds: BTreeMap::new(),
+            mean_hold_ms: BTreeMap::new(),
             routers: 1,
             reading_speed: config.reading_tokens_per_ms,
             domain,
@@ -451,7 +451,7 @@
 
     fn hold_ms(&self, service: &ServiceKey) -> f64 {
         let first = self.config.first_hold_ms;
-        self.holds.get(service).copied().unwrap_or(first)
+        self.mean_hold_ms.get(service).copied().unwrap_or(first)
     }
 
     /// Returns the highest predicted time to the first output at which a call is still sent, in ms.
@@ -584,7 +584,7 @@
                 row.health.count(now, false);
                 let stay = now.since(ticket.placed_at).0 as f64 / 1e3;
                 let mean = self
-                    .holds
+                    .mean_hold_ms
                     .entry(ticket.entry.service.clone())
                     .or_insert(stay);
                 *mean += LEARNING_WEIGHT * (stay - *mean);
