--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -590,9 +590,9 @@
                 *mean += LEARNING_WEIGHT * (stay - *mean);
             }
             AttemptEnd::Failed => row.health.count(now, true),
-            AttemptEnd::Lost(print) => {
+            AttemptEnd::Lost(fingerprint) => {
                 row.health.count(now, true);
-                self.quarantine.lost(now, &ticket.entry, print);
+                self.quarantine.lost(now, &ticket.entry, fingerprint);
             }
             AttemptEnd::NotReached if self.is_disturbed => row.not_reached_by_fault(now),
             AttemptEnd::NotReached => row.not_reached(now),
