--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -542,7 +542,7 @@
     /// Records the first output of an attempt.
     #[allow(clippy::cast_precision_loss)]
     pub fn first_output(&mut self, now: Moment, ticket: &mut AttemptTicket) {
-        self.stop_reading(ticket);
+        self.finish_prefill(ticket);
         let Some(row) = self.endpoints.of_attempt(&ticket.entry) else {
             return;
         };
@@ -556,7 +556,7 @@
         row.health.learn_slowness(now, ratio);
     }
 
-    fn stop_reading(&mut self, ticket: &mut AttemptTicket) {
+    fn finish_prefill(&mut self, ticket: &mut AttemptTicket) {
         if !ticket.is_reading {
             return;
         }
@@ -570,7 +570,7 @@
     #[allow(clippy::cast_precision_loss)]
     pub fn ended(&mut self, now: Moment, mut ticket: AttemptTicket, end: AttemptEnd) {
         let had_output = !ticket.is_reading;
-        self.stop_reading(&mut ticket);
+        self.finish_prefill(&mut ticket);
         let Some(row) = self.endpoints.of_attempt(&ticket.entry) else {
             return;
         };
