--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -137,7 +137,7 @@
     /// Prompt tokens queued at the endpoint, including this request's.
     pub queued: f64,
     placed_at: Moment,
-    is_reading: bool,
+    is_prefilling: bool,
     heard: HeardClock,
     replaced: CancellationToken,
 }
@@ -533,7 +533,7 @@
             reread: placement.reread,
             queued: row.total_pending(),
             placed_at: now,
-            is_reading: true,
+            is_prefilling: true,
             heard: row.health.heard.clone(),
             replaced: row.replaced.clone(),
         })
@@ -557,10 +557,10 @@
     }
 
     fn finish_prefill(&mut self, ticket: &mut AttemptTicket) {
-        if !ticket.is_reading {
+        if !ticket.is_prefilling {
             return;
         }
-        ticket.is_reading = false;
+        ticket.is_prefilling = false;
         if let Some(row) = self.endpoints.of_attempt(&ticket.entry) {
             row.pending_tokens = (row.pending_tokens - ticket.uncached).max(0.0);
         }
@@ -569,7 +569,7 @@
     /// Records the end of an attempt.
     #[allow(clippy::cast_precision_loss)]
     pub fn ended(&mut self, now: Moment, mut ticket: AttemptTicket, end: AttemptEnd) {
-        let had_output = !ticket.is_reading;
+        let had_output = !ticket.is_prefilling;
         self.finish_prefill(&mut ticket);
         let Some(row) = self.endpoints.of_attempt(&ticket.entry) else {
             return;
