--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -198,7 +198,7 @@
     sizes: SizeTable,
     mean_hold_ms: BTreeMap<ServiceKey, f64>,
     routers: usize,
-    reading_speed: f64,
+    prefill_tokens_per_ms: f64,
     /// True if this router's own link or lateness delays what it measures.
     is_disturbed: bool,
 }
@@ -223,7 +223,7 @@
             sizes: SizeTable::default(),
             mean_hold_ms: BTreeMap::new(),
             routers: 1,
-            reading_speed: config.reading_tokens_per_ms,
+            prefill_tokens_per_ms: config.reading_tokens_per_ms,
             domain,
             config,
             is_disturbed: false,
@@ -436,7 +436,7 @@
         engine: Option<EngineShape>,
     ) -> Option<Placement> {
         let model = EngineModel {
-            tokens_per_ms: self.reading_speed,
+            tokens_per_ms: self.prefill_tokens_per_ms,
             hold_ms: self.hold_ms(ask.service),
         };
         let placement_ask = PlacementAsk {
