--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -30,7 +30,7 @@
 
 /// Most leaving processes listed in one message: 256 bytes of it. If more of them leave while the
 /// store is away, the other routers learn of the rest once the store is back.
-const MOST_WORDS_TOLD: usize = 32;
+const MAX_LEAVING_REPORTED: usize = 32;
 
 /// Load of the other routers at one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -285,7 +285,7 @@
         let leaving = self.rows.iter().filter(|row| row.said_leaving());
         let unknown = leaving.filter(|row| row.is_listed_ready(now));
         let lives = unknown.map(|row| row.life_hash);
-        lives.take(MOST_WORDS_TOLD).collect()
+        lives.take(MAX_LEAVING_REPORTED).collect()
     }
 
     /// Returns the time until the first of a service's endpoints ends the pause that it asked for;
