--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -73,7 +73,7 @@
     /// For an endpoint kept beyond its registration: no new work from this time on.
     used_until: Option<Moment>,
     /// True if another router with a newer endpoint list reports that the endpoint left.
-    is_told_left: bool,
+    is_reported_departed: bool,
     /// What the endpoint process announced about itself in its answers.
     words: EndpointWords,
     /// Consecutive failed connections.
@@ -98,7 +98,7 @@
             health: EndpointHealth::default(),
             paused_until: Moment(0),
             used_until: None,
-            is_told_left: false,
+            is_reported_departed: false,
             words: EndpointWords::default(),
             refused: 0,
             parts: BTreeMap::new(),
@@ -118,7 +118,7 @@
     /// Returns true if the endpoint may get new work according to the endpoint lists.
     fn is_listed_ready(&self, now: Moment) -> bool {
         let is_over = self.used_until.is_some_and(|until| now >= until);
-        self.is_taking_work() && !is_over && !self.is_told_left
+        self.is_taking_work() && !is_over && !self.is_reported_departed
     }
 
     /// Returns true if the endpoint announced that it is leaving.
@@ -303,7 +303,7 @@
     /// as new.
     pub fn set_told_left(&mut self, told: &BTreeSet<u32>) {
         for row in &mut self.rows {
-            row.is_told_left = told.contains(&row.life);
+            row.is_reported_departed = told.contains(&row.life);
         }
     }
 
