--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -209,7 +209,7 @@
             .map_or(0.0, |table| table.limits.tokens_per_s);
         let mut core = self.shared.core();
         core.set_peer_loads(self.peers.loads());
-        core.endpoints.set_told_left(&left);
+        core.endpoints.set_reported_departures(&left);
         core.set_routers(self.peers.budget_routers(now));
         core.share_out(now, rate, &flows, turned_away);
         core.forget_parts(now);
--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -43,11 +43,11 @@
     reading.set_endpoints(ms(100), &newer);
     let left = told(&mut reading, ms(200));
     assert_eq!(left.len(), 3);
-    other.endpoints.set_told_left(&left);
+    other.endpoints.set_reported_departures(&left);
     assert_eq!(ready(&other, ms(200)), 2);
     // Once it has the newer list itself, that list decides and no reports are needed.
     other.set_endpoints(ms(300), &newer);
-    other.endpoints.set_told_left(&BTreeSet::new());
+    other.endpoints.set_reported_departures(&BTreeSet::new());
     assert_eq!(ready(&other, ms(300)), 3);
 }
 
@@ -113,7 +113,8 @@
     newer.remove(&gone.key);
     core.set_endpoints(ms(100), &newer);
     let life = core.endpoints.get(&told_gone.key).unwrap().life;
-    core.endpoints.set_told_left(&BTreeSet::from([life]));
+    core.endpoints
+        .set_reported_departures(&BTreeSet::from([life]));
     assert!(
         !all.values()
             .any(|entry| core.endpoints.takes_work(ms(100), entry))
