--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -261,7 +261,7 @@
     ///
     /// Guards against a leaving endpoint that announces it to each router separately: every router
     /// would have to send it a call, which it may cut, to find out.
-    pub fn take_told_leaving(&mut self, now: Moment, lives: &[u64]) {
+    pub fn apply_reported_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
             if self.words.leaves(now, *life) {
                 self.apply_words(*life);
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -166,7 +166,8 @@
                 let suspects = digest.suspects.iter().map(told_suspect);
                 let mut core = self.shared.core();
                 core.quarantine.take_told(now, suspects);
-                core.endpoints.take_told_leaving(now, &digest.said_leaving);
+                core.endpoints
+                    .apply_reported_leaving(now, &digest.said_leaving);
                 drop(core);
                 if self.peers.take(now, from.ip(), digest) && is_new {
                     spdlog::info!("peers: router={} found", from.ip());
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -66,7 +66,7 @@
         .said(ms(100), all.values().next().unwrap(), LEAVING);
     let lives = told.endpoints.telling_leaving(ms(200));
     assert_eq!(lives.len(), 1);
-    other.endpoints.take_told_leaving(ms(200), &lives);
+    other.endpoints.apply_reported_leaving(ms(200), &lives);
     other.set_endpoints(ms(300), &all);
     assert_eq!(ready(&other, ms(300)), 2);
     // It tells others in its turn, since they may not hear from the first one.
