--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -281,7 +281,7 @@
     /// Returns the processes that announced that they are leaving but are still listed as ready,
     /// for the messages to the other routers.
     #[must_use]
-    pub fn telling_leaving(&self, now: Moment) -> Vec<u64> {
+    pub fn leaving_to_report(&self, now: Moment) -> Vec<u64> {
         let leaving = self.rows.iter().filter(|row| row.said_leaving());
         let unknown = leaving.filter(|row| row.is_listed_ready(now));
         let lives = unknown.map(|row| row.life_hash);
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -228,7 +228,7 @@
         let turned_away = core.shares.turned_away_per_s(now);
         let flows = core.shares.flows(now);
         let left = core.endpoints.departures.telling(now);
-        let said_leaving = core.endpoints.telling_leaving(now);
+        let said_leaving = core.endpoints.leaving_to_report(now);
         let trusts_itself = core.endpoints.is_trustworthy(now) && !core.is_disturbed();
         let loads = core.endpoints.rows();
         let loads = loads.filter_map(|row| load_entry(row, now, trusts_itself));
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -64,13 +64,13 @@
     let (mut told, mut other) = (router_with(&all), router_with(&BTreeMap::new()));
     told.endpoints
         .said(ms(100), all.values().next().unwrap(), LEAVING);
-    let lives = told.endpoints.telling_leaving(ms(200));
+    let lives = told.endpoints.leaving_to_report(ms(200));
     assert_eq!(lives.len(), 1);
     other.endpoints.apply_reported_leaving(ms(200), &lives);
     other.set_endpoints(ms(300), &all);
     assert_eq!(ready(&other, ms(300)), 2);
     // It tells others in its turn, since they may not hear from the first one.
-    assert_eq!(other.endpoints.telling_leaving(ms(400)), lives);
+    assert_eq!(other.endpoints.leaving_to_report(ms(400)), lives);
 }
 
 /// Guards against messages that grow with the fleet: hundreds of endpoints leave at once.
@@ -81,10 +81,10 @@
     for entry in all.values() {
         core.endpoints.said(ms(100), entry, LEAVING);
     }
-    assert_eq!(core.endpoints.telling_leaving(ms(200)).len(), 32);
+    assert_eq!(core.endpoints.leaving_to_report(ms(200)).len(), 32);
     // What the store knows as well need not be told.
     core.set_endpoints(ms(300), &BTreeMap::new());
-    assert!(core.endpoints.telling_leaving(ms(300)).is_empty());
+    assert!(core.endpoints.leaving_to_report(ms(300)).is_empty());
 }
 
 /// Guards against a shorter wish that ends a longer one.
