--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -123,7 +123,7 @@
 
     /// Returns true if the endpoint announced that it is leaving.
     #[must_use]
-    pub fn said_leaving(&self) -> bool {
+    pub fn announced_leaving(&self) -> bool {
         self.words.is_leaving
     }
 
@@ -282,7 +282,7 @@
     /// for the messages to the other routers.
     #[must_use]
     pub fn leaving_to_report(&self, now: Moment) -> Vec<u64> {
-        let leaving = self.rows.iter().filter(|row| row.said_leaving());
+        let leaving = self.rows.iter().filter(|row| row.announced_leaving());
         let unknown = leaving.filter(|row| row.is_listed_ready(now));
         let lives = unknown.map(|row| row.life_hash);
         lives.take(MAX_LEAVING_REPORTED).collect()
--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -239,5 +239,5 @@
     /// Endpoints that said in answers that they leave, whatever list the sender has; see
     /// [`super::decide::words`]. Hashes of their lives: what one is taken for stays so.
     #[prost(fixed64, repeated, tag = "14")]
-    pub said_leaving: Vec<u64>,
+    pub announced_leaving: Vec<u64>,
 }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -69,7 +69,7 @@
         traffic.pool.sweep(|life| {
             core.endpoints
                 .get(&life.key)
-                .is_some_and(|row| row.entry.born == life.born && !row.said_leaving())
+                .is_some_and(|row| row.entry.born == life.born && !row.announced_leaving())
         });
     }
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -167,7 +167,7 @@
                 let mut core = self.shared.core();
                 core.quarantine.take_told(now, suspects);
                 core.endpoints
-                    .apply_reported_leaving(now, &digest.said_leaving);
+                    .apply_reported_leaving(now, &digest.announced_leaving);
                 drop(core);
                 if self.peers.take(now, from.ip(), digest) && is_new {
                     spdlog::info!("peers: router={} found", from.ip());
@@ -228,7 +228,7 @@
         let turned_away = core.shares.turned_away_per_s(now);
         let flows = core.shares.flows(now);
         let left = core.endpoints.departures.telling(now);
-        let said_leaving = core.endpoints.leaving_to_report(now);
+        let announced_leaving = core.endpoints.leaving_to_report(now);
         let trusts_itself = core.endpoints.is_trustworthy(now) && !core.is_disturbed();
         let loads = core.endpoints.rows();
         let loads = loads.filter_map(|row| load_entry(row, now, trusts_itself));
@@ -250,7 +250,7 @@
             suspects: suspects.into_iter().map(suspect_entry).collect(),
             turned_away_per_s: turned_away as u32,
             left,
-            said_leaving,
+            announced_leaving,
         }
     }
 
