--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -264,12 +264,12 @@
     pub fn apply_reported_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
             if self.words.leaves(now, *life) {
-                self.apply_words(*life);
+                self.refresh_announcement(*life);
             }
         }
     }
 
-    fn apply_words(&mut self, life: u64) {
+    fn refresh_announcement(&mut self, life: u64) {
         let words = self.words.of(life);
         for row in self.rows.iter_mut().filter(|row| row.life_hash == life) {
             let (key, born) = (&row.entry.key, row.entry.born);
