--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -243,7 +243,12 @@
 
     /// Applies what a process announced in an answer. Returns true if it announced for the first
     /// time that it is leaving.
-    pub fn said(&mut self, now: Moment, entry: &EndpointEntry, words: SpokenWords) -> bool {
+    pub fn apply_announcement(
+        &mut self,
+        now: Moment,
+        entry: &EndpointEntry,
+        words: SpokenWords,
+    ) -> bool {
         let SpokenWords { is_leaving, pause } = words;
         let life = entry.life().hash();
         if let Some(pause) = pause {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -140,7 +140,10 @@
         if words == SpokenWords::default() {
             return;
         }
-        let is_news = self.core().endpoints.said(self.clock.now(), entry, words);
+        let is_news = self
+            .core()
+            .endpoints
+            .apply_announcement(self.clock.now(), entry, words);
         let (key, born) = (&entry.key, entry.born);
         if words.is_leaving {
             self.metrics.endpoint_word("leaving");
