--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -306,9 +306,9 @@
     /// Guards against a list that can't be fetched in time, see [`super::departures`]: an endpoint
     /// that left long ago would still get work. The reports apply until this router's own list is
     /// as new.
-    pub fn set_reported_departures(&mut self, told: &BTreeSet<u32>) {
+    pub fn set_reported_departures(&mut self, reported: &BTreeSet<u32>) {
         for row in &mut self.rows {
-            row.is_reported_departed = told.contains(&row.life);
+            row.is_reported_departed = reported.contains(&row.life);
         }
     }
 
