--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -375,7 +375,7 @@
     /// while most of the endpoints that it uses are silent to it, since its own links are then
     /// probably at fault.
     #[must_use]
-    pub fn is_trustworthy(&self, now: Moment) -> bool {
+    pub fn is_health_reportable(&self, now: Moment) -> bool {
         let used = self.rows.iter().filter(|row| row.active > 0);
         let (mut count, mut silent) = (0, 0);
         for row in used {
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -229,7 +229,7 @@
         let flows = core.shares.flows(now);
         let left = core.endpoints.departures.telling(now);
         let announced_leaving = core.endpoints.leaving_to_report(now);
-        let trusts_itself = core.endpoints.is_trustworthy(now) && !core.is_disturbed();
+        let trusts_itself = core.endpoints.is_health_reportable(now) && !core.is_disturbed();
         let loads = core.endpoints.rows();
         let loads = loads.filter_map(|row| load_entry(row, now, trusts_itself));
         RouterDigest {
--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -169,8 +169,8 @@
     for number in 0..8 {
         let _waiting = placed(&mut core, ms(1_000 + number), number);
     }
-    assert!(core.endpoints.is_trustworthy(ms(1_100)));
-    assert!(!core.endpoints.is_trustworthy(ms(4_000)));
+    assert!(core.endpoints.is_health_reportable(ms(1_100)));
+    assert!(!core.endpoints.is_health_reportable(ms(4_000)));
 }
 
 /// Runs `count` attempts whose first output takes `factor` times the predicted time, and returns
