--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -600,7 +600,7 @@
                 row.not_reached(now);
                 self.quarantine.ended(now, &ticket.entry);
             }
-            AttemptEnd::Full => row.was_full(now),
+            AttemptEnd::Full => row.pause_when_full(now),
             // Where a request may not run elsewhere, callers that give up are the only sign that an
             // endpoint hangs.
             AttemptEnd::Abandoned if was_silent => row.health.count(now, true),
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -170,7 +170,7 @@
     }
 
     /// Records that the endpoint reported that it is full: pauses it briefly.
-    pub fn was_full(&mut self, now: Moment) {
+    pub fn pause_when_full(&mut self, now: Moment) {
         self.paused_until = now + TimeSpan::from_millis(FULL_PAUSE_MS);
     }
 }
