--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -594,7 +594,7 @@
                 row.health.count(now, true);
                 self.quarantine.lost(now, &ticket.entry, fingerprint);
             }
-            AttemptEnd::NotReached if self.is_disturbed => row.not_reached_by_fault(now),
+            AttemptEnd::NotReached if self.is_disturbed => row.not_reached_due_to_link(now),
             AttemptEnd::NotReached => row.not_reached(now),
             AttemptEnd::Gone => {
                 row.not_reached(now);
