--- a/src/gateway/decide/departures.rs
+++ b/src/gateway/decide/departures.rs
@@ -31,7 +31,7 @@
     }
 
     /// Records that an endpoint takes work, possibly again after it left.
-    pub fn is_here(&mut self, life: u32) {
+    pub fn mark_present(&mut self, life: u32) {
         self.left.remove(&life);
     }
 
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -224,7 +224,7 @@
                 None => EndpointRow::new(entry.clone()),
             };
             if row.is_taking_work() {
-                self.departures.is_here(row.life);
+                self.departures.mark_present(row.life);
             } else if was_ready {
                 self.departures.left(now, row.life);
             }
