--- a/src/gateway/decide/departures.rs
+++ b/src/gateway/decide/departures.rs
@@ -26,7 +26,7 @@
 
 impl DepartureTable {
     /// Records that an endpoint left: it is registered as leaving or no longer registered.
-    pub fn left(&mut self, now: Moment, life: u32) {
+    pub fn mark_departed(&mut self, now: Moment, life: u32) {
         self.left.insert(life, now);
     }
 
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -217,7 +217,7 @@
                 Some(former) => {
                     spdlog::info!("endpoint: key={key} born={} started again", entry.born);
                     former.replaced.cancel();
-                    self.departures.left(now, former.life);
+                    self.departures.mark_departed(now, former.life);
                     replaced.push(former.entry);
                     EndpointRow::new(entry.clone())
                 }
@@ -226,7 +226,7 @@
             if row.is_taking_work() {
                 self.departures.mark_present(row.life);
             } else if was_ready {
-                self.departures.left(now, row.life);
+                self.departures.mark_departed(now, row.life);
             }
             let places = self.services.entry(entry.service.clone()).or_default();
             places.push(self.rows.len());
@@ -234,7 +234,7 @@
             self.rows.push(EndpointRow { words, ..row });
         }
         for row in known.into_values() {
-            self.departures.left(now, row.life);
+            self.departures.mark_departed(now, row.life);
         }
         let known: BTreeSet<u64> = self.rows.iter().map(|row| row.life_hash).collect();
         self.words.forget(now, |life| known.contains(&life));
