--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -15,7 +15,7 @@
 use super::super::routes::ServiceKey;
 use super::departures::DepartureTable;
 use super::health::EndpointHealth;
-use super::health::ToldHealth;
+use super::health::PeerHealth;
 use super::words::EndpointWords;
 use super::words::WordTable;
 
@@ -41,7 +41,7 @@
     /// leaves exactly zero.
     pub pending_tokens: f64,
     /// The endpoint's health as the other routers report it.
-    pub health: ToldHealth,
+    pub health: PeerHealth,
 }
 
 /// The row of one endpoint.
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -63,7 +63,7 @@
 
 /// Totals of the other routers' reports on one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ToldHealth {
+pub struct PeerHealth {
     /// Attempts, in hundredths.
     pub attempts: u32,
     /// Failed attempts, in hundredths.
@@ -103,7 +103,7 @@
     /// When this router last received data from the endpoint.
     pub heard: HeardClock,
     /// The other routers' reports.
-    pub told: ToldHealth,
+    pub told: PeerHealth,
     attempts: f64,
     failures: f64,
     counted_at: Moment,
@@ -121,7 +121,7 @@
     fn default() -> Self {
         Self {
             heard: HeardClock::default(),
-            told: ToldHealth::default(),
+            told: PeerHealth::default(),
             attempts: 0.0,
             failures: 0.0,
             counted_at: Moment(0),
--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -8,7 +8,7 @@
 use verbenaturn::gateway::decide::AttemptTicket;
 use verbenaturn::gateway::decide::GatewayCore;
 use verbenaturn::gateway::decide::endpoints::PeerLoad;
-use verbenaturn::gateway::decide::health::ToldHealth;
+use verbenaturn::gateway::decide::health::PeerHealth;
 use verbenaturn::gateway::protocol::PromptPart;
 use verbenaturn::gateway::protocol::PromptShape;
 use verbenaturn::gateway::routes::EndpointKey;
@@ -48,7 +48,7 @@
     core.endpoints.rows().nth(index).unwrap().entry.key.clone()
 }
 
-fn told(core: &GatewayCore, index: usize, health: ToldHealth) -> (u32, PeerLoad) {
+fn told(core: &GatewayCore, index: usize, health: PeerHealth) -> (u32, PeerLoad) {
     let load = PeerLoad {
         health,
         ..PeerLoad::default()
@@ -83,9 +83,9 @@
 fn a_busy_engine_that_others_hear_from_is_used() {
     let mut core = core(2);
     let _waiting = placed(&mut core, ms(1_000), 0);
-    let heard = ToldHealth {
+    let heard = PeerHealth {
         hearing: 1,
-        ..ToldHealth::default()
+        ..PeerHealth::default()
     };
     let loads = [told(&core, 0, heard), told(&core, 1, heard)];
     core.set_peer_loads(&loads.into_iter().collect());
@@ -101,9 +101,9 @@
 #[test]
 fn a_router_takes_the_word_of_two_others_for_silence() {
     let mut core = core(2);
-    let silent = ToldHealth {
+    let silent = PeerHealth {
         silent: 2,
-        ..ToldHealth::default()
+        ..PeerHealth::default()
     };
     let loads = [told(&core, 0, silent)];
     core.set_peer_loads(&loads.into_iter().collect());
@@ -118,11 +118,11 @@
 #[test]
 fn failures_that_others_saw_count() {
     let mut core = core(3);
-    let failing = ToldHealth {
+    let failing = PeerHealth {
         attempts: 2_000,
         failures: 1_000,
         hearing: 5,
-        ..ToldHealth::default()
+        ..PeerHealth::default()
     };
     let loads = [told(&core, 2, failing)];
     core.set_peer_loads(&loads.into_iter().collect());
@@ -142,11 +142,11 @@
         .iter()
         .enumerate()
         .map(|(index, failures)| {
-            let health = ToldHealth {
+            let health = PeerHealth {
                 attempts: 10_000,
                 failures: *failures,
                 hearing: 5,
-                ..ToldHealth::default()
+                ..PeerHealth::default()
             };
             told(&core, index, health)
         })
