--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -26,7 +26,7 @@
 use super::capacity::FleetFlow;
 use super::endpoints::EndpointTable;
 use super::endpoints::PeerLoad;
-use super::health::HeardClock;
+use super::health::ActivityClock;
 use super::placement;
 use super::placement::EngineModel;
 use super::placement::Placement;
@@ -138,7 +138,7 @@
     pub queued: f64,
     placed_at: Moment,
     is_prefilling: bool,
-    heard: HeardClock,
+    heard: ActivityClock,
     replaced: CancellationToken,
 }
 
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -84,9 +84,9 @@
 /// When a router last received data from an endpoint. Shared with the attempts at the endpoint, so
 /// that an event of a stream needs no look-up.
 #[derive(Debug, Clone, Default)]
-pub struct HeardClock(Arc<AtomicU64>);
+pub struct ActivityClock(Arc<AtomicU64>);
 
-impl HeardClock {
+impl ActivityClock {
     /// Records that data arrived from the endpoint.
     pub fn hear(&self, now: Moment) {
         self.0.store(now.0, Ordering::Relaxed);
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub struct EndpointHealth {
     /// When this router last received data from the endpoint.
-    pub heard: HeardClock,
+    pub heard: ActivityClock,
     /// The other routers' reports.
     pub told: PeerHealth,
     attempts: f64,
@@ -120,7 +120,7 @@
 impl Default for EndpointHealth {
     fn default() -> Self {
         Self {
-            heard: HeardClock::default(),
+            heard: ActivityClock::default(),
             told: PeerHealth::default(),
             attempts: 0.0,
             failures: 0.0,
