--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -138,7 +138,7 @@
     pub queued: f64,
     placed_at: Moment,
     is_prefilling: bool,
-    heard: ActivityClock,
+    last_activity: ActivityClock,
     replaced: CancellationToken,
 }
 
@@ -150,7 +150,7 @@
 
     /// Records that data arrived from the endpoint.
     pub fn hear(&self, now: Moment) {
-        self.heard.hear(now);
+        self.last_activity.hear(now);
     }
 }
 
@@ -534,7 +534,7 @@
             queued: row.total_pending(),
             placed_at: now,
             is_prefilling: true,
-            heard: row.health.heard.clone(),
+            last_activity: row.health.last_activity.clone(),
             replaced: row.replaced.clone(),
         })
     }
@@ -580,7 +580,7 @@
         match end {
             AttemptEnd::Answered => {
                 row.reached();
-                row.health.heard.hear(now);
+                row.health.last_activity.hear(now);
                 row.health.count(now, false);
                 let stay = now.since(ticket.placed_at).0 as f64 / 1e3;
                 let mean = self
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub struct EndpointHealth {
     /// When this router last received data from the endpoint.
-    pub heard: ActivityClock,
+    pub last_activity: ActivityClock,
     /// The other routers' reports.
     pub told: PeerHealth,
     attempts: f64,
@@ -120,7 +120,7 @@
 impl Default for EndpointHealth {
     fn default() -> Self {
         Self {
-            heard: ActivityClock::default(),
+            last_activity: ActivityClock::default(),
             told: PeerHealth::default(),
             attempts: 0.0,
             failures: 0.0,
@@ -144,8 +144,10 @@
 impl EndpointHealth {
     /// Records the start of an attempt; `expected_ms` is the predicted time to its first output.
     pub fn begins(&mut self, now: Moment, expected_ms: f64) {
-        let heard = self.heard.last();
-        let is_answered = self.expectation.is_none_or(|known| heard >= known.since);
+        let last_activity = self.last_activity.last();
+        let is_answered = self
+            .expectation
+            .is_none_or(|known| last_activity >= known.since);
         if is_answered || self.waiting + self.streaming == 0 {
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
             let allowance = TimeSpan::from_millis((SILENCE_MS + 2.0 * expected_ms) as u64);
@@ -157,7 +159,7 @@
 
     /// Records the first output of an attempt.
     pub fn outputs(&mut self, now: Moment) {
-        self.heard.hear(now);
+        self.last_activity.hear(now);
         self.waiting = self.waiting.saturating_sub(1);
         self.streaming += 1;
     }
@@ -215,7 +217,7 @@
     /// Returns true if this router recently received data from the endpoint.
     #[must_use]
     pub fn is_heard(&self, now: Moment) -> bool {
-        now.since(self.heard.last()) < HEARD_FRESH
+        now.since(self.last_activity.last()) < HEARD_FRESH
     }
 
     /// Returns true if this router has waited for the endpoint for longer than a healthy one takes.
@@ -226,13 +228,13 @@
 
     /// Returns how long the next data from the endpoint has been overdue.
     fn overdue(&self, now: Moment) -> TimeSpan {
-        let heard = self.heard.last();
+        let last_activity = self.last_activity.last();
         let first = match self.expectation {
-            Some(known) if self.waiting > 0 && heard < known.since => now.since(known.by),
+            Some(known) if self.waiting > 0 && last_activity < known.since => now.since(known.by),
             _ => TimeSpan(0),
         };
         let next = if self.streaming > 0 {
-            now.since(heard + STREAM_SILENCE)
+            now.since(last_activity + STREAM_SILENCE)
         } else {
             TimeSpan(0)
         };
