--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -149,8 +149,8 @@
     }
 
     /// Records that data arrived from the endpoint.
-    pub fn hear(&self, now: Moment) {
-        self.last_activity.hear(now);
+    pub fn record_activity(&self, now: Moment) {
+        self.last_activity.record_activity(now);
     }
 }
 
@@ -580,7 +580,7 @@
         match end {
             AttemptEnd::Answered => {
                 row.reached();
-                row.health.last_activity.hear(now);
+                row.health.last_activity.record_activity(now);
                 row.health.count(now, false);
                 let stay = now.since(ticket.placed_at).0 as f64 / 1e3;
                 let mean = self
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -88,7 +88,7 @@
 
 impl ActivityClock {
     /// Records that data arrived from the endpoint.
-    pub fn hear(&self, now: Moment) {
+    pub fn record_activity(&self, now: Moment) {
         self.0.store(now.0, Ordering::Relaxed);
     }
 
@@ -159,7 +159,7 @@
 
     /// Records the first output of an attempt.
     pub fn outputs(&mut self, now: Moment) {
-        self.last_activity.hear(now);
+        self.last_activity.record_activity(now);
         self.waiting = self.waiting.saturating_sub(1);
         self.streaming += 1;
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -163,7 +163,7 @@
         match read_watching(endpoint, caller, ticket, bounds).await {
             Ok(Ok(0)) if start.decoder.end_of_stream() => {}
             Ok(Ok(0)) => return AttemptOutcome::Broken("stream was cut"),
-            Ok(Ok(_)) => ticket.hear(traffic.shared.clock.now()),
+            Ok(Ok(_)) => ticket.record_activity(traffic.shared.clock.now()),
             Ok(Err(_)) => return AttemptOutcome::Broken("stream was reset"),
             Err(Interruption::CallerLeft) => return AttemptOutcome::CallerLeft,
             Err(interruption) => return interruption.outcome(),
