--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -216,7 +216,7 @@
 
     /// Returns true if this router recently received data from the endpoint.
     #[must_use]
-    pub fn is_heard(&self, now: Moment) -> bool {
+    pub fn is_recently_active(&self, now: Moment) -> bool {
         now.since(self.last_activity.last()) < HEARD_FRESH
     }
 
@@ -250,7 +250,7 @@
         if overdue > SILENT_ALONE {
             return true;
         }
-        let nobody_hears = self.told.hearing == 0 && !self.is_heard(now);
+        let nobody_hears = self.told.hearing == 0 && !self.is_recently_active(now);
         let is_missed = overdue > TimeSpan(0) || self.told.silent >= SILENT_TELLERS;
         nobody_hears && is_missed
     }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -411,7 +411,7 @@
     }
     let (attempts, failures) = row.health.telling(now);
     let silent = row.health.is_silent_here(now);
-    let heard = row.health.is_heard(now);
+    let heard = row.health.is_recently_active(now);
     let has_news = row.active > 0 || failures > 0 || silent;
     has_news.then_some(LoadEntry {
         attempts,
