--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -69,7 +69,7 @@
     /// Failed attempts, in hundredths.
     pub failures: u32,
     /// Routers that recently received data from the endpoint.
-    pub hearing: u32,
+    pub receiving: u32,
     /// Routers to which the endpoint is silent.
     pub silent: u32,
 }
@@ -250,7 +250,7 @@
         if overdue > SILENT_ALONE {
             return true;
         }
-        let nobody_hears = self.told.hearing == 0 && !self.is_recently_active(now);
+        let nobody_hears = self.told.receiving == 0 && !self.is_recently_active(now);
         let is_missed = overdue > TimeSpan(0) || self.told.silent >= SILENT_TELLERS;
         nobody_hears && is_missed
     }
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -112,7 +112,7 @@
             let health = &mut sum.health;
             health.attempts = health.attempts.saturating_add(load.attempts);
             health.failures = health.failures.saturating_add(load.failures);
-            health.hearing += u32::from(load.heard);
+            health.receiving += u32::from(load.heard);
             health.silent += u32::from(load.silent);
         }
     }
@@ -127,7 +127,7 @@
             let health = &mut sum.health;
             health.attempts = health.attempts.saturating_sub(load.attempts);
             health.failures = health.failures.saturating_sub(load.failures);
-            health.hearing = health.hearing.saturating_sub(u32::from(load.heard));
+            health.receiving = health.receiving.saturating_sub(u32::from(load.heard));
             health.silent = health.silent.saturating_sub(u32::from(load.silent));
             if *sum == PeerLoad::default() {
                 self.loads.remove(&load.endpoint);
--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -84,7 +84,7 @@
     let mut core = core(2);
     let _waiting = placed(&mut core, ms(1_000), 0);
     let heard = PeerHealth {
-        hearing: 1,
+        receiving: 1,
         ..PeerHealth::default()
     };
     let loads = [told(&core, 0, heard), told(&core, 1, heard)];
@@ -121,7 +121,7 @@
     let failing = PeerHealth {
         attempts: 2_000,
         failures: 1_000,
-        hearing: 5,
+        receiving: 5,
         ..PeerHealth::default()
     };
     let loads = [told(&core, 2, failing)];
@@ -145,7 +145,7 @@
             let health = PeerHealth {
                 attempts: 10_000,
                 failures: *failures,
-                hearing: 5,
+                receiving: 5,
                 ..PeerHealth::default()
             };
             told(&core, index, health)
