--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -184,12 +184,12 @@
     /// Returns the failure rate over all routers' attempts, from 0 to 1.
     #[must_use]
     pub fn failure_rate(&self, now: Moment) -> f64 {
-        let told_failures = f64::from(self.told.failures) / HUNDREDTHS;
-        if self.failures + told_failures <= 0.0 {
+        let peer_failures = f64::from(self.told.failures) / HUNDREDTHS;
+        if self.failures + peer_failures <= 0.0 {
             return 0.0;
         }
         let kept = remaining(self.counted_at, now, HALF_LIFE_US);
-        let failures = self.failures * kept + told_failures;
+        let failures = self.failures * kept + peer_failures;
         let attempts = self.attempts * kept + f64::from(self.told.attempts) / HUNDREDTHS;
         failures / (attempts + PRIOR_ATTEMPTS)
     }
