--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -263,7 +263,7 @@
     pub fn set_peer_loads(&mut self, loads: &BTreeMap<u32, PeerLoad>) {
         for row in self.endpoints.rows_mut() {
             row.peers = loads.get(&row.life).copied().unwrap_or_default();
-            row.health.told = row.peers.health;
+            row.health.peer_reports = row.peers.health;
         }
     }
 
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -103,7 +103,7 @@
     /// When this router last received data from the endpoint.
     pub last_activity: ActivityClock,
     /// The other routers' reports.
-    pub told: PeerHealth,
+    pub peer_reports: PeerHealth,
     attempts: f64,
     failures: f64,
     counted_at: Moment,
@@ -121,7 +121,7 @@
     fn default() -> Self {
         Self {
             last_activity: ActivityClock::default(),
-            told: PeerHealth::default(),
+            peer_reports: PeerHealth::default(),
             attempts: 0.0,
             failures: 0.0,
             counted_at: Moment(0),
@@ -184,13 +184,13 @@
     /// Returns the failure rate over all routers' attempts, from 0 to 1.
     #[must_use]
     pub fn failure_rate(&self, now: Moment) -> f64 {
-        let peer_failures = f64::from(self.told.failures) / HUNDREDTHS;
+        let peer_failures = f64::from(self.peer_reports.failures) / HUNDREDTHS;
         if self.failures + peer_failures <= 0.0 {
             return 0.0;
         }
         let kept = remaining(self.counted_at, now, HALF_LIFE_US);
         let failures = self.failures * kept + peer_failures;
-        let attempts = self.attempts * kept + f64::from(self.told.attempts) / HUNDREDTHS;
+        let attempts = self.attempts * kept + f64::from(self.peer_reports.attempts) / HUNDREDTHS;
         failures / (attempts + PRIOR_ATTEMPTS)
     }
 
@@ -250,8 +250,8 @@
         if overdue > SILENT_ALONE {
             return true;
         }
-        let nobody_hears = self.told.receiving == 0 && !self.is_recently_active(now);
-        let is_missed = overdue > TimeSpan(0) || self.told.silent >= SILENT_TELLERS;
+        let nobody_hears = self.peer_reports.receiving == 0 && !self.is_recently_active(now);
+        let is_missed = overdue > TimeSpan(0) || self.peer_reports.silent >= SILENT_TELLERS;
         nobody_hears && is_missed
     }
 
