--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -36,7 +36,7 @@
 const STREAM_SILENCE: TimeSpan = TimeSpan::from_millis(800);
 
 /// Age up to which received data shows that an endpoint is alive.
-const HEARD_FRESH: TimeSpan = TimeSpan::from_millis(600);
+const ACTIVITY_FRESH: TimeSpan = TimeSpan::from_millis(600);
 
 /// Time overdue after which an endpoint counts as silent to this router even if other routers
 /// receive data from it, as behind a cut link.
@@ -217,7 +217,7 @@
     /// Returns true if this router recently received data from the endpoint.
     #[must_use]
     pub fn is_recently_active(&self, now: Moment) -> bool {
-        now.since(self.last_activity.last()) < HEARD_FRESH
+        now.since(self.last_activity.last()) < ACTIVITY_FRESH
     }
 
     /// Returns true if this router has waited for the endpoint for longer than a healthy one takes.
