--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -40,7 +40,7 @@
 
 /// Time overdue after which an endpoint counts as silent to this router even if other routers
 /// receive data from it, as behind a cut link.
-const SILENT_ALONE: TimeSpan = TimeSpan::from_millis(2_000);
+const SILENT_HERE_AFTER: TimeSpan = TimeSpan::from_millis(2_000);
 
 /// Number of other routers that must report an endpoint as silent before a router that has not
 /// tried it does so too.
@@ -247,7 +247,7 @@
     #[must_use]
     pub fn is_silent(&self, now: Moment) -> bool {
         let overdue = self.overdue(now);
-        if overdue > SILENT_ALONE {
+        if overdue > SILENT_HERE_AFTER {
             return true;
         }
         let nobody_hears = self.peer_reports.receiving == 0 && !self.is_recently_active(now);
