--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -44,7 +44,7 @@
 
 /// Number of other routers that must report an endpoint as silent before a router that has not
 /// tried it does so too.
-const SILENT_TELLERS: u32 = 2;
+const MIN_SILENT_REPORTS: u32 = 2;
 
 /// Weight of a new measurement in the moving average of slowness, which follows the last twenty
 /// answers or so. Slowness is not reported to other routers: with shared sums all routers refused
@@ -251,7 +251,7 @@
             return true;
         }
         let nobody_hears = self.peer_reports.receiving == 0 && !self.is_recently_active(now);
-        let is_missed = overdue > TimeSpan(0) || self.peer_reports.silent >= SILENT_TELLERS;
+        let is_missed = overdue > TimeSpan(0) || self.peer_reports.silent >= MIN_SILENT_REPORTS;
         nobody_hears && is_missed
     }
 
