--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -28,7 +28,7 @@
 /// Silence beyond twice the expected time to the first output after which an endpoint counts as
 /// hung, in ms. It covers one step of a full batch with a long prompt and the delay of a loaded
 /// router.
-const SILENCE_MS: f64 = 300.0;
+const FIRST_OUTPUT_GRACE_MS: f64 = 300.0;
 
 /// Silence in all streams after which an endpoint counts as hung. An engine that prefills long
 /// prompts sends an event every eighth of a second; a preempted stream pauses, but never all
@@ -150,7 +150,8 @@
             .is_none_or(|known| last_activity >= known.since);
         if is_answered || self.waiting + self.streaming == 0 {
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-            let allowance = TimeSpan::from_millis((SILENCE_MS + 2.0 * expected_ms) as u64);
+            let allowance =
+                TimeSpan::from_millis((FIRST_OUTPUT_GRACE_MS + 2.0 * expected_ms) as u64);
             let (since, by) = (now, now + allowance);
             self.expectation = Some(AnswerExpectation { since, by });
         }
