--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -251,9 +251,9 @@
         if overdue > SILENT_HERE_AFTER {
             return true;
         }
-        let nobody_hears = self.peer_reports.receiving == 0 && !self.is_recently_active(now);
+        let nobody_receives = self.peer_reports.receiving == 0 && !self.is_recently_active(now);
         let is_missed = overdue > TimeSpan(0) || self.peer_reports.silent >= MIN_SILENT_REPORTS;
-        nobody_hears && is_missed
+        nobody_receives && is_missed
     }
 
     /// Returns this router's counts for the reports to other routers: attempts, and failures among
