--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -252,8 +252,8 @@
             return true;
         }
         let nobody_receives = self.peer_reports.receiving == 0 && !self.is_recently_active(now);
-        let is_missed = overdue > TimeSpan(0) || self.peer_reports.silent >= MIN_SILENT_REPORTS;
-        nobody_receives && is_missed
+        let is_overdue = overdue > TimeSpan(0) || self.peer_reports.silent >= MIN_SILENT_REPORTS;
+        nobody_receives && is_overdue
     }
 
     /// Returns this router's counts for the reports to other routers: attempts, and failures among
