--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -512,7 +512,8 @@
         row.pending_tokens += placement.uncached;
         // A plain service answers when the request is done; an engine once the prompt is prefilled.
         let stay_ms = if ask.prompt.is_some() { 0.0 } else { hold_ms };
-        row.health.begins(now, placement.first_ms + stay_ms);
+        row.health
+            .attempt_started(now, placement.first_ms + stay_ms);
         if let Some(prompt) = ask.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
             self.sizes.served(&ask.route.name, tokens);
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -143,7 +143,7 @@
 
 impl EndpointHealth {
     /// Records the start of an attempt; `expected_ms` is the predicted time to its first output.
-    pub fn begins(&mut self, now: Moment, expected_ms: f64) {
+    pub fn attempt_started(&mut self, now: Moment, expected_ms: f64) {
         let last_activity = self.last_activity.last();
         let is_answered = self
             .expectation
