--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -548,7 +548,7 @@
             return;
         };
         row.reached();
-        row.health.outputs(now);
+        row.health.first_output_received(now);
         if ticket.queued < MIN_LEARNING_TOKENS || self.is_disturbed {
             return;
         }
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -159,7 +159,7 @@
     }
 
     /// Records the first output of an attempt.
-    pub fn outputs(&mut self, now: Moment) {
+    pub fn first_output_received(&mut self, now: Moment) {
         self.last_activity.record_activity(now);
         self.waiting = self.waiting.saturating_sub(1);
         self.streaming += 1;
