--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -577,7 +577,7 @@
         };
         let was_silent = row.health.is_silent_here(now);
         row.active = row.active.saturating_sub(1);
-        row.health.ends(had_output);
+        row.health.attempt_ended(had_output);
         match end {
             AttemptEnd::Answered => {
                 row.reached();
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -166,7 +166,7 @@
     }
 
     /// Records the end of an attempt.
-    pub fn ends(&mut self, had_output: bool) {
+    pub fn attempt_ended(&mut self, had_output: bool) {
         if had_output {
             self.streaming = self.streaming.saturating_sub(1);
         } else {
