--- a/src/gateway/decide/accounts.rs
+++ b/src/gateway/decide/accounts.rs
@@ -12,7 +12,7 @@
 
 /// Most teams in a log line, those with the highest demand first. More teams than exceed their
 /// shares at a time, and few enough for a line of one kilobyte.
-const LINE_TEAMS: usize = 16;
+const MAX_TEAMS_LOGGED: usize = 16;
 
 /// Counts of one team.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -83,7 +83,7 @@
             "teams={} largest={largest:.0} flows=",
             rows.len()
         )?;
-        for (index, (team, account)) in rows.iter().take(LINE_TEAMS).enumerate() {
+        for (index, (team, account)) in rows.iter().take(MAX_TEAMS_LOGGED).enumerate() {
             let TeamAccount { asked, sent, short } = account;
             let comma = if index == 0 { "" } else { "," };
             write!(formatter, "{comma}{team}:{asked:.0}:{sent:.0}:{short}")?;
