--- a/src/gateway/decide/capacity.rs
+++ b/src/gateway/decide/capacity.rs
@@ -19,7 +19,7 @@
 /// Weight of a sample of the served rate, taken every tenth of a second, while the fleet is
 /// saturated. The samples are already averages over seconds; the moving average only keeps single
 /// samples from shifting all shares.
-const LOOK_WEIGHT: f64 = 0.2;
+const SAMPLE_WEIGHT: f64 = 0.2;
 
 /// Demand, service and refusals of all routers together, in tokens per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -52,7 +52,7 @@
             (None, false) => None,
             (limit, true) => {
                 let limit = limit.unwrap_or(published);
-                Some(limit + LOOK_WEIGHT * (flow.served - limit))
+                Some(limit + SAMPLE_WEIGHT * (flow.served - limit))
             }
             // A fleet that serves more than its limit without refusals has a higher capacity.
             (Some(limit), false) => {
