--- a/src/gateway/decide/capacity.rs
+++ b/src/gateway/decide/capacity.rs
@@ -37,7 +37,7 @@
 pub struct CapacityEstimate {
     /// The rate that the fleet serves, while it is below the published rate.
     limit: Option<f64>,
-    looked_at: Moment,
+    sampled_at: Moment,
 }
 
 impl CapacityEstimate {
@@ -45,8 +45,8 @@
     /// routers.
     pub fn rate(&mut self, now: Moment, published: f64, flow: FleetFlow) -> f64 {
         #[allow(clippy::cast_precision_loss)]
-        let passed_s = now.since(self.looked_at).0 as f64 / 1e6;
-        self.looked_at = now;
+        let passed_s = now.since(self.sampled_at).0 as f64 / 1e6;
+        self.sampled_at = now;
         let is_saturated = flow.turned_away > SATURATED_PART * flow.asked;
         self.limit = match (self.limit, is_saturated) {
             (None, false) => None,
