--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -30,7 +30,10 @@
 
 /// Returns the teams whose demand is above the level, both over the share window and in the last
 /// moments.
-pub fn pressing(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> impl Iterator<Item = &TeamFlow> {
+pub fn teams_above_level(
+    level: f64,
+    flows: &BTreeMap<u64, TeamFlow>,
+) -> impl Iterator<Item = &TeamFlow> {
     let flows = flows.values();
     flows.filter(move |flow| flow.asked > level && flow.asked_lately > level)
 }
@@ -46,7 +49,7 @@
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn spare_level(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> Option<f64> {
-    let beyond: Vec<f64> = pressing(level, flows)
+    let beyond: Vec<f64> = teams_above_level(level, flows)
         .map(|flow| (flow.served - level).max(0.0))
         .collect();
     if beyond.len() < 2 {
@@ -63,7 +66,7 @@
 /// such a team got twice the level while another one got the level.
 #[must_use]
 pub fn least_served(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> f64 {
-    let served = pressing(level, flows).map(|flow| flow.served);
+    let served = teams_above_level(level, flows).map(|flow| flow.served);
     let least = served.fold(f64::INFINITY, f64::min);
     least.max(level)
 }
