--- a/src/gateway/decide/departures.rs
+++ b/src/gateway/decide/departures.rs
@@ -12,7 +12,7 @@
 use crate::units::TimeSpan;
 
 /// Time for which a departure is reported: longer than a full link delays an endpoint list.
-const TELLING_TIME: TimeSpan = TimeSpan::from_millis(10_000);
+const DEPARTURE_REPORT_TIME: TimeSpan = TimeSpan::from_millis(10_000);
 
 /// Most departures in one message: 160 bytes of it. If more endpoints leave within ten seconds, the
 /// latest ones are reported.
@@ -37,7 +37,8 @@
 
     /// Returns the departures to report to other routers, latest first.
     pub fn telling(&mut self, now: Moment) -> Vec<u32> {
-        self.left.retain(|_, at| now.since(*at) < TELLING_TIME);
+        self.left
+            .retain(|_, at| now.since(*at) < DEPARTURE_REPORT_TIME);
         let mut latest: Vec<(Moment, u32)> =
             self.left.iter().map(|(life, at)| (*at, *life)).collect();
         latest.sort_unstable_by(|left, right| right.cmp(left));
