--- a/src/gateway/decide/departures.rs
+++ b/src/gateway/decide/departures.rs
@@ -16,7 +16,7 @@
 
 /// Most departures in one message: 160 bytes of it. If more endpoints leave within ten seconds, the
 /// latest ones are reported.
-const MOST_TOLD: usize = 32;
+const MAX_DEPARTURES_REPORTED: usize = 32;
 
 /// Endpoints that left recently, keyed by the numbers of their processes.
 #[derive(Debug, Default)]
@@ -42,7 +42,7 @@
         let mut latest: Vec<(Moment, u32)> =
             self.left.iter().map(|(life, at)| (*at, *life)).collect();
         latest.sort_unstable_by(|left, right| right.cmp(left));
-        latest.truncate(MOST_TOLD);
+        latest.truncate(MAX_DEPARTURES_REPORTED);
         latest.into_iter().map(|(_, life)| life).collect()
     }
 }
