--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -60,7 +60,7 @@
 /// may not run elsewhere wait there until their callers give up, seconds later. Work that arrives
 /// before the first caller gives up must already go elsewhere.
 #[test]
-fn a_dark_engine_gets_no_more_work_after_half_a_second() {
+fn a_hung_engine_gets_no_more_work_after_half_a_second() {
     let mut core = core(2);
     let dark = placed(&mut core, ms(1_000), 0).entry.key;
     let mut here = 0;
