--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -62,13 +62,13 @@
 #[test]
 fn a_hung_engine_gets_no_more_work_after_half_a_second() {
     let mut core = core(2);
-    let dark = placed(&mut core, ms(1_000), 0).entry.key;
+    let hung = placed(&mut core, ms(1_000), 0).entry.key;
     let mut here = 0;
     for number in 1..40 {
         let now = ms(1_600 + number * 50);
         let mut ticket = placed(&mut core, now, number);
-        here += usize::from(ticket.entry.key == dark);
-        if ticket.entry.key != dark {
+        here += usize::from(ticket.entry.key == hung);
+        if ticket.entry.key != hung {
             core.first_output(now, &mut ticket);
             core.ended(now, ticket, AttemptEnd::Answered);
         }
