--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -80,7 +80,7 @@
 /// know of yet, and they receive data from it. If it counted as hung, its work would go to the
 /// other engines, which then would be late in turn, until all engines seem hung.
 #[test]
-fn a_busy_engine_that_others_hear_from_is_used() {
+fn a_busy_engine_that_answers_other_routers_is_used() {
     let mut core = core(2);
     let _waiting = placed(&mut core, ms(1_000), 0);
     let heard = PeerHealth {
