--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -99,7 +99,7 @@
 /// Two routers report an engine as silent. A third one that has sent it nothing for a while must
 /// not find out for itself at the cost of a caller; in a fleet of a hundred routers each would.
 #[test]
-fn a_router_takes_the_word_of_two_others_for_silence() {
+fn an_engine_that_two_routers_report_as_silent_is_not_used() {
     let mut core = core(2);
     let silent = PeerHealth {
         silent: 2,
