--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -116,7 +116,7 @@
 /// An engine resets half of its requests, and each router sees one of them every few seconds. Their
 /// combined reports must show it at once.
 #[test]
-fn failures_that_others_saw_count() {
+fn failures_reported_by_other_routers_count() {
     let mut core = core(3);
     let failing = PeerHealth {
         attempts: 2_000,
