--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -164,7 +164,7 @@
 /// A router's own links to the engines are cut. Its reports that all of them are silent must not
 /// reach the other routers.
 #[test]
-fn a_router_with_cut_links_is_not_trustworthy() {
+fn a_router_with_cut_links_reports_no_health() {
     let mut core = core(4);
     for number in 0..8 {
         let _waiting = placed(&mut core, ms(1_000 + number), number);
