--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -208,7 +208,7 @@
 
 /// The same host knows that its link is full: the delay that it measures is its own.
 #[test]
-fn a_disturbed_router_blames_no_endpoint() {
+fn a_disturbed_router_holds_its_delay_against_no_endpoint() {
     let mut core = core(1);
     core.set_disturbed(true);
     let end = late_outputs(&mut core, 60, 6.0, 1_000);
