--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -48,7 +48,7 @@
     core.endpoints.rows().nth(index).unwrap().entry.key.clone()
 }
 
-fn told(core: &GatewayCore, index: usize, health: PeerHealth) -> (u32, PeerLoad) {
+fn peer_report(core: &GatewayCore, index: usize, health: PeerHealth) -> (u32, PeerLoad) {
     let load = PeerLoad {
         health,
         ..PeerLoad::default()
@@ -87,7 +87,7 @@
         receiving: 1,
         ..PeerHealth::default()
     };
-    let loads = [told(&core, 0, heard), told(&core, 1, heard)];
+    let loads = [peer_report(&core, 0, heard), peer_report(&core, 1, heard)];
     core.set_peer_loads(&loads.into_iter().collect());
     let mut used = std::collections::BTreeSet::new();
     for number in 1..20 {
@@ -105,7 +105,7 @@
         silent: 2,
         ..PeerHealth::default()
     };
-    let loads = [told(&core, 0, silent)];
+    let loads = [peer_report(&core, 0, silent)];
     core.set_peer_loads(&loads.into_iter().collect());
     for number in 0..20 {
         let ticket = placed(&mut core, ms(5_000 + number), number);
@@ -124,7 +124,7 @@
         receiving: 5,
         ..PeerHealth::default()
     };
-    let loads = [told(&core, 2, failing)];
+    let loads = [peer_report(&core, 2, failing)];
     core.set_peer_loads(&loads.into_iter().collect());
     for number in 0..30 {
         let ticket = placed(&mut core, ms(5_000 + number), number);
@@ -148,7 +148,7 @@
                 receiving: 5,
                 ..PeerHealth::default()
             };
-            told(&core, index, health)
+            peer_report(&core, index, health)
         })
         .collect();
     core.set_peer_loads(&loads.into_iter().collect());
