--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -83,11 +83,14 @@
 fn a_busy_engine_that_answers_other_routers_is_used() {
     let mut core = core(2);
     let _waiting = placed(&mut core, ms(1_000), 0);
-    let heard = PeerHealth {
+    let receiving_report = PeerHealth {
         receiving: 1,
         ..PeerHealth::default()
     };
-    let loads = [peer_report(&core, 0, heard), peer_report(&core, 1, heard)];
+    let loads = [
+        peer_report(&core, 0, receiving_report),
+        peer_report(&core, 1, receiving_report),
+    ];
     core.set_peer_loads(&loads.into_iter().collect());
     let mut used = std::collections::BTreeSet::new();
     for number in 1..20 {
