--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -60,7 +60,7 @@
 /// engines, each engine prefills the part, and the engines' time goes into prefilling the same
 /// tokens again.
 #[test]
-fn routers_that_never_spoke_send_a_shared_part_to_the_same_engine() {
+fn routers_without_contact_send_a_shared_part_to_the_same_engine() {
     let (mut one, mut other) = (three_engines(), three_engines());
     for part in 1..50 {
         let prompt = prompt(part, 4_900, 100);
