--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -282,7 +282,7 @@
 
 /// Guards against naming an engine to fetch from where the service's engines can't fetch.
 #[test]
-fn engines_that_can_not_fetch_are_told_of_no_holder() {
+fn no_holder_is_named_for_engines_that_can_not_fetch() {
     let mut core = three_engines();
     let (route, service) = (route("plans", 800), "engine".parse().unwrap());
     let shape = engine_service();
