--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -32,7 +32,7 @@
 /// One endpoint is registered as leaving, one is no longer registered, and one has restarted. A
 /// router with an older list must send nothing to these three and still use the others.
 #[test]
-fn what_left_is_told_however_it_left() {
+fn departures_are_reported_however_the_endpoint_left() {
     let all = endpoints("engine", 5);
     let (mut reading, mut other) = (router_with(&all), router_with(&all));
     let mut newer = all.clone();
