--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -53,7 +53,7 @@
 
 /// An endpoint whose registration was missing for a moment must no longer be reported as departed.
 #[test]
-fn what_came_back_is_told_no_longer() {
+fn an_endpoint_that_returned_is_no_longer_reported() {
     let all = endpoints("engine", 2);
     let mut core = router_with(&all);
     core.set_endpoints(ms(100), &BTreeMap::new());
