--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -75,7 +75,7 @@
 /// A router that lags has an older list. Its reports of departures must not override a newer list,
 /// nor may those of a router that is gone.
 #[test]
-fn only_live_routers_with_a_newer_list_are_believed() {
+fn departures_count_only_from_live_routers_with_a_newer_list() {
     let mut peers = PeerTable::default();
     let peer: IpAddr = "10.0.0.2".parse().unwrap();
     let digest = RouterDigest {
