--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -99,7 +99,7 @@
     let all = endpoints("engine", 3);
     let mut core = router_with(&all);
     let mut entries = all.values();
-    let (leaving, gone, told_gone) = (
+    let (leaving, gone, reported_gone) = (
         entries.next().unwrap(),
         entries.next().unwrap(),
         entries.next().unwrap(),
@@ -112,7 +112,7 @@
     newer.get_mut(&leaving.key).unwrap().state = EndpointState::Leaving;
     newer.remove(&gone.key);
     core.set_endpoints(ms(100), &newer);
-    let life = core.endpoints.get(&told_gone.key).unwrap().life;
+    let life = core.endpoints.get(&reported_gone.key).unwrap().life;
     core.endpoints
         .set_reported_departures(&BTreeSet::from([life]));
     assert!(
