--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -25,7 +25,7 @@
     Moment(millis * 1_000)
 }
 
-fn told(core: &mut GatewayCore, now: Moment) -> BTreeSet<u32> {
+fn reported(core: &mut GatewayCore, now: Moment) -> BTreeSet<u32> {
     core.endpoints.departures.telling(now).into_iter().collect()
 }
 
@@ -41,7 +41,7 @@
     entries.next().unwrap().state = EndpointState::Leaving;
     entries.next().unwrap().born = EndpointBirth(7);
     reading.set_endpoints(ms(100), &newer);
-    let left = told(&mut reading, ms(200));
+    let left = reported(&mut reading, ms(200));
     assert_eq!(left.len(), 3);
     other.endpoints.set_reported_departures(&left);
     assert_eq!(ready(&other, ms(200)), 2);
@@ -57,9 +57,9 @@
     let all = endpoints("engine", 2);
     let mut core = router_with(&all);
     core.set_endpoints(ms(100), &BTreeMap::new());
-    assert_eq!(told(&mut core, ms(100)).len(), 2);
+    assert_eq!(reported(&mut core, ms(100)).len(), 2);
     core.set_endpoints(ms(200), &all);
-    assert!(told(&mut core, ms(200)).is_empty());
+    assert!(reported(&mut core, ms(200)).is_empty());
 }
 
 /// A fleet replaces hundreds of endpoints at once. Messages must stay small, and after ten seconds
@@ -68,8 +68,8 @@
 fn departures_take_little_of_a_message() {
     let mut core = router_with(&endpoints("engine", 300));
     core.set_endpoints(ms(100), &BTreeMap::new());
-    assert_eq!(told(&mut core, ms(200)).len(), 32);
-    assert!(told(&mut core, ms(10_100)).is_empty());
+    assert_eq!(reported(&mut core, ms(200)).len(), 32);
+    assert!(reported(&mut core, ms(10_100)).is_empty());
 }
 
 /// A router that lags has an older list. Its reports of departures must not override a newer list,
