--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -194,7 +194,7 @@
     ///
     /// Guards against an endpoint that restarts under its key: the queue, cache and failures of the
     /// former process are gone, and calls waiting for that process would wait in vain. The new
-    /// process gets a fresh row, and attempts at the former one are cancelled. Returns the former
+    /// process gets a fresh row, and attempts at the former one are notified. Returns the former
     /// processes that were replaced.
     pub fn replace(
         &mut self,
