--- a/src/gateway/decide/accounts.rs
+++ b/src/gateway/decide/accounts.rs
@@ -49,7 +49,7 @@
     }
 
     /// Counts a request that was refused or had no output in time.
-    pub fn fall_short(&mut self, team: &TeamKey) {
+    pub fn count_unserved(&mut self, team: &TeamKey) {
         self.row(team).short += 1;
     }
 
--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -288,7 +288,7 @@
     /// demand that routers can handle: the part of a share assigned to a late router is lost.
     pub fn refused_late(&mut self, team: &TeamKey, prompt: &PromptShape) {
         self.accounts.ask(team, prompt.share_tokens());
-        self.accounts.fall_short(team);
+        self.accounts.count_unserved(team);
     }
 
     /// Takes one retry from the fleet's budget. Returns false if the budget is used up.
@@ -339,7 +339,7 @@
 
     /// Counts a team's request that was refused or had no output in time.
     pub fn fell_short(&mut self, team: &TeamKey) {
-        self.accounts.fall_short(team);
+        self.accounts.count_unserved(team);
     }
 
     /// Logs the teams' demand, sent tokens and failed requests since the last log line.
--- a/tests/share_margins.rs
+++ b/tests/share_margins.rs
@@ -61,7 +61,7 @@
     accounts.ask(&team, 900.0);
     accounts.ask(&team, 100.0);
     accounts.send(&team, 100.0);
-    accounts.fall_short(&team);
+    accounts.count_unserved(&team);
     let line = accounts.take().unwrap().to_string();
     assert_eq!(line, "teams=1 largest=900 flows=hule:a:1000:100:1");
     assert!(accounts.take().is_none(), "it was taken");
