--- a/src/gateway/call_record.rs
+++ b/src/gateway/call_record.rs
@@ -65,7 +65,7 @@
     if let (Some(team), Some(_)) = (&call.team, prompt)
         && fell_short(call, end)
     {
-        traffic.shared.core().fell_short(team);
+        traffic.shared.core().record_unserved(team);
     }
     let DecisionFacts {
         predicted_ms,
--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -338,7 +338,7 @@
     }
 
     /// Counts a team's request that was refused or had no output in time.
-    pub fn fell_short(&mut self, team: &TeamKey) {
+    pub fn record_unserved(&mut self, team: &TeamKey) {
         self.accounts.count_unserved(team);
     }
 
