--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -77,7 +77,7 @@
     /// What the endpoint process announced about itself in its answers.
     words: EndpointWords,
     /// Consecutive failed connections.
-    refused: u32,
+    failed_connections: u32,
     /// When this router last sent each shared prompt part to the endpoint.
     pub parts: BTreeMap<u64, Moment>,
 }
@@ -100,7 +100,7 @@
             used_until: None,
             is_reported_departed: false,
             words: EndpointWords::default(),
-            refused: 0,
+            failed_connections: 0,
             parts: BTreeMap::new(),
         }
     }
@@ -153,8 +153,8 @@
 
     /// Records a failed connection: pauses the endpoint with exponential backoff.
     pub fn not_reached(&mut self, now: Moment) {
-        let pause = FIRST_PAUSE_MS << self.refused.min(8);
-        self.refused += 1;
+        let pause = FIRST_PAUSE_MS << self.failed_connections.min(8);
+        self.failed_connections += 1;
         self.paused_until = now + TimeSpan::from_millis(pause.min(LONGEST_PAUSE_MS));
     }
 
@@ -166,7 +166,7 @@
 
     /// Records that the endpoint answered: resets the backoff.
     pub fn reached(&mut self) {
-        self.refused = 0;
+        self.failed_connections = 0;
     }
 
     /// Records that the endpoint reported that it is full: pauses it briefly.
