--- a/tests/gateway_capacity.rs
+++ b/tests/gateway_capacity.rs
@@ -41,8 +41,8 @@
 fn a_saturated_fleet_shares_what_it_serves() {
     let mut capacity = CapacityEstimate::default();
     let mut rate = 0.0;
-    for look in 1..50 {
-        rate = capacity.rate(ms(look * 100), PUBLISHED, flow(2e6, 9e5, 1e6));
+    for sample in 1..50 {
+        rate = capacity.rate(ms(sample * 100), PUBLISHED, flow(2e6, 9e5, 1e6));
     }
     assert!((8e5..1e6).contains(&rate), "{rate}");
 }
@@ -56,12 +56,12 @@
     let first = capacity.rate(ms(200), PUBLISHED, flow(1.2e5, 4.5e4, 7.9e4));
     assert!(first > 0.5 * PUBLISHED, "{first}");
     let mut rate = first;
-    for look in 1..10_u32 {
-        let part = f64::from(look) / 10.0;
+    for sample in 1..10_u32 {
+        let part = f64::from(sample) / 10.0;
         let served = part * PUBLISHED;
         let asked = 2.0 * served;
         rate = capacity.rate(
-            ms(200 + 100 * u64::from(look)),
+            ms(200 + 100 * u64::from(sample)),
             PUBLISHED,
             flow(asked, served, 7.9e4),
         );
@@ -93,8 +93,8 @@
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
     let mut capacity = CapacityEstimate::default();
     let mut turned = (0, 0);
-    for look in 1..60_u64 {
-        let now = ms(look * 100);
+    for sample in 1..60_u64 {
+        let now = ms(sample * 100);
         match shares.ask(now, &small, 5_000.0) {
             ShareStanding::Within => shares.serve(now, &small, 5_000.0),
             ShareStanding::Beyond(_) => turned.0 += 1,
