--- a/tests/gateway_capacity.rs
+++ b/tests/gateway_capacity.rs
@@ -74,11 +74,11 @@
 fn a_fleet_that_has_recovered_shares_the_published_rate_again() {
     let mut capacity = CapacityEstimate::default();
     capacity.rate(ms(100), PUBLISHED, flow(2e6, 9e5, 1e6));
-    let mut looks = 0;
+    let mut samples = 0;
     while capacity.limit().is_some() {
-        looks += 1;
-        assert!(looks < 60, "{:?}", capacity.limit());
-        capacity.rate(ms(100 + looks * 100), PUBLISHED, flow(1e6, 1e6, 0.0));
+        samples += 1;
+        assert!(samples < 60, "{:?}", capacity.limit());
+        capacity.rate(ms(100 + samples * 100), PUBLISHED, flow(1e6, 1e6, 0.0));
     }
 }
 
