--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -268,13 +268,13 @@
     }
 
     /// Counts an arriving call and returns how it stands to its team's share.
-    pub fn arrived(&mut self, now: Moment, ask: &AdmissionRequest<'_>) -> ShareStanding {
-        self.budget.request(now, ask.service);
-        if let Some(prompt) = ask.prompt {
+    pub fn arrived(&mut self, now: Moment, request: &AdmissionRequest<'_>) -> ShareStanding {
+        self.budget.request(now, request.service);
+        if let Some(prompt) = request.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.asked(now, &ask.route.name, tokens);
+            self.sizes.asked(now, &request.route.name, tokens);
         }
-        match (ask.team, ask.prompt) {
+        match (request.team, request.prompt) {
             (Some(team), Some(prompt)) => {
                 let tokens = prompt.share_tokens();
                 self.accounts.ask(team, tokens);
@@ -376,27 +376,27 @@
     pub fn admit(
         &mut self,
         now: Moment,
-        ask: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         standing: ShareStanding,
     ) -> Admission {
-        if let Some(retry_after) = self.quarantine.refused_for(now, ask.fingerprint) {
+        if let Some(retry_after) = self.quarantine.refused_for(now, request.fingerprint) {
             return Admission::Refuse {
                 cause: RefusalCause::Quarantined,
                 retry_after,
                 expected_ms: 0.0,
             };
         }
-        let engine = ask.shape.and_then(|shape| shape.engine);
-        let Some(placement) = self.placed(now, ask, engine) else {
-            return self.refuse_without_endpoint(now, ask.service);
+        let engine = request.shape.and_then(|shape| shape.engine);
+        let Some(placement) = self.placed(now, request, engine) else {
+            return self.refuse_without_endpoint(now, request.service);
         };
-        let limit = self.limit_ms(ask, standing, placement.alone_ms);
+        let limit = self.limit_ms(request, standing, placement.alone_ms);
         #[allow(clippy::cast_precision_loss)]
-        let expected = ask.waited.0 as f64 / 1e3 + placement.first_ms;
+        let expected = request.waited.0 as f64 / 1e3 + placement.first_ms;
         if expected > limit {
             let cause = match standing {
                 ShareStanding::Within => {
-                    let tokens = ask.prompt.map_or(0.0, PromptShape::share_tokens);
+                    let tokens = request.prompt.map_or(0.0, PromptShape::share_tokens);
                     self.shares.turn_away(now, tokens);
                     RefusalCause::Overload
                 }
@@ -408,7 +408,7 @@
                 expected_ms: expected,
             };
         }
-        self.ticket(now, ask, &placement)
+        self.ticket(now, request, &placement)
     }
 
     /// Refuses a call that no endpoint can take. The caller should retry when the first pause ends:
@@ -432,20 +432,20 @@
     fn placed(
         &self,
         now: Moment,
-        ask: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         engine: Option<EngineShape>,
     ) -> Option<Placement> {
         let model = EngineModel {
             tokens_per_ms: self.prefill_tokens_per_ms,
-            hold_ms: self.hold_ms(ask.service),
+            hold_ms: self.hold_ms(request.service),
         };
         let placement_ask = PlacementAsk {
-            prompt: ask.prompt.filter(|_| engine.is_some()),
+            prompt: request.prompt.filter(|_| engine.is_some()),
             engine,
-            tried: ask.tried,
+            tried: request.tried,
             domain: &self.domain,
         };
-        let rows: Vec<_> = self.endpoints.of_service(ask.service).collect();
+        let rows: Vec<_> = self.endpoints.of_service(request.service).collect();
         placement::place(&rows, &placement_ask, &model, now)
     }
 
@@ -459,17 +459,22 @@
     /// Prefilling a long prompt may take its whole objective on an idle engine. When the size table
     /// grants it a turn, its own prefill time does not count against the limit.
     #[allow(clippy::cast_precision_loss)]
-    fn limit_ms(&self, ask: &AdmissionRequest<'_>, standing: ShareStanding, alone_ms: f64) -> f64 {
-        let objective = ask.route.objective_ms as f64;
+    fn limit_ms(
+        &self,
+        request: &AdmissionRequest<'_>,
+        standing: ShareStanding,
+        alone_ms: f64,
+    ) -> f64 {
+        let objective = request.route.objective_ms as f64;
         let part = match standing {
             ShareStanding::Within => self.config.objective_part,
             ShareStanding::Beyond(served) => self.objective_part_over_share(served),
         };
-        let left = ask.left.0 as f64 / 1e3;
+        let left = request.left.0 as f64 / 1e3;
         let mut limit = objective * part;
-        let has_turn = ask.prompt.is_some_and(|prompt| {
+        let has_turn = request.prompt.is_some_and(|prompt| {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.has_turn(&ask.route.name, tokens)
+            self.sizes.has_turn(&request.route.name, tokens)
         });
         if has_turn && standing == ShareStanding::Within {
             limit = limit.max(alone_ms + objective * self.config.long_wait_part);
@@ -497,10 +502,10 @@
     fn ticket(
         &mut self,
         now: Moment,
-        ask: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         placement: &Placement,
     ) -> Admission {
-        let hold_ms = self.hold_ms(ask.service);
+        let hold_ms = self.hold_ms(request.service);
         let Some(row) = self.endpoints.get_mut(&placement.endpoint) else {
             return Admission::Refuse {
                 cause: RefusalCause::NoEndpoint,
@@ -511,13 +516,17 @@
         row.active += 1;
         row.pending_tokens += placement.uncached;
         // A plain service answers when the request is done; an engine once the prompt is prefilled.
-        let stay_ms = if ask.prompt.is_some() { 0.0 } else { hold_ms };
+        let stay_ms = if request.prompt.is_some() {
+            0.0
+        } else {
+            hold_ms
+        };
         row.health
             .attempt_started(now, placement.first_ms + stay_ms);
-        if let Some(prompt) = ask.prompt {
+        if let Some(prompt) = request.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.served(&ask.route.name, tokens);
-            if let Some(team) = ask.team {
+            self.sizes.served(&request.route.name, tokens);
+            if let Some(team) = request.team {
                 let tokens = prompt.share_tokens();
                 self.accounts.send(team, tokens);
                 self.shares.serve(now, team, tokens);
