--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -387,7 +387,7 @@
             };
         }
         let engine = request.shape.and_then(|shape| shape.engine);
-        let Some(placement) = self.placed(now, request, engine) else {
+        let Some(placement) = self.find_placement(now, request, engine) else {
             return self.refuse_without_endpoint(now, request.service);
         };
         let limit = self.limit_ms(request, standing, placement.alone_ms);
@@ -429,7 +429,7 @@
         }
     }
 
-    fn placed(
+    fn find_placement(
         &self,
         now: Moment,
         request: &AdmissionRequest<'_>,
