--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -260,7 +260,7 @@
     /// them, in hundredths.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn telling(&self, now: Moment) -> (u32, u32) {
+    pub fn counts_to_report(&self, now: Moment) -> (u32, u32) {
         let kept = HUNDREDTHS * remaining(self.counted_at, now, HALF_LIFE_US);
         ((self.attempts * kept) as u32, (self.failures * kept) as u32)
     }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -409,7 +409,7 @@
     if !trusts_itself {
         return (row.active > 0).then_some(load);
     }
-    let (attempts, failures) = row.health.telling(now);
+    let (attempts, failures) = row.health.counts_to_report(now);
     let silent = row.health.is_silent_here(now);
     let heard = row.health.is_recently_active(now);
     let has_news = row.active > 0 || failures > 0 || silent;
