--- a/src/gateway/decide/departures.rs
+++ b/src/gateway/decide/departures.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the departures to report to other routers, latest first.
-    pub fn telling(&mut self, now: Moment) -> Vec<u32> {
+    pub fn departures_to_report(&mut self, now: Moment) -> Vec<u32> {
         self.left
             .retain(|_, at| now.since(*at) < DEPARTURE_REPORT_TIME);
         let mut latest: Vec<(Moment, u32)> =
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -227,7 +227,7 @@
         let suspects = core.quarantine.telling(now);
         let turned_away = core.shares.turned_away_per_s(now);
         let flows = core.shares.flows(now);
-        let left = core.endpoints.departures.telling(now);
+        let left = core.endpoints.departures.departures_to_report(now);
         let announced_leaving = core.endpoints.leaving_to_report(now);
         let trusts_itself = core.endpoints.is_health_reportable(now) && !core.is_disturbed();
         let loads = core.endpoints.rows();
--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -26,7 +26,11 @@
 }
 
 fn reported(core: &mut GatewayCore, now: Moment) -> BTreeSet<u32> {
-    core.endpoints.departures.telling(now).into_iter().collect()
+    core.endpoints
+        .departures
+        .departures_to_report(now)
+        .into_iter()
+        .collect()
 }
 
 /// One endpoint is registered as leaving, one is no longer registered, and one has restarted. A
