--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -17,7 +17,7 @@
 /// its demand is known; compensated in full, it would get a tenth of its share for a whole window.
 /// The upper bound keeps routers that could not serve a team from making the other routers flood.
 const MIN_CORRECTION: f64 = 0.6;
-const MOST_CORRECTION: f64 = 1.3;
+const MAX_CORRECTION: f64 = 1.3;
 
 /// Least allowance beyond the share of a team above the level, as a fraction of the share. Less
 /// would leave endpoints idle that were full a moment ago.
@@ -82,7 +82,7 @@
     let ratio = level / served.max(1.0);
     ratio
         .powf(CORRECTION_POWER)
-        .clamp(MIN_CORRECTION, MOST_CORRECTION)
+        .clamp(MIN_CORRECTION, MAX_CORRECTION)
 }
 
 /// Returns the max-min fair level: the limit per demand at which all demands together get `rate`;
