--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -21,7 +21,7 @@
 
 /// Least allowance beyond the share of a team above the level, as a fraction of the share. Less
 /// would leave endpoints idle that were full a moment ago.
-const LEAST_SPARE: f64 = 0.5;
+const MIN_SPARE: f64 = 0.5;
 
 /// Allowance beyond the share relative to the mean of what the teams above the level got beyond it.
 /// The excess over 1 lets the fleet find out that endpoints can do more, and makes up for
@@ -56,7 +56,7 @@
         return None;
     }
     let mean = beyond.iter().sum::<f64>() / beyond.len() as f64;
-    Some((SPARE_GROWTH * mean).max(LEAST_SPARE * level))
+    Some((SPARE_GROWTH * mean).max(MIN_SPARE * level))
 }
 
 /// Returns the service of the least served team above the level, at least the level.
