--- a/src/gateway/decide/accounts.rs
+++ b/src/gateway/decide/accounts.rs
@@ -2,8 +2,8 @@
 //!
 //! Load pattern: a few teams exceed their shares through many routers, and an operator later needs
 //! to know what each of them got in which second. Rates over the share window can't be split into
-//! seconds again, and log lines of single calls are dropped when there are most calls; exact counts
-//! per second can be summed over all routers.
+//! seconds again, and log lines of single calls are left out at peak load; exact counts per second
+//! can be summed over all routers.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -43,7 +43,7 @@
 const LEARNING_WEIGHT: f64 = 0.08;
 
 /// Queued prompt tokens below which the time to the first token says nothing about prefill speed,
-/// so that it is not learned from.
+/// so nothing is learned from it.
 const MIN_LEARNING_TOKENS: f64 = 2_000.0;
 
 /// Interval between two log lines with the teams' counts.
