--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -1,4 +1,4 @@
-//! The decision core of a gateway router: tables, and what happens to them.
+//! The decision core of a gateway router: its tables and the operations on them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 use super::capacity::FleetFlow;
 use super::endpoints::EndpointTable;
 use super::endpoints::PeerLoad;
-use super::health::HeardClock;
+use super::health::ActivityClock;
 use super::placement;
 use super::placement::EngineModel;
 use super::placement::Placement;
@@ -38,59 +38,61 @@
 use super::shares::TeamFlow;
 use super::sizes::SizeTable;
 
-/// Weight of a new measurement in a service's mean stay: about twenty answers change it, a second
-/// or two of usual traffic.
+/// Weight of a new measurement in the moving average of a service's request duration: it follows
+/// the last twenty answers or so, a second or two of usual traffic.
 const LEARNING_WEIGHT: f64 = 0.08;
 
-/// Prompt tokens below which the time to a first token says nothing about reading speed.
-const LEARNING_TOKENS: f64 = 2_000.0;
+/// Queued prompt tokens below which the time to the first token says nothing about prefill speed,
+/// so nothing is learned from it.
+const MIN_LEARNING_TOKENS: f64 = 2_000.0;
 
-/// Pause between two accounts of teams in the log.
-const TEAM_ACCOUNT: TimeSpan = TimeSpan::from_millis(1_000);
+/// Interval between two log lines with the teams' counts.
+const TEAM_LOG_INTERVAL: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// Teams held to their shares that get lines: those that are asked most of. A few flood at a time.
-const ACCOUNT_TEAMS: usize = 4;
+/// Most teams over their share that are logged, those with the highest demand first. Only a few
+/// flood at a time.
+const MAX_LIMITED_TEAMS_LOGGED: usize = 4;
 
-/// What a call asks of the core.
+/// A call that asks to be admitted.
 #[derive(Debug)]
-pub struct CallAsk<'a> {
+pub struct AdmissionRequest<'a> {
     /// The call's route.
     pub route: &'a RouteEntry,
-    /// The service chosen for it.
+    /// The service chosen for the call.
     pub service: &'a ServiceKey,
-    /// The published figures of the service.
+    /// The published settings of the service.
     pub shape: Option<&'a ServiceEntry>,
     /// The caller's team.
     pub team: Option<&'a TeamKey>,
-    /// The prompt, for model engines.
+    /// The prompt, if the service runs model engines.
     pub prompt: Option<&'a PromptShape>,
-    /// Endpoints that were tried already.
+    /// Endpoints that were already tried for this call.
     pub tried: &'a [EndpointKey],
-    /// What the request asks, to recognise its resends.
+    /// Hash of the request's content, to recognise its resends.
     pub fingerprint: RequestFingerprint,
     /// Time since the call arrived.
     pub waited: TimeSpan,
-    /// Time that the call has left.
+    /// Time left until the call's deadline.
     pub left: TimeSpan,
 }
 
 /// Why a call is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// No endpoint takes work.
+    /// No endpoint of the service takes work.
     NoEndpoint,
-    /// All endpoints that are left asked for a pause.
+    /// All remaining endpoints asked for a pause.
     Paused,
-    /// No endpoint would answer within the objective.
+    /// No endpoint is predicted to answer within the objective.
     Overload,
-    /// Its team is beyond its share while endpoints are busy.
+    /// The team exceeds its share while endpoints are busy.
     OverShare,
-    /// It was running in several crashes of endpoints.
+    /// The request was running during several crashes of endpoints.
     Quarantined,
 }
 
 impl RefusalCause {
-    /// The cause as logs and metrics name it.
+    /// Returns the cause's label in logs and metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -103,71 +105,72 @@
     }
 }
 
-/// What happens to a call.
+/// The decision on a call.
 #[derive(Debug)]
 pub enum Admission {
-    /// It is sent.
+    /// The call is sent to an endpoint.
     Send(AttemptTicket),
-    /// It is refused; it may come back after this time.
+    /// The call is refused; the caller may retry after `retry_after`.
     Refuse {
-        /// Why.
+        /// Why the call is refused.
         cause: RefusalCause,
         /// When an endpoint is expected to have room.
         retry_after: TimeSpan,
-        /// The least predicted time to a first output, in ms; 0 if none was predicted.
+        /// The lowest predicted time to the first output, in ms; 0 if none was predicted.
         expected_ms: f64,
     },
 }
 
-/// One attempt that was placed. It must be given back to [`GatewayCore::ended`].
+/// An attempt that was placed at an endpoint. It must be passed to [`GatewayCore::ended`].
 #[derive(Debug)]
 pub struct AttemptTicket {
-    /// Where it goes.
+    /// The endpoint.
     pub entry: EndpointEntry,
     /// Predicted time to the first output, in ms.
     pub first_ms: f64,
-    /// The engine from which shared parts are fetched that this one lacks.
+    /// The engine from which this endpoint fetches shared prompt parts that it lacks.
     pub fetch_from: Option<SocketAddr>,
-    /// Prompt tokens that the endpoint must read.
+    /// Prompt tokens that the endpoint must prefill.
     pub uncached: f64,
-    /// Those of them that other requests share.
+    /// The subset of `uncached` that belongs to shared prompt parts.
     pub reread: f64,
-    /// Prompt tokens that were queued there, this request's included.
+    /// Prompt tokens queued at the endpoint, including this request's.
     pub queued: f64,
     placed_at: Moment,
-    is_reading: bool,
-    heard: HeardClock,
+    is_prefilling: bool,
+    last_activity: ActivityClock,
     replaced: CancellationToken,
 }
 
 impl AttemptTicket {
-    /// Resolves when another process has taken the place of the one that this was placed at.
+    /// Resolves when the endpoint process of this attempt is replaced by a new one.
     pub async fn replaced(&self) {
         self.replaced.cancelled().await;
     }
 
-    /// Something came from the endpoint.
-    pub fn hear(&self, now: Moment) {
-        self.heard.hear(now);
+    /// Records that data arrived from the endpoint.
+    pub fn record_activity(&self, now: Moment) {
+        self.last_activity.record_activity(now);
     }
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The endpoint answered, and the answer is the request's own matter.
+    /// The endpoint answered; errors in the answer are due to the request itself.
     Answered,
     /// The endpoint failed.
     Failed,
-    /// The endpoint broke off; this is what the request asked.
+    /// The endpoint broke off the attempt; carries the request's fingerprint.
     Lost(RequestFingerprint),
     /// No connection was made.
     NotReached,
-    /// Nothing listens at its address.
+    /// Nothing listens at the endpoint's address.
     Gone,
-    /// The endpoint said that it is full.
+    /// The endpoint reported that it is full.
     Full,
-    /// The caller left or the time was over; says nothing about the endpoint.
+    /// The caller disconnected or the deadline passed. Not counted against the endpoint unless it
+    /// was silent.
     Abandoned,
 }
 
@@ -176,32 +179,32 @@
     TimeSpan((seconds * 1e6) as u64)
 }
 
-/// The core.
+/// The state behind a router's decisions.
 #[derive(Debug)]
 pub struct GatewayCore {
     config: GatewayConfig,
     domain: SmolStr,
-    /// Endpoints.
+    /// The endpoint table.
     pub endpoints: EndpointTable,
-    /// Shares of teams.
+    /// The teams' shares.
     pub shares: ShareTable,
     capacity: CapacityEstimate,
     accounts: TeamAccounts,
-    /// When teams were last accounted for in the log.
-    accounted_at: Moment,
-    /// Requests that crash endpoints.
+    /// When the teams' counts were last logged.
+    teams_logged_at: Moment,
+    /// Quarantine for requests that crash endpoints.
     pub quarantine: CrashQuarantine,
     budget: RetryBudget,
     sizes: SizeTable,
-    holds: BTreeMap<ServiceKey, f64>,
+    mean_hold_ms: BTreeMap<ServiceKey, f64>,
     routers: usize,
-    reading_speed: f64,
-    /// Whether this router's own link or lateness delays what it measures.
+    prefill_tokens_per_ms: f64,
+    /// True if this router's own link or lateness delays what it measures.
     is_disturbed: bool,
 }
 
 impl GatewayCore {
-    /// A core that knows nothing yet.
+    /// Creates a core without endpoints or measurements.
     #[must_use]
     pub fn new(config: GatewayConfig, domain: SmolStr) -> Self {
         let bounds = RetryBounds {
@@ -214,62 +217,64 @@
             shares: ShareTable::new(seconds(config.share_window_s)),
             capacity: CapacityEstimate::default(),
             accounts: TeamAccounts::default(),
-            accounted_at: Moment(0),
+            teams_logged_at: Moment(0),
             quarantine: CrashQuarantine::default(),
             budget: RetryBudget::new(bounds),
             sizes: SizeTable::default(),
-            holds: BTreeMap::new(),
+            mean_hold_ms: BTreeMap::new(),
             routers: 1,
-            reading_speed: config.reading_tokens_per_ms,
+            prefill_tokens_per_ms: config.reading_tokens_per_ms,
             domain,
             config,
             is_disturbed: false,
         }
     }
 
-    /// Takes over the endpoints that are used now, registered or kept.
+    /// Sets the endpoints in use: registered ones and those kept beyond their registration.
     pub fn set_endpoints(&mut self, now: Moment, entries: &BTreeMap<EndpointKey, EndpointEntry>) {
         for former in self.endpoints.replace(now, entries) {
             self.quarantine.ended(now, &former);
         }
     }
 
-    /// Takes over whether this router's own link or lateness delays what it measures.
+    /// Sets whether this router's own link or lateness delays what it measures.
     ///
-    /// Guards against a host that shuts itself out of idle endpoints: its full link delays every
-    /// answer, so that all endpoints seem many times too slow and some not reachable, and it
-    /// refuses what any of them would serve. Its measurements say nothing of endpoints then.
+    /// Guards against a host that stops using idle endpoints: its full link delays every answer, so
+    /// all endpoints seem many times too slow and some unreachable, and it refuses calls that any
+    /// of them would serve. While the router is disturbed, its measurements are not held against
+    /// endpoints.
     pub fn set_disturbed(&mut self, is_disturbed: bool) {
         self.is_disturbed = is_disturbed;
     }
 
-    /// Whether this router's own link or lateness delays what it measures.
+    /// Returns true if this router's own link or lateness delays what it measures.
     #[must_use]
     pub fn is_disturbed(&self) -> bool {
         self.is_disturbed
     }
 
-    /// Takes over how many routers share the retry budget.
+    /// Sets the number of routers that share the retry budget.
     pub fn set_routers(&mut self, routers: usize) {
         self.routers = routers;
     }
 
-    /// Takes over the other routers' work at endpoints, by the numbers of their processes.
+    /// Sets the other routers' load at endpoints, keyed by the 32-bit numbers of the endpoint
+    /// processes.
     pub fn set_peer_loads(&mut self, loads: &BTreeMap<u32, PeerLoad>) {
         for row in self.endpoints.rows_mut() {
             row.peers = loads.get(&row.life).copied().unwrap_or_default();
-            row.health.told = row.peers.health;
+            row.health.peer_reports = row.peers.health;
         }
     }
 
-    /// Counts a call that arrived; how it stands to its team's share.
-    pub fn arrived(&mut self, now: Moment, ask: &CallAsk<'_>) -> ShareStanding {
-        self.budget.request(now, ask.service);
-        if let Some(prompt) = ask.prompt {
+    /// Counts an arriving call and returns how it stands to its team's share.
+    pub fn arrived(&mut self, now: Moment, request: &AdmissionRequest<'_>) -> ShareStanding {
+        self.budget.request(now, request.service);
+        if let Some(prompt) = request.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.asked(now, &ask.route.name, tokens);
+            self.sizes.asked(now, &request.route.name, tokens);
         }
-        match (ask.team, ask.prompt) {
+        match (request.team, request.prompt) {
             (Some(team), Some(prompt)) => {
                 let tokens = prompt.share_tokens();
                 self.accounts.ask(team, tokens);
@@ -279,19 +284,21 @@
         }
     }
 
-    /// Accounts for a generation that this router was too late to look at. Shares go by what routers
-    /// can look at: a part of a share that lies at a late router is lost.
+    /// Counts a generation that this router refused because it was running late. Shares follow the
+    /// demand that routers can handle: the part of a share assigned to a late router is lost.
     pub fn refused_late(&mut self, team: &TeamKey, prompt: &PromptShape) {
         self.accounts.ask(team, prompt.share_tokens());
-        self.accounts.fall_short(team);
+        self.accounts.count_unserved(team);
     }
 
-    /// Takes a repeat of a request out of the fleet's budget; whether there was one.
-    pub fn take_repeat(&mut self, now: Moment, service: &ServiceKey) -> bool {
+    /// Takes one retry from the fleet's budget. Returns false if the budget is used up.
+    pub fn take_retry(&mut self, now: Moment, service: &ServiceKey) -> bool {
         self.budget.take(now, service, self.routers)
     }
 
-    /// Sets teams' shares from what all routers were asked and what the endpoints can do.
+    /// Computes the teams' shares from the demand at all routers and the capacity of the endpoints.
+    /// `published` is the published token rate; `elsewhere` and `turned_away_elsewhere` come from
+    /// the other routers. Rates are in tokens per second.
     pub fn share_out(
         &mut self,
         now: Moment,
@@ -322,31 +329,31 @@
             );
         }
         self.shares.share_out(now, rate, elsewhere);
-        let passed = now.since(self.accounted_at);
-        if passed >= TEAM_ACCOUNT {
-            self.accounted_at = now;
-            self.account_for_teams(passed);
-            self.account_for_shares(now, rate);
+        let passed = now.since(self.teams_logged_at);
+        if passed >= TEAM_LOG_INTERVAL {
+            self.teams_logged_at = now;
+            self.log_teams(passed);
+            self.log_limited_teams(now, rate);
         }
     }
 
-    /// Counts a request of a team that was refused or had no output in time.
-    pub fn fell_short(&mut self, team: &TeamKey) {
-        self.accounts.fall_short(team);
+    /// Counts a team's request that was refused or had no output in time.
+    pub fn record_unserved(&mut self, team: &TeamKey) {
+        self.accounts.count_unserved(team);
     }
 
-    /// Logs what teams asked, were sent and waited for since the last account.
-    fn account_for_teams(&mut self, passed: TimeSpan) {
+    /// Logs the teams' demand, sent tokens and failed requests since the last log line.
+    fn log_teams(&mut self, passed: TimeSpan) {
         if let Some(line) = self.accounts.take() {
             spdlog::info!("teams: span_ms={} {line}", passed.as_millis());
         }
     }
 
-    /// Logs what the teams that are held to their shares ask, get and may have.
-    fn account_for_shares(&self, now: Moment, rate: f64) {
+    /// Logs the demand, service and allowance of teams that are limited to their shares.
+    fn log_limited_teams(&self, now: Moment, rate: f64) {
         let limited = self.shares.limited();
         let (count, level) = (limited.len(), self.shares.level());
-        for held in limited.iter().take(ACCOUNT_TEAMS) {
+        for held in limited.iter().take(MAX_LIMITED_TEAMS_LOGGED) {
             let LimitedTeam {
                 team,
                 flow,
@@ -365,26 +372,31 @@
         }
     }
 
-    /// Decides where a call goes, or that it is refused.
-    pub fn admit(&mut self, now: Moment, ask: &CallAsk<'_>, standing: ShareStanding) -> Admission {
-        if let Some(retry_after) = self.quarantine.refused_for(now, ask.fingerprint) {
+    /// Decides which endpoint gets a call, or refuses it.
+    pub fn admit(
+        &mut self,
+        now: Moment,
+        request: &AdmissionRequest<'_>,
+        standing: ShareStanding,
+    ) -> Admission {
+        if let Some(retry_after) = self.quarantine.refused_for(now, request.fingerprint) {
             return Admission::Refuse {
                 cause: RefusalCause::Quarantined,
                 retry_after,
                 expected_ms: 0.0,
             };
         }
-        let engine = ask.shape.and_then(|shape| shape.engine);
-        let Some(placement) = self.placed(now, ask, engine) else {
-            return self.without_endpoint(now, ask.service);
+        let engine = request.shape.and_then(|shape| shape.engine);
+        let Some(placement) = self.find_placement(now, request, engine) else {
+            return self.refuse_without_endpoint(now, request.service);
         };
-        let limit = self.limit_ms(ask, standing, placement.alone_ms);
+        let limit = self.limit_ms(request, standing, placement.alone_ms);
         #[allow(clippy::cast_precision_loss)]
-        let expected = ask.waited.0 as f64 / 1e3 + placement.first_ms;
+        let expected = request.waited.0 as f64 / 1e3 + placement.first_ms;
         if expected > limit {
             let cause = match standing {
                 ShareStanding::Within => {
-                    let tokens = ask.prompt.map_or(0.0, PromptShape::share_tokens);
+                    let tokens = request.prompt.map_or(0.0, PromptShape::share_tokens);
                     self.shares.turn_away(now, tokens);
                     RefusalCause::Overload
                 }
@@ -396,12 +408,12 @@
                 expected_ms: expected,
             };
         }
-        self.ticket(now, ask, &placement)
+        self.ticket(now, request, &placement)
     }
 
-    /// Refuses a call that no endpoint may get. A caller does best to come back when the first pause
-    /// is over: before, it would be refused again.
-    fn without_endpoint(&self, now: Moment, service: &ServiceKey) -> Admission {
+    /// Refuses a call that no endpoint can take. The caller should retry when the first pause ends:
+    /// an earlier retry would be refused again.
+    fn refuse_without_endpoint(&self, now: Moment, service: &ServiceKey) -> Admission {
         let least = TimeSpan::from_millis(self.config.retry_after_ms);
         let (cause, retry_after) = match self.endpoints.pause_left(now, service) {
             Some(pause) => (RefusalCause::Paused, pause.max(least)),
@@ -417,47 +429,52 @@
         }
     }
 
-    fn placed(
+    fn find_placement(
         &self,
         now: Moment,
-        ask: &CallAsk<'_>,
+        request: &AdmissionRequest<'_>,
         engine: Option<EngineShape>,
     ) -> Option<Placement> {
         let model = EngineModel {
-            tokens_per_ms: self.reading_speed,
-            hold_ms: self.hold_ms(ask.service),
+            tokens_per_ms: self.prefill_tokens_per_ms,
+            hold_ms: self.hold_ms(request.service),
         };
         let placement_ask = PlacementAsk {
-            prompt: ask.prompt.filter(|_| engine.is_some()),
+            prompt: request.prompt.filter(|_| engine.is_some()),
             engine,
-            tried: ask.tried,
+            tried: request.tried,
             domain: &self.domain,
         };
-        let rows: Vec<_> = self.endpoints.of_service(ask.service).collect();
+        let rows: Vec<_> = self.endpoints.of_service(request.service).collect();
         placement::place(&rows, &placement_ask, &model, now)
     }
 
     fn hold_ms(&self, service: &ServiceKey) -> f64 {
         let first = self.config.first_hold_ms;
-        self.holds.get(service).copied().unwrap_or(first)
+        self.mean_hold_ms.get(service).copied().unwrap_or(first)
     }
 
-    /// The predicted time to a first output up to which a call is sent, in ms.
+    /// Returns the highest predicted time to the first output at which a call is still sent, in ms.
     ///
-    /// A long prompt may take its whole objective to be read on an idle engine. When it has a
-    /// turn, its own reading does not count.
+    /// Prefilling a long prompt may take its whole objective on an idle engine. When the size table
+    /// grants it a turn, its own prefill time does not count against the limit.
     #[allow(clippy::cast_precision_loss)]
-    fn limit_ms(&self, ask: &CallAsk<'_>, standing: ShareStanding, alone_ms: f64) -> f64 {
-        let objective = ask.route.objective_ms as f64;
+    fn limit_ms(
+        &self,
+        request: &AdmissionRequest<'_>,
+        standing: ShareStanding,
+        alone_ms: f64,
+    ) -> f64 {
+        let objective = request.route.objective_ms as f64;
         let part = match standing {
             ShareStanding::Within => self.config.objective_part,
-            ShareStanding::Beyond(served) => self.beyond_part(served),
+            ShareStanding::Beyond(served) => self.objective_part_over_share(served),
         };
-        let left = ask.left.0 as f64 / 1e3;
+        let left = request.left.0 as f64 / 1e3;
         let mut limit = objective * part;
-        let has_turn = ask.prompt.is_some_and(|prompt| {
+        let has_turn = request.prompt.is_some_and(|prompt| {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.has_turn(&ask.route.name, tokens)
+            self.sizes.has_turn(&request.route.name, tokens)
         });
         if has_turn && standing == ShareStanding::Within {
             limit = limit.max(alone_ms + objective * self.config.long_wait_part);
@@ -465,13 +482,14 @@
         limit.min(left)
     }
 
-    /// The part of the objective for a team that is served so many times its share, by all routers.
+    /// Returns the fraction of the objective that a team over its share may use; `served` is its
+    /// service at all routers as a multiple of its share.
     ///
-    /// What endpoints can do beyond the published rate would go to whoever asks most often. The
-    /// more a team has of it already, the emptier an endpoint must be to give it more, so that
-    /// teams beyond their shares get about the same. The square makes twice the service need a
-    /// quarter of the queue.
-    fn beyond_part(&self, served: f64) -> f64 {
+    /// Capacity beyond the published rate would otherwise go to the team that asks most often. The
+    /// more of it a team already gets, the emptier an endpoint must be to serve it more, so that
+    /// all teams over their shares get about the same. With the square, a team served twice as much
+    /// is limited to a quarter of the queue.
+    fn objective_part_over_share(&self, served: f64) -> f64 {
         self.config.over_share_part / (served * served)
     }
 
@@ -481,8 +499,13 @@
         TimeSpan::from_millis(least.max(excess_ms as u64))
     }
 
-    fn ticket(&mut self, now: Moment, ask: &CallAsk<'_>, placement: &Placement) -> Admission {
-        let hold_ms = self.hold_ms(ask.service);
+    fn ticket(
+        &mut self,
+        now: Moment,
+        request: &AdmissionRequest<'_>,
+        placement: &Placement,
+    ) -> Admission {
+        let hold_ms = self.hold_ms(request.service);
         let Some(row) = self.endpoints.get_mut(&placement.endpoint) else {
             return Admission::Refuse {
                 cause: RefusalCause::NoEndpoint,
@@ -492,13 +515,18 @@
         };
         row.active += 1;
         row.pending_tokens += placement.uncached;
-        // A plain service answers when it is done; an engine when it has read the prompt.
-        let stay_ms = if ask.prompt.is_some() { 0.0 } else { hold_ms };
-        row.health.begins(now, placement.first_ms + stay_ms);
-        if let Some(prompt) = ask.prompt {
+        // A plain service answers when the request is done; an engine once the prompt is prefilled.
+        let stay_ms = if request.prompt.is_some() {
+            0.0
+        } else {
+            hold_ms
+        };
+        row.health
+            .attempt_started(now, placement.first_ms + stay_ms);
+        if let Some(prompt) = request.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.served(&ask.route.name, tokens);
-            if let Some(team) = ask.team {
+            self.sizes.served(&request.route.name, tokens);
+            if let Some(team) = request.team {
                 let tokens = prompt.share_tokens();
                 self.accounts.send(team, tokens);
                 self.shares.serve(now, team, tokens);
@@ -515,22 +543,22 @@
             reread: placement.reread,
             queued: row.total_pending(),
             placed_at: now,
-            is_reading: true,
-            heard: row.health.heard.clone(),
+            is_prefilling: true,
+            last_activity: row.health.last_activity.clone(),
             replaced: row.replaced.clone(),
         })
     }
 
-    /// The first output of an attempt arrived.
+    /// Records the first output of an attempt.
     #[allow(clippy::cast_precision_loss)]
     pub fn first_output(&mut self, now: Moment, ticket: &mut AttemptTicket) {
-        self.stop_reading(ticket);
+        self.finish_prefill(ticket);
         let Some(row) = self.endpoints.of_attempt(&ticket.entry) else {
             return;
         };
         row.reached();
-        row.health.outputs(now);
-        if ticket.queued < LEARNING_TOKENS || self.is_disturbed {
+        row.health.first_output_received(now);
+        if ticket.queued < MIN_LEARNING_TOKENS || self.is_disturbed {
             return;
         }
         let measured = now.since(ticket.placed_at).0 as f64 / 1e3;
@@ -538,59 +566,59 @@
         row.health.learn_slowness(now, ratio);
     }
 
-    fn stop_reading(&mut self, ticket: &mut AttemptTicket) {
-        if !ticket.is_reading {
+    fn finish_prefill(&mut self, ticket: &mut AttemptTicket) {
+        if !ticket.is_prefilling {
             return;
         }
-        ticket.is_reading = false;
+        ticket.is_prefilling = false;
         if let Some(row) = self.endpoints.of_attempt(&ticket.entry) {
             row.pending_tokens = (row.pending_tokens - ticket.uncached).max(0.0);
         }
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     #[allow(clippy::cast_precision_loss)]
     pub fn ended(&mut self, now: Moment, mut ticket: AttemptTicket, end: AttemptEnd) {
-        let had_output = !ticket.is_reading;
-        self.stop_reading(&mut ticket);
+        let had_output = !ticket.is_prefilling;
+        self.finish_prefill(&mut ticket);
         let Some(row) = self.endpoints.of_attempt(&ticket.entry) else {
             return;
         };
         let was_silent = row.health.is_silent_here(now);
         row.active = row.active.saturating_sub(1);
-        row.health.ends(had_output);
+        row.health.attempt_ended(had_output);
         match end {
             AttemptEnd::Answered => {
                 row.reached();
-                row.health.heard.hear(now);
+                row.health.last_activity.record_activity(now);
                 row.health.count(now, false);
                 let stay = now.since(ticket.placed_at).0 as f64 / 1e3;
                 let mean = self
-                    .holds
+                    .mean_hold_ms
                     .entry(ticket.entry.service.clone())
                     .or_insert(stay);
                 *mean += LEARNING_WEIGHT * (stay - *mean);
             }
             AttemptEnd::Failed => row.health.count(now, true),
-            AttemptEnd::Lost(print) => {
+            AttemptEnd::Lost(fingerprint) => {
                 row.health.count(now, true);
-                self.quarantine.lost(now, &ticket.entry, print);
+                self.quarantine.lost(now, &ticket.entry, fingerprint);
             }
-            AttemptEnd::NotReached if self.is_disturbed => row.not_reached_by_fault(now),
+            AttemptEnd::NotReached if self.is_disturbed => row.not_reached_due_to_link(now),
             AttemptEnd::NotReached => row.not_reached(now),
             AttemptEnd::Gone => {
                 row.not_reached(now);
                 self.quarantine.ended(now, &ticket.entry);
             }
-            AttemptEnd::Full => row.was_full(now),
-            // Callers that give up on an endpoint that hangs are the only sign of it where the
-            // request may not run elsewhere.
+            AttemptEnd::Full => row.pause_when_full(now),
+            // Where a request may not run elsewhere, callers that give up are the only sign that an
+            // endpoint hangs.
             AttemptEnd::Abandoned if was_silent => row.health.count(now, true),
             AttemptEnd::Abandoned => {}
         }
     }
 
-    /// Forgets parts that were sent long ago, so that the tables stay small.
+    /// Forgets prompt parts that were sent long ago, to keep the tables small.
     pub fn forget_parts(&mut self, now: Moment) {
         let kept = TimeSpan::from_millis(self.config.part_memory_ms);
         for row in self.endpoints.rows_mut() {
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -166,7 +166,8 @@
                 let suspects = digest.suspects.iter().map(told_suspect);
                 let mut core = self.shared.core();
                 core.quarantine.take_told(now, suspects);
-                core.endpoints.take_told_leaving(now, &digest.said_leaving);
+                core.endpoints
+                    .apply_reported_leaving(now, &digest.announced_leaving);
                 drop(core);
                 if self.peers.take(now, from.ip(), digest) && is_new {
                     spdlog::info!("peers: router={} found", from.ip());
@@ -209,7 +210,7 @@
             .map_or(0.0, |table| table.limits.tokens_per_s);
         let mut core = self.shared.core();
         core.set_peer_loads(self.peers.loads());
-        core.endpoints.set_told_left(&left);
+        core.endpoints.set_reported_departures(&left);
         core.set_routers(self.peers.budget_routers(now));
         core.share_out(now, rate, &flows, turned_away);
         core.forget_parts(now);
@@ -226,9 +227,9 @@
         let suspects = core.quarantine.telling(now);
         let turned_away = core.shares.turned_away_per_s(now);
         let flows = core.shares.flows(now);
-        let left = core.endpoints.departures.telling(now);
-        let said_leaving = core.endpoints.telling_leaving(now);
-        let trusts_itself = core.endpoints.is_trustworthy(now) && !core.is_disturbed();
+        let left = core.endpoints.departures.departures_to_report(now);
+        let announced_leaving = core.endpoints.leaving_to_report(now);
+        let trusts_itself = core.endpoints.is_health_reportable(now) && !core.is_disturbed();
         let loads = core.endpoints.rows();
         let loads = loads.filter_map(|row| load_entry(row, now, trusts_itself));
         RouterDigest {
@@ -249,7 +250,7 @@
             suspects: suspects.into_iter().map(suspect_entry).collect(),
             turned_away_per_s: turned_away as u32,
             left,
-            said_leaving,
+            announced_leaving,
         }
     }
 
@@ -408,9 +409,9 @@
     if !trusts_itself {
         return (row.active > 0).then_some(load);
     }
-    let (attempts, failures) = row.health.telling(now);
+    let (attempts, failures) = row.health.counts_to_report(now);
     let silent = row.health.is_silent_here(now);
-    let heard = row.health.is_heard(now);
+    let heard = row.health.is_recently_active(now);
     let has_news = row.active > 0 || failures > 0 || silent;
     has_news.then_some(LoadEntry {
         attempts,
--- a/tests/gateway_capacity.rs
+++ b/tests/gateway_capacity.rs
@@ -1,4 +1,4 @@
-//! Shares of what the endpoints can really do, without a network.
+//! Shares of the estimated capacity of the endpoints, without a network.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
 
-/// The published rate.
+/// The published rate, in tokens per second.
 const PUBLISHED: f64 = 2_700_000.0;
 
 fn ms(millis: u64) -> Moment {
@@ -35,33 +35,33 @@
     assert!(capacity.limit().is_none());
 }
 
-/// Two thirds of the engines are away. Teams ask twice what is left; against the published rate
-/// none of them is beyond its share, and routers turn away whoever comes.
+/// Two thirds of the engines are away, and teams ask for twice the remaining capacity. Measured
+/// against the published rate no team exceeds its share, so routers would refuse calls at random.
 #[test]
 fn a_saturated_fleet_shares_what_it_serves() {
     let mut capacity = CapacityEstimate::default();
     let mut rate = 0.0;
-    for look in 1..50 {
-        rate = capacity.rate(ms(look * 100), PUBLISHED, flow(2e6, 9e5, 1e6));
+    for sample in 1..50 {
+        rate = capacity.rate(ms(sample * 100), PUBLISHED, flow(2e6, 9e5, 1e6));
     }
     assert!((8e5..1e6).contains(&rate), "{rate}");
 }
 
-/// Guards against a rate of a first moment: as traffic begins, one long request is turned away
-/// while next to nothing has been served yet, and a team is held to a tenth of its share for
-/// seconds.
+/// Guards against a capacity estimate from the first moments of traffic: one long request is turned
+/// away while almost nothing has been served yet, and a team would be limited to a tenth of its
+/// share for seconds.
 #[test]
 fn the_first_moments_of_traffic_do_not_set_the_rate() {
     let mut capacity = CapacityEstimate::default();
     let first = capacity.rate(ms(200), PUBLISHED, flow(1.2e5, 4.5e4, 7.9e4));
     assert!(first > 0.5 * PUBLISHED, "{first}");
     let mut rate = first;
-    for look in 1..10_u32 {
-        let part = f64::from(look) / 10.0;
+    for sample in 1..10_u32 {
+        let part = f64::from(sample) / 10.0;
         let served = part * PUBLISHED;
         let asked = 2.0 * served;
         rate = capacity.rate(
-            ms(200 + 100 * u64::from(look)),
+            ms(200 + 100 * u64::from(sample)),
             PUBLISHED,
             flow(asked, served, 7.9e4),
         );
@@ -69,21 +69,21 @@
     assert!(rate > 0.8 * PUBLISHED, "{rate}");
 }
 
-/// The engines are back. The estimate must not hold the fleet to what it could do before.
+/// The engines are back. The estimate must not limit the fleet to its earlier capacity.
 #[test]
 fn a_fleet_that_has_recovered_shares_the_published_rate_again() {
     let mut capacity = CapacityEstimate::default();
     capacity.rate(ms(100), PUBLISHED, flow(2e6, 9e5, 1e6));
-    let mut looks = 0;
+    let mut samples = 0;
     while capacity.limit().is_some() {
-        looks += 1;
-        assert!(looks < 60, "{:?}", capacity.limit());
-        capacity.rate(ms(100 + looks * 100), PUBLISHED, flow(1e6, 1e6, 0.0));
+        samples += 1;
+        assert!(samples < 60, "{:?}", capacity.limit());
+        capacity.rate(ms(100 + samples * 100), PUBLISHED, flow(1e6, 1e6, 0.0));
     }
 }
 
-/// One team floods a fleet that can do far less than is published. The small team must be within
-/// its share and the flood beyond it, or both are turned away alike.
+/// One team floods a fleet whose capacity is far below the published rate. The small team must be
+/// within its share and the flooding one beyond it; otherwise both are turned away alike.
 #[test]
 fn a_flood_is_beyond_its_share_of_what_is_left() {
     let (small, flood) = (
@@ -93,8 +93,8 @@
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
     let mut capacity = CapacityEstimate::default();
     let mut turned = (0, 0);
-    for look in 1..60_u64 {
-        let now = ms(look * 100);
+    for sample in 1..60_u64 {
+        let now = ms(sample * 100);
         match shares.ask(now, &small, 5_000.0) {
             ShareStanding::Within => shares.serve(now, &small, 5_000.0),
             ShareStanding::Beyond(_) => turned.0 += 1,
@@ -108,6 +108,6 @@
         shares.share_out(now, rate, &BTreeMap::new());
     }
     assert_eq!(turned.0, 0);
-    // It asks 2 M tokens a second and is owed 0.85 M.
+    // It asks for 2 M tokens a second and its share is 0.85 M.
     assert!((25..45).contains(&turned.1), "{turned:?}");
 }
--- a/tests/gateway_health.rs
+++ b/tests/gateway_health.rs
@@ -1,5 +1,5 @@
-//! What routers believe of endpoints that fail or hang while their probes say that they are well,
-//! from their own calls and from each other's words, without a network.
+//! Health of endpoints that fail or hang while their probes report them as healthy, from a router's
+//! own calls and other routers' reports, without a network.
 
 use smol_str::SmolStr;
 
@@ -8,7 +8,7 @@
 use verbenaturn::gateway::decide::AttemptTicket;
 use verbenaturn::gateway::decide::GatewayCore;
 use verbenaturn::gateway::decide::endpoints::PeerLoad;
-use verbenaturn::gateway::decide::health::ToldHealth;
+use verbenaturn::gateway::decide::health::PeerHealth;
 use verbenaturn::gateway::protocol::PromptPart;
 use verbenaturn::gateway::protocol::PromptShape;
 use verbenaturn::gateway::routes::EndpointKey;
@@ -30,7 +30,7 @@
     core
 }
 
-/// Places a short prompt of its own, at `now`.
+/// Places a short prompt without shared parts, at `now`.
 fn placed(core: &mut GatewayCore, now: Moment, number: u64) -> AttemptTicket {
     let prompt = PromptShape {
         prompt_tokens: 500,
@@ -48,7 +48,7 @@
     core.endpoints.rows().nth(index).unwrap().entry.key.clone()
 }
 
-fn told(core: &GatewayCore, index: usize, health: ToldHealth) -> (u32, PeerLoad) {
+fn peer_report(core: &GatewayCore, index: usize, health: PeerHealth) -> (u32, PeerLoad) {
     let load = PeerLoad {
         health,
         ..PeerLoad::default()
@@ -56,19 +56,19 @@
     (core.endpoints.rows().nth(index).unwrap().life, load)
 }
 
-/// An engine goes dark: it accepts requests and says nothing, and its probe is good. Requests that
-/// may not run elsewhere wait there until their callers give up, seconds later. Work that comes in
-/// the meantime must go elsewhere, not only what comes after the first caller gave up.
+/// An engine hangs: it accepts requests and sends nothing, while its probe succeeds. Requests that
+/// may not run elsewhere wait there until their callers give up, seconds later. Work that arrives
+/// before the first caller gives up must already go elsewhere.
 #[test]
-fn a_dark_engine_gets_no_more_work_after_half_a_second() {
+fn a_hung_engine_gets_no_more_work_after_half_a_second() {
     let mut core = core(2);
-    let dark = placed(&mut core, ms(1_000), 0).entry.key;
+    let hung = placed(&mut core, ms(1_000), 0).entry.key;
     let mut here = 0;
     for number in 1..40 {
         let now = ms(1_600 + number * 50);
         let mut ticket = placed(&mut core, now, number);
-        here += usize::from(ticket.entry.key == dark);
-        if ticket.entry.key != dark {
+        here += usize::from(ticket.entry.key == hung);
+        if ticket.entry.key != hung {
             core.first_output(now, &mut ticket);
             core.ended(now, ticket, AttemptEnd::Answered);
         }
@@ -77,17 +77,20 @@
 }
 
 /// An engine takes longer than predicted, since other routers sent it work that this one does not
-/// know of yet. They hear from it. Taken for dark, its work would go to the others, which then are
-/// late in their turn, until all seem dark.
+/// know of yet, and they receive data from it. If it counted as hung, its work would go to the
+/// other engines, which then would be late in turn, until all engines seem hung.
 #[test]
-fn a_busy_engine_that_others_hear_from_is_used() {
+fn a_busy_engine_that_answers_other_routers_is_used() {
     let mut core = core(2);
     let _waiting = placed(&mut core, ms(1_000), 0);
-    let heard = ToldHealth {
-        hearing: 1,
-        ..ToldHealth::default()
+    let receiving_report = PeerHealth {
+        receiving: 1,
+        ..PeerHealth::default()
     };
-    let loads = [told(&core, 0, heard), told(&core, 1, heard)];
+    let loads = [
+        peer_report(&core, 0, receiving_report),
+        peer_report(&core, 1, receiving_report),
+    ];
     core.set_peer_loads(&loads.into_iter().collect());
     let mut used = std::collections::BTreeSet::new();
     for number in 1..20 {
@@ -96,16 +99,16 @@
     assert_eq!(used.len(), 2);
 }
 
-/// Two routers find an engine dark. A third one that has sent it nothing for a while must not find
-/// out for itself at the cost of a caller; in a fleet of a hundred each would.
+/// Two routers report an engine as silent. A third one that has sent it nothing for a while must
+/// not find out for itself at the cost of a caller; in a fleet of a hundred routers each would.
 #[test]
-fn a_router_takes_the_word_of_two_others_for_silence() {
+fn an_engine_that_two_routers_report_as_silent_is_not_used() {
     let mut core = core(2);
-    let silent = ToldHealth {
+    let silent = PeerHealth {
         silent: 2,
-        ..ToldHealth::default()
+        ..PeerHealth::default()
     };
-    let loads = [told(&core, 0, silent)];
+    let loads = [peer_report(&core, 0, silent)];
     core.set_peer_loads(&loads.into_iter().collect());
     for number in 0..20 {
         let ticket = placed(&mut core, ms(5_000 + number), number);
@@ -113,18 +116,18 @@
     }
 }
 
-/// An engine resets half of its requests; each router sees one of them in some seconds. Together
-/// they know it at once.
+/// An engine resets half of its requests, and each router sees one of them every few seconds. Their
+/// combined reports must show it at once.
 #[test]
-fn failures_that_others_saw_count() {
+fn failures_reported_by_other_routers_count() {
     let mut core = core(3);
-    let failing = ToldHealth {
+    let failing = PeerHealth {
         attempts: 2_000,
         failures: 1_000,
-        hearing: 5,
-        ..ToldHealth::default()
+        receiving: 5,
+        ..PeerHealth::default()
     };
-    let loads = [told(&core, 2, failing)];
+    let loads = [peer_report(&core, 2, failing)];
     core.set_peer_loads(&loads.into_iter().collect());
     for number in 0..30 {
         let ticket = placed(&mut core, ms(5_000 + number), number);
@@ -132,8 +135,8 @@
     }
 }
 
-/// One request in seven fails by itself wherever it runs. All routers know the same sums, in which
-/// one endpoint is a little better by chance: if that decided, all would send everything there.
+/// One request in seven fails wherever it runs. All routers know the same totals, in which one
+/// endpoint is slightly better by chance: if that decided, all routers would send everything there.
 #[test]
 fn small_differences_of_failures_move_nothing() {
     let mut core = core(3);
@@ -142,13 +145,13 @@
         .iter()
         .enumerate()
         .map(|(index, failures)| {
-            let health = ToldHealth {
+            let health = PeerHealth {
                 attempts: 10_000,
                 failures: *failures,
-                hearing: 5,
-                ..ToldHealth::default()
+                receiving: 5,
+                ..PeerHealth::default()
             };
-            told(&core, index, health)
+            peer_report(&core, index, health)
         })
         .collect();
     core.set_peer_loads(&loads.into_iter().collect());
@@ -161,19 +164,20 @@
     assert!(counts.values().all(|count| *count >= 10), "{counts:?}");
 }
 
-/// A router's own links to the engines are cut. Its word that all of them are silent must not
-/// reach the others.
+/// A router's own links to the engines are cut. Its reports that all of them are silent must not
+/// reach the other routers.
 #[test]
-fn a_router_with_cut_links_is_not_trustworthy() {
+fn a_router_with_cut_links_reports_no_health() {
     let mut core = core(4);
     for number in 0..8 {
         let _waiting = placed(&mut core, ms(1_000 + number), number);
     }
-    assert!(core.endpoints.is_trustworthy(ms(1_100)));
-    assert!(!core.endpoints.is_trustworthy(ms(4_000)));
+    assert!(core.endpoints.is_health_reportable(ms(1_100)));
+    assert!(!core.endpoints.is_health_reportable(ms(4_000)));
 }
 
-/// Gives the engine so many first outputs, each `factor` times later than predicted.
+/// Runs `count` attempts whose first output takes `factor` times the predicted time, and returns
+/// the time in ms at the end.
 fn late_outputs(core: &mut GatewayCore, count: u64, factor: f64, from: u64) -> u64 {
     let mut at = from;
     for number in 0..count {
@@ -193,9 +197,9 @@
     at
 }
 
-/// A flood fills a small host's link, and every first output comes late there. The host takes all
-/// engines for slow, refuses every call, and measures nothing that could teach it better: the
-/// engines idle while it refuses what its neighbours serve.
+/// A flood fills a small host's link, and every first output arrives late there. The router learns
+/// that all engines are slow, refuses every call, and then takes no measurements that could correct
+/// it: the engines idle while it refuses calls that other routers serve.
 #[test]
 fn a_router_that_measured_slow_engines_does_not_shut_itself_out() {
     let mut core = core(1);
@@ -205,9 +209,9 @@
     assert!(row.health.slowness(ms(end + 10_000)) < 1.1);
 }
 
-/// The same host knows that its link is full: what it measures is its own delay.
+/// The same host knows that its link is full: the delay that it measures is its own.
 #[test]
-fn a_disturbed_router_blames_no_endpoint() {
+fn a_disturbed_router_holds_its_delay_against_no_endpoint() {
     let mut core = core(1);
     core.set_disturbed(true);
     let end = late_outputs(&mut core, 60, 6.0, 1_000);
