--- a/src/core/action.rs
+++ b/src/core/action.rs
@@ -1,4 +1,4 @@
-//! What the decision core asks its driver to do.
+//! Actions that the decision core returns to its driver.
 
 use bytes::Bytes;
 use smol_str::SmolStr;
@@ -21,77 +21,77 @@
 pub enum RefusalReason {
     /// The team's queue at this router is full.
     QueueFull,
-    /// The retry budget of the team or endpoint is spent.
+    /// The retry budget of the team or endpoint is used up.
     RetryBudget,
-    /// It would not end before its deadline: too much waits before it.
+    /// It would miss its deadline because too many requests are queued before it.
     Overloaded,
     /// The deadline passed.
     DeadlinePassed,
-    /// The request crashed endpoints and is refused for a time.
+    /// The request was running in endpoint crashes and is quarantined for a limited time.
     Quarantined,
-    /// The router drains and no peer could take the request.
+    /// The router is draining and no peer could take the request.
     Draining,
-    /// No publication is known yet.
+    /// The router has no publication yet.
     NotReady,
     /// The endpoint or the link failed and the request may not be repeated.
     LinkLost,
-    /// The ticket's minter is gone, or its answer is no longer kept.
+    /// The router that minted the ticket is gone, or the answer is no longer stored.
     TicketGone,
     /// The pool has no endpoint.
     NoEndpoint,
-    /// The ticket was minted for another team or another request.
+    /// The ticket was minted for a different team or request.
     TicketMismatch,
 }
 
-/// What is known of a refused request's execution.
+/// Whether a refused request was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunOutcome {
     /// It ran.
     Ran,
     /// It did not run and will not run.
     NotRun,
-    /// Whether it ran can't be proved.
+    /// Execution can be neither proved nor ruled out.
     Unknown,
 }
 
-/// One action.
+/// An action for the driver to carry out.
 #[derive(Debug, Clone, PartialEq)]
-#[allow(clippy::large_enum_variant)] // Messages are frequent: a box would cost on each.
+#[allow(clippy::large_enum_variant)] // Boxing would cost an allocation per message.
 pub enum CoreAction {
-    /// Send the request to the endpoint as this attempt, if `not_after` has not passed when
-    /// the first byte is about to be written; else report `AttemptOutcome::NotSent`.
+    /// Send the request to the endpoint as this attempt. If `not_after` has passed when the first
+    /// byte is about to be written, don't send it and report `AttemptOutcome::NotSent`.
     Dispatch {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Bytes or events of the answer that the caller already has; 0 at first.
+        /// Offset at which the answer continues: bytes or events that the caller already has.
         resume_at: u64,
         /// Last moment at which the first byte may be written.
         not_after: Moment,
     },
-    /// Cancel a running attempt and drop its late answer.
+    /// Cancel a running attempt and discard its answer if one still arrives.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Tell the caller that its request is refused; the request is forgotten.
+    /// Refuse the request with an error answer; the core drops its state.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason for the refusal.
         reason: RefusalReason,
-        /// What is known of its execution.
+        /// Whether it was executed.
         outcome: RunOutcome,
-        /// When to come back; zero if coming back does not help.
+        /// Delay before a retry; zero if a retry would not help.
         retry_after: TimeSpan,
     },
-    /// The answer was passed on whole; the request is forgotten. What is kept of the answer to
-    /// a request with a ticket stays until `ForgetAnswer`.
+    /// The whole answer was passed on; the core drops the request's state. A stored answer to a
+    /// request with a ticket stays until `ForgetAnswer`.
     Complete {
         /// The request.
         request: RequestId,
@@ -103,27 +103,27 @@
         /// The ticket.
         ticket: TicketName,
     },
-    /// Attach the caller to the running attempt or kept answer of another request with the same
-    /// ticket, from the answer's beginning. `Complete` or `Refuse` of the later request follows
-    /// when the original ends, or at once if it has ended; a replay under way is finished even
-    /// after `ForgetAnswer`. If the beginning is not kept, the driver tells the later caller
-    /// "unknown".
+    /// Attach the caller to the running attempt or stored answer of another request with the same
+    /// ticket, from the start of the answer. `Complete` or `Refuse` of the later request follows
+    /// when the original ends, or at once if it has ended; a replay in progress is finished even
+    /// after `ForgetAnswer`. If the start of the answer is not stored, the driver answers the
+    /// later caller "unknown".
     JoinAnswer {
         /// The later request.
         request: RequestId,
-        /// The one that runs or ran.
+        /// The request that runs or ran.
         original: RequestId,
     },
-    /// Forward the request to a peer over a forwarding connection; the peer answers for it. If
-    /// the link breaks, the driver tells the caller "not run" only if no byte was sent and the
-    /// request has no ticket, else "unknown".
+    /// Forward the request to a peer over a forwarding connection; the peer decides about it. If
+    /// the connection breaks, the driver answers "not run" only if no byte was sent and the
+    /// request has no ticket, otherwise "unknown".
     Forward {
         /// The request.
         request: RequestId,
         /// The peer.
         host: HostName,
     },
-    /// Drop what is kept of a request's answer.
+    /// Delete the stored answer of a request.
     ForgetAnswer {
         /// The request.
         request: RequestId,
@@ -139,39 +139,40 @@
     Connect {
         /// The peer.
         host: HostName,
-        /// IP number and port of its peer listener.
+        /// IP address and port of its peer listener.
         address: SmolStr,
     },
-    /// Close the connection to a peer that is gone.
+    /// Close the connection to a peer that is dead or no longer needed.
     Disconnect {
         /// The peer.
         host: HostName,
     },
-    /// Start or stop watching the source's configuration service.
+    /// Start (true) or stop (false) watching the source's configuration service.
     WatchPlatform(bool),
-    /// Parse, check and render this publication; answer with `Published` if it is good.
+    /// Parse, check and render this publication. Answer with `Published` if it is valid, otherwise
+    /// with `PublicationRefused`.
     AdoptText {
         /// Its revision.
         revision: ConfigRevision,
         /// The published text.
         text: Bytes,
     },
-    /// Read this endpoint's load at intervals (true) or no longer (false).
+    /// Start or stop polling this endpoint's load.
     WatchLoad {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Start or stop.
+        /// True to start, false to stop.
         on: bool,
     },
-    /// Order an endpoint to serve another pool's model.
+    /// Order an endpoint to load the model of another pool.
     OrderModel {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The pool whose model it shall load.
+        /// The pool whose model it must load.
         pool: PoolId,
-        /// The fencing number.
+        /// The order's fencing token.
         fence: FenceNumber,
     },
-    /// The router has nothing left in flight after a drain.
+    /// The drain is complete: no request is in flight any more.
     Drained,
 }
--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -1,4 +1,4 @@
-//! What the decision core is told.
+//! Events that the driver passes to the decision core.
 
 use std::sync::Arc;
 
@@ -22,46 +22,46 @@
 use crate::units::TeamId;
 use crate::wire::PeerMessage;
 
-/// A ticket as read from a request: who minted it and its number there.
+/// A ticket as read from a request: the incarnation that minted it and its number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TicketName {
-    /// The incarnation that minted it and the only one that may run it.
+    /// The incarnation that minted it, which is the only one that may run the request.
     pub minter: RouterIncarnation,
-    /// Counted from 1 by the minter.
+    /// Sequence number at the minter, starting at 1.
     pub number: u64,
 }
 
-/// What a caller said about repeating a request.
+/// Whether a request may be executed more than once, as declared by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// A second execution does no harm.
+    /// The request is idempotent.
     Repeatable,
-    /// At most one execution; the ticket is absent on a first try.
+    /// The request must be executed at most once. The first try carries no ticket.
     Unrepeatable(Option<TicketName>),
 }
 
-/// A request as the entry router sees it on arrival.
+/// What the entry router knows of a request on arrival.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Its id in this router.
+    /// Its id, unique within this router.
     pub request: RequestId,
     /// Its team.
     pub team: TeamId,
-    /// Its kind.
+    /// Its request kind.
     pub kind: KindName,
     /// The pool that can run it.
     pub pool: PoolId,
     /// Whether it may be repeated.
     pub repeat: RepeatRule,
-    /// When its caller gives up.
+    /// When its caller stops waiting.
     pub deadline: Moment,
-    /// Recognises resends; of team, path and body.
+    /// Hash of team, path and body; equal for resends of the same request.
     pub fingerprint: RequestFingerprint,
-    /// Hash of the prompt's beginning, for prefix affinity; 0 if none.
+    /// Hash of the prompt's prefix, for prefix affinity; 0 if there is none.
     pub prefix: u64,
     /// True if another router forwarded it here.
     pub forwarded: bool,
-    /// True if an answer cut in the middle can be continued at an offset.
+    /// True if an interrupted answer can be resumed at an offset.
     pub resumable: bool,
 }
 
@@ -70,27 +70,28 @@
 pub enum AttemptOutcome {
     /// The whole answer was passed on to the caller.
     Whole,
-    /// No byte of the request left for the endpoint.
+    /// No byte of the request was sent to the endpoint.
     NotSent,
-    /// The endpoint refused it before admission (503 or 429 with no work done).
+    /// The endpoint refused it before doing any work (503 or 429).
     Refused,
-    /// The connection broke after the request left; nothing of the answer was passed on.
+    /// The connection broke after the request was sent; no part of the answer was passed on.
     LostBeforeAnswer,
-    /// The connection broke in the answer, after this many bytes or events were passed on.
+    /// The connection broke during the answer, after this many bytes or events were passed on.
     CutAt(u64),
-    /// The answer broke the protocol; nothing of it was passed on.
+    /// The answer violated the protocol; no part of it was passed on.
     Garbage,
-    /// The caller left and the attempt was cancelled.
+    /// The caller disconnected and the attempt was cancelled.
     Cancelled,
 }
 
-/// One event.
+/// An event for the decision core to handle.
 #[derive(Debug, Clone)]
 pub enum CoreEvent {
-    /// A request arrived and was read far enough to decide.
+    /// A request arrived, and enough of it was read to decide about it.
     Arrived(RequestFacts),
-    /// The caller of a request left. The driver goes on with a running attempt until it ends
-    /// or the core cancels it: an unrepeatable request runs on, so that a resend finds its answer.
+    /// The caller of a request disconnected. The driver continues a running attempt until it ends
+    /// or the core cancels it: an unrepeatable request keeps running so that a resend can get its
+    /// answer.
     CallerLeft(RequestId),
     /// The first byte of the answer arrived.
     FirstByte {
@@ -99,13 +100,13 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Service used so far by a running attempt; sent at most every 100 ms per attempt.
+    /// Service used so far by a running attempt. Sent at most once every 100 ms per attempt.
     Progress {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Service of this attempt since its start.
+        /// Service used by this attempt since its start.
         service: ServiceUnits,
     },
     /// An attempt ended.
@@ -116,89 +117,90 @@
         attempt: AttemptNumber,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// Service of this attempt.
+        /// Service used by this attempt.
         service: ServiceUnits,
     },
-    /// What the driver keeps of the answer to a request with a ticket, for callers that send it
-    /// again: told each time it grew by much, once more just before `AttemptEnded` reports the
-    /// whole answer, and with `None` when it was given up for its size.
+    /// How much of the answer to a request with a ticket the driver stores for resends. Sent
+    /// whenever the stored part has grown considerably, once more just before `AttemptEnded`
+    /// reports the whole answer, and with `None` when the answer was discarded for its size.
     AnswerKept {
-        /// The request that runs.
+        /// The running request.
         request: RequestId,
-        /// Bytes kept so far, from the answer's beginning.
+        /// Bytes stored so far, from the start of the answer.
         bytes: Option<ByteSize>,
     },
-    /// An endpoint's own load report. It lags.
+    /// An endpoint's own load report, which lags behind its actual load.
     EndpointLoad {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Requests it runs, of all routers.
+        /// Requests it is running, sent by any router.
         running: u32,
-        /// Requests it holds back.
+        /// Requests queued at the endpoint.
         waiting: u32,
-        /// The pool (model) it serves now.
+        /// The pool whose model it currently serves.
         active: PoolId,
-        /// Changes with each restart of the endpoint.
+        /// Identifies the endpoint's process; changes with each restart.
         life: u64,
-        /// Highest fencing number it has obeyed; 0 if it ignores them.
+        /// Highest fencing token of the orders it has followed; 0 if it ignores fencing tokens.
         fence: u64,
     },
-    /// The endpoint's host refused a connection: nothing listens there. Told whenever it happens,
-    /// for attempts and for load reports alike; an attempt also ends as `NotSent`.
+    /// The endpoint's host refused a connection: no process is listening. Sent for attempts and
+    /// for load polls; an attempt also ends as `NotSent`.
     EndpointRefused {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// The source's host list, which lags.
+    /// The source's host list, which lags behind the actual state.
     HostsListed {
         /// Routers on the list.
         routers: Vec<ListedRouter>,
-        /// Endpoints that the list calls leaving, with their generation.
+        /// Endpoints that the list marks as leaving, with their generation.
         leaving: Vec<(EndpointId, u64)>,
     },
-    /// Endpoints that the host list calls live, with their generation. Follows `HostsListed`.
+    /// Endpoints that the host list marks as live, with their generation. Follows `HostsListed`.
     EndpointsListed {
         /// The endpoints.
         live: Vec<(EndpointId, u64)>,
     },
-    /// A checked and rendered publication, with the text to pass on to peers.
+    /// A valid, rendered publication, with its text to pass on to peers.
     Published {
         /// The catalog.
         catalog: Arc<FleetCatalog>,
         /// The published text.
         text: Bytes,
     },
-    /// A publication was refused for its faults.
+    /// A publication was rejected as invalid.
     PublicationRefused {
         /// Its revision.
         revision: ConfigRevision,
     },
-    /// The configuration service answered (true) or failed (false).
+    /// A request to the configuration service succeeded (true) or failed (false).
     SourceAnswered(bool),
     /// A control message arrived.
     Message {
         /// The sender's host.
         from: HostName,
-        /// The sender's incarnation, from the connection's handshake.
+        /// The sender's incarnation, as given in the connection's handshake.
         incarnation: RouterIncarnation,
         /// The message.
         message: PeerMessage,
     },
-    /// A peer's connection opened; its handshake named this incarnation.
+    /// A connection to a peer opened.
     PeerOpened {
         /// The peer's host.
         host: HostName,
-        /// Its incarnation.
+        /// Its incarnation, as given in the handshake.
         incarnation: RouterIncarnation,
     },
-    /// A peer's connection closed or could not be opened.
+    /// A connection to a peer closed or could not be opened.
     PeerClosed {
         /// The peer's host.
         host: HostName,
     },
-    /// Operators asked this router to drain.
+    /// An operator asked this router to drain.
     DrainAsked,
-    /// Time passed. The driver sends one every `tick_micros`, and after a pause as soon as it can.
+    /// Time passed. The driver sends one every `tick_micros`, and after a pause as soon as
+    /// possible.
     Tick,
 }
 
@@ -207,10 +209,10 @@
 pub struct ListedRouter {
     /// Its host.
     pub host: HostName,
-    /// Its peer address.
+    /// IP address and port of its peer listener.
     pub address: SmolStr,
-    /// Its failure domain.
+    /// Its host's failure domain.
     pub domain: DomainName,
-    /// True if the list calls it leaving.
+    /// True if the list marks it as leaving.
     pub leaving: bool,
 }
--- a/src/core/finish.rs
+++ b/src/core/finish.rs
@@ -1,5 +1,5 @@
-//! The ways in which a request ends. Every system that ends a request calls one of these, so
-//! that each end is accounted once.
+//! Ending requests. Every system that ends a request calls a function of this module, so that
+//! the end of each request is accounted exactly once.
 
 use crate::units::RequestId;
 use crate::units::TimeSpan;
@@ -10,7 +10,7 @@
 use super::state::CoreState;
 use super::systems::tickets;
 
-/// The answer was passed on whole.
+/// Ends a request whose whole answer was passed on.
 pub fn complete(state: &mut CoreState, request: RequestId) {
     let Some(entry) = state.requests.remove(request) else {
         return;
@@ -19,7 +19,7 @@
     tickets::completed(state, entry.facts.repeat);
 }
 
-/// The request is refused or given up; its caller is told at once.
+/// Ends a request that is refused or given up, and answers its caller at once.
 pub fn refuse(
     state: &mut CoreState,
     request: RequestId,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! A driver calls [`RouterCore::handle`] with the time and one [`CoreEvent`] and carries out
 //! the returned [`CoreAction`]s in order. Two cores with the same identity, settings and seed
-//! that are told the same events at the same times return the same actions.
+//! that handle the same events at the same times return the same actions.
 //!
 //! Units: times are microseconds ([`Moment`]), service is weighted tokens or calls
-//! ([`crate::units::ServiceUnits`]). Times never go back; a driver that was paused passes the
-//! time as it is.
+//! ([`crate::units::ServiceUnits`]). Time never goes backwards; after a pause the driver passes
+//! the current time.
 
 pub mod action;
 pub mod event;
@@ -31,16 +31,17 @@
 use self::state::CoreState;
 use self::systems::CoreSystem;
 
-/// Who a router is. Comes from its local settings; the incarnation is drawn at start.
+/// Identity of a router. Read from its local settings, except for the incarnation, which is drawn
+/// at random at each start.
 #[derive(Debug, Clone)]
 pub struct RouterIdentity {
-    /// Its host.
+    /// The host it runs on.
     pub host: HostName,
-    /// This life of it.
+    /// Identifies this process; differs after each restart.
     pub incarnation: RouterIncarnation,
-    /// Its failure domain.
+    /// Its host's failure domain.
     pub domain: DomainName,
-    /// IP number and port of its peer listener, as peers shall dial it.
+    /// IP address and port at which peers connect to its peer listener.
     pub address: SmolStr,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl RouterCore {
-    /// Makes a core that knows nothing but itself. `seed` feeds all its randomness.
+    /// Creates a core that knows only its own identity. `seed` initialises its random generator.
     #[must_use]
     pub fn new(identity: RouterIdentity, config: CoreConfig, seed: u64) -> Self {
         Self {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Takes one event and returns what to do, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Moment, event: CoreEvent) -> Vec<CoreAction> {
         self.state.now = self.state.now.max(now);
         let mut queue = VecDeque::from([event]);
@@ -72,7 +73,7 @@
         self.state.take_actions()
     }
 
-    /// The state, for reports and tests.
+    /// Read access to the state, for reports and tests.
     #[must_use]
     pub fn state(&self) -> &CoreState {
         &self.state
--- a/src/core/share.rs
+++ b/src/core/share.rs
@@ -1,18 +1,18 @@
-//! Sharing out slots in proportion to weights. Pure arithmetic.
+//! Weighted max-min fair division of slots, as pure functions.
 
-/// One claimant of a share-out.
+/// One participant in a division of slots.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareClaim {
     /// Its weight; more than 0.
     pub weight: f64,
-    /// What it can use at most.
+    /// The most it can use.
     pub demand: f64,
 }
 
-/// Max-min fair shares of `total`: nobody gets more than its demand, and what that leaves goes
-/// to the others in proportion to their weights. Returns one share per claim.
+/// Computes weighted max-min fair shares of `total`: no claim gets more than its demand, and the
+/// unused part goes to the others in proportion to their weights. Returns one share per claim.
 ///
-/// Cost: `n log n` for `n` claims.
+/// Takes `O(n log n)` time for `n` claims.
 #[must_use]
 pub fn water_fill(total: f64, claims: &[ShareClaim]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..claims.len()).collect();
@@ -32,8 +32,8 @@
     shares
 }
 
-/// Whole numbers near `shares` that add up to at most `total`: each share rounded down, then
-/// the rest by largest fraction.
+/// Rounds `shares` to whole numbers that add up to at most `total`, by the largest remainder
+/// method.
 #[must_use]
 pub fn round_shares(total: u32, shares: &[f64]) -> Vec<u32> {
     let mut whole: Vec<u32> = shares.iter().map(|share| floor_to_u32(*share)).collect();
@@ -54,7 +54,7 @@
     value.max(0.0).floor() as u32
 }
 
-/// A share of slots as a whole number, rounded up; 0 if negative.
+/// Rounds a share of slots up to a whole number; 0 if negative.
 #[must_use]
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn ceil_to_u32(value: f64) -> u32 {
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -1,4 +1,4 @@
-//! Everything that a decision core knows, in tables.
+//! The complete state of a decision core, as tables.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,10 +38,10 @@
 use super::tables::tickets::TicketTable;
 use super::tables::trials::TrialTable;
 
-/// The tables of one router's core, and what its systems want done.
+/// The tables of one router's core, and the actions its systems have queued for the driver.
 #[derive(Debug)]
 pub struct CoreState {
-    /// Who this router is.
+    /// This router's identity.
     pub identity: RouterIdentity,
     /// Settings of the systems.
     pub config: CoreConfig,
@@ -51,56 +51,56 @@
     pub random: StdRng,
     /// The publication in force.
     pub catalog: Arc<FleetCatalog>,
-    /// Its text, to pass on to peers.
+    /// The text of the publication in force, to pass on to peers.
     pub publication_text: Bytes,
-    /// Which revisions peers have.
+    /// Publication revisions of peers, and the fetch in progress.
     pub publication_sync: PublicationSync,
-    /// Routers.
+    /// Members of the fleet.
     pub members: MemberTable,
-    /// What was seen of them.
+    /// Failure detection of members.
     pub detector: DetectorTable,
-    /// Endpoints.
+    /// Runtime state of endpoints.
     pub endpoints: EndpointTable,
-    /// Leaving endpoints to tell peers of.
+    /// Leaving endpoints to announce to peers.
     pub leaving_rumors: RumorQueue<EndpointId>,
     /// Requests that entered the fleet here.
     pub requests: RequestTable,
-    /// Crashes and suspects.
+    /// Endpoint crashes and the requests suspected of causing them.
     pub crashes: CrashTable,
-    /// Suspects that run apart.
+    /// Isolated runs of suspects.
     pub trials: TrialTable,
-    /// Tickets that this router minted.
+    /// Tickets that this process minted.
     pub tickets: TicketTable,
-    /// Pools as this router uses them.
+    /// Pools that this router uses as an entry router.
     pub entries: BTreeMap<PoolId, EntryPool>,
     /// Pools that this router owns.
     pub owned: BTreeMap<PoolId, OwnedPool>,
-    /// Orders to endpoints.
+    /// Model-load orders to endpoints.
     pub orders: OrderTable,
-    /// Limits of endpoints.
+    /// Concurrency limits of endpoints.
     pub slot_limits: SlotLimits,
-    /// Retries that teams have earned.
+    /// Retry budgets of teams.
     pub retry_budgets: RetryBudgets,
-    /// Requests that wait before a retry, by the end of their wait.
+    /// Requests in backoff before a retry, ordered by the end of the backoff.
     pub backoffs: BTreeSet<(Moment, RequestId)>,
-    /// Pools that something happened to in this event.
+    /// Pools touched by this event, for which waiting requests are dispatched and reports sent.
     pub woken: BTreeSet<PoolId>,
-    /// Bytes that urgent reports may still use.
+    /// Byte budget of urgent demand reports.
     pub report_budget: ByteBudget,
-    /// Bytes that allotments may still use.
+    /// Byte budget of allotments.
     pub allotment_budget: ByteBudget,
-    /// True once operators asked for a drain.
+    /// True once an operator asked for a drain.
     pub draining: bool,
-    /// Since when nothing is left to do in a drain.
+    /// Since when the draining router has had no work in flight.
     pub drain_quiet_since: Option<Moment>,
-    /// True once the driver was told that the drain is over.
+    /// True once the driver was informed that the drain is complete.
     pub drained: bool,
     actions: Vec<CoreAction>,
     loopback: Vec<PeerMessage>,
 }
 
 impl CoreState {
-    /// Empty tables.
+    /// Creates the state with empty tables.
     #[must_use]
     pub fn new(identity: RouterIdentity, config: CoreConfig, seed: u64) -> Self {
         Self {
@@ -136,12 +136,12 @@
         }
     }
 
-    /// Asks the driver for an action.
+    /// Queues an action for the driver.
     pub fn act(&mut self, action: CoreAction) {
         self.actions.push(action);
     }
 
-    /// Sends a message to a router; one to itself is handled after the current event.
+    /// Sends a message to a router. A message to this router is handled after the current event.
     pub fn send(&mut self, host: &HostName, body: PeerBody) {
         let message = PeerMessage::new(body);
         if *host == self.identity.host {
