--- a/src/core/tables/byte_budget.rs
+++ b/src/core/tables/byte_budget.rs
@@ -1,16 +1,16 @@
-//! A budget of bytes for control messages that are not sent at fixed intervals.
+//! Byte budget (token bucket) for control messages that are not sent at fixed intervals.
 
 use crate::units::Moment;
 
-/// Bytes of framing around a control message, reckoned in the budget.
+/// Framing overhead of a control message in bytes, charged to the budget.
 const FRAME_BYTES: i64 = 8;
 
-/// Bytes that may still be sent; filled up at a fixed rate, to one second's worth at most.
+/// A token bucket in bytes, refilled at a fixed rate up to one second's worth.
 ///
-/// A message may overdraw the budget; the debt is paid off before the next one, but for what is
-/// beyond one second's worth. Without the debt a budget that is filled by a few bytes a tick would let
-/// a whole message through every tick; with all of it, messages that go out whatever the budget says
-/// would close it for good.
+/// A message may overdraw the bucket; the debt must be paid off before the next message. Without
+/// the debt, a bucket refilled by a few bytes per tick would let a whole message through every
+/// tick. The debt is capped at one second's worth, because messages that are sent regardless of the
+/// budget would otherwise keep it closed forever.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ByteBudget {
     left: i64,
@@ -18,7 +18,7 @@
 }
 
 impl ByteBudget {
-    /// Adds what was earned since the last call.
+    /// Refills the bucket for the time since the last call.
     pub fn fill(&mut self, now: Moment, bytes_per_s: u64) {
         let earned = bytes_per_s.saturating_mul(now.since(self.filled_at).0) / 1_000_000;
         if earned == 0 {
@@ -30,13 +30,13 @@
         self.filled_at = now;
     }
 
-    /// Counts a message of this encoded length.
+    /// Charges a message of this encoded length in bytes, plus framing.
     pub fn spend(&mut self, encoded: usize) {
         let bytes = i64::try_from(encoded).unwrap_or(i64::MAX);
         self.left = self.left.saturating_sub(bytes.saturating_add(FRAME_BYTES));
     }
 
-    /// True if a message may be sent.
+    /// True if a message may be sent now.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.left > 0
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -1,5 +1,5 @@
-//! Endpoint crashes, the requests that were running in them, and lost attempts that may turn
-//! out to be part of one.
+//! Endpoint crashes, the requests that were running when they happened, and lost attempts that may
+//! be due to a crash.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,40 +12,41 @@
 use crate::units::RequestFingerprint;
 use crate::units::TimeSpan;
 
-/// What says that an endpoint crashed.
+/// How certain it is that an endpoint crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashProof {
-    /// Attempts were lost there before any router had read a life of it: a crash, or a lost link.
+    /// Attempts were lost there by a router that had not read the endpoint's `life` before: either
+    /// the endpoint crashed or the connection broke.
     Lacking,
-    /// Nothing listened there any more, or it had begun another life.
+    /// The endpoint refused connections, or its `life` changed.
     Seen,
 }
 
-/// One crash.
+/// A crash of an endpoint.
 #[derive(Debug, Clone)]
 pub struct CrashRecord {
-    /// The endpoint.
+    /// The endpoint that crashed.
     pub endpoint: EndpointId,
-    /// Its life that ended; 0 if this router never knew it.
+    /// The endpoint's `life` before the crash; 0 if unknown to this router.
     pub life: u64,
-    /// What says so.
+    /// How certain the crash is.
     pub proof: CrashProof,
-    /// When a sign of it was last seen.
+    /// When evidence of it was last received.
     pub seen_at: Moment,
-    /// What was running there, at any router.
+    /// Requests of any router that were running on the endpoint.
     pub suspects: BTreeSet<RequestFingerprint>,
-    /// Suspects that peers were not told of yet.
+    /// Suspects not yet announced to peers.
     pub untold: BTreeSet<RequestFingerprint>,
 }
 
-/// A request that was running in a crash.
+/// A request that was running on an endpoint when it crashed.
 #[derive(Debug, Clone, Default)]
 pub struct SuspectRow {
-    /// The crashes, by their number in the table.
+    /// Numbers of these crashes in the table.
     pub crashes: BTreeSet<u64>,
-    /// When it is forgotten.
+    /// When the row expires.
     pub until: Moment,
-    /// Until when it is refused, if it is.
+    /// End of its quarantine, if it was ever quarantined.
     pub refused_until: Option<Moment>,
 }
 
@@ -55,36 +56,37 @@
     fingerprint: RequestFingerprint,
 }
 
-/// All crashes and suspects that this router knows of. Bounded in number; the oldest go first.
+/// All crashes and suspects known to this router. Both are bounded in number; the oldest are
+/// removed first.
 #[derive(Debug, Default)]
 pub struct CrashTable {
     records: BTreeMap<u64, CrashRecord>,
     counted: u64,
     suspects: BTreeMap<RequestFingerprint, SuspectRow>,
     losses: BTreeMap<EndpointId, Vec<LostAttempt>>,
-    /// Requests of which other routers lost copies, and when they last told so.
+    /// Requests of which other routers lost copies, and when that was last reported.
     told_losses: BTreeMap<RequestFingerprint, Moment>,
-    /// Requests of which a copy was lost here and that peers were not told of yet.
+    /// Requests of which a copy was lost here, not yet announced to peers.
     pub untold_losses: BTreeSet<RequestFingerprint>,
-    /// Suspects that were answered whole and that peers were not told of yet.
+    /// Suspects cleared by a whole answer, not yet announced to peers.
     pub untold_innocents: BTreeSet<RequestFingerprint>,
-    /// Requests that are refused and that peers were not told of yet.
+    /// Newly quarantined requests, not yet announced to peers.
     pub untold_refusals: BTreeSet<RequestFingerprint>,
 }
 
 impl CrashTable {
-    /// Remembers an attempt that was lost.
+    /// Records an attempt that was lost at this router.
     pub fn note_loss(&mut self, endpoint: EndpointId, fingerprint: RequestFingerprint, at: Moment) {
         let losses = self.losses.entry(endpoint).or_default();
         losses.push(LostAttempt { at, fingerprint });
     }
 
-    /// Remembers that another router lost a copy of a request.
+    /// Records that another router lost a copy of a request.
     pub fn note_told_loss(&mut self, fingerprint: RequestFingerprint, at: Moment) {
         self.told_losses.insert(fingerprint, at);
     }
 
-    /// Takes the attempts lost on an endpoint since `oldest`.
+    /// Removes the lost attempts of an endpoint and returns those lost since `oldest`.
     pub fn take_losses(
         &mut self,
         endpoint: EndpointId,
@@ -99,14 +101,14 @@
             .collect()
     }
 
-    /// When an attempt was last lost on an endpoint without a sign of a crash since.
+    /// When an attempt was last lost on an endpoint, if the cause is still unknown.
     #[must_use]
     pub fn last_loss(&self, endpoint: EndpointId) -> Option<Moment> {
         self.losses.get(&endpoint)?.last().map(|loss| loss.at)
     }
 
-    /// True if a copy of a request was lost since `oldest`, here or at another router, and no sign
-    /// tells yet whether its endpoint crashed.
+    /// True if a copy of a request was lost since `oldest`, here or at another router, and it is
+    /// not known yet whether its endpoint crashed.
     #[must_use]
     pub fn is_in_doubt(&self, fingerprint: RequestFingerprint, oldest: Moment) -> bool {
         let told_at = self.told_losses.get(&fingerprint);
@@ -119,21 +121,21 @@
             .any(|loss| loss.fingerprint == fingerprint && loss.at >= oldest)
     }
 
-    /// True if attempts were lost on an endpoint and no sign of a crash was seen yet.
+    /// True if attempts were lost on an endpoint and the cause is not known yet.
     #[must_use]
     pub fn has_losses(&self, endpoint: EndpointId) -> bool {
         self.losses.contains_key(&endpoint)
     }
 
-    /// Endpoints with lost attempts.
+    /// Endpoints with lost attempts of unknown cause.
     #[must_use]
     pub fn lossy_endpoints(&self) -> Vec<EndpointId> {
         self.losses.keys().copied().collect()
     }
 
-    /// The crash of an endpoint of which a sign was seen within `window`, if any. Two routers may
-    /// see one crash, one of them without knowing which life ended: lives are told apart only if
-    /// both are known.
+    /// The number of the known crash of an endpoint to which new evidence belongs, if any. That is
+    /// one with the same `life`. Two routers may see the same crash, one of them without knowing
+    /// the `life`; so if either is unknown, it is one with evidence within `window`.
     #[must_use]
     pub fn find_record(
         &self,
@@ -175,17 +177,17 @@
         self.counted
     }
 
-    /// A crash.
+    /// Mutable access to a crash.
     pub fn record_mut(&mut self, number: u64) -> Option<&mut CrashRecord> {
         self.records.get_mut(&number)
     }
 
-    /// All crashes with their numbers.
+    /// Mutable access to all crashes, in order of number.
     pub fn records_mut(&mut self) -> impl Iterator<Item = &mut CrashRecord> {
         self.records.values_mut()
     }
 
-    /// Counts a request as running in a crash; true if it is refused from now on because of it.
+    /// Adds a request to the suspects of a crash; returns true if that puts it in quarantine.
     pub fn add_suspect(
         &mut self,
         number: u64,
@@ -207,8 +209,9 @@
         self.is_guilty(fingerprint, config) && self.refuse(fingerprint, now, config)
     }
 
-    /// True if a request ran in as many crashes as `config` asks for. One crash that lacks proof
-    /// counts, beside one that was seen: lost links alone refuse nobody.
+    /// True if a request was running in as many crashes as `config.crashes`. At most one unproven
+    /// crash counts, and only in addition to a proven one, so that broken connections alone never
+    /// quarantine a request.
     fn is_guilty(&self, fingerprint: RequestFingerprint, config: &QuarantineConfig) -> bool {
         let Some(row) = self.suspects.get(&fingerprint) else {
             return false;
@@ -223,7 +226,7 @@
         seen > 0 && seen + unseen.min(1) >= config.crashes as usize
     }
 
-    /// Takes note that a crash was seen after all; the suspects that are refused because of it.
+    /// Marks a crash as proven; returns the suspects that this puts in quarantine.
     pub fn prove(
         &mut self,
         number: u64,
@@ -247,8 +250,8 @@
             .collect()
     }
 
-    /// Refuses a request from now on; false if it was refused already. It stays a suspect for as
-    /// long again afterwards, so that one more crash is enough to refuse it anew.
+    /// Quarantines a request for `config.refuse_ms`; false if it was in quarantine already. It
+    /// stays a suspect for the same time afterwards, so that one more crash quarantines it again.
     pub fn refuse(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -263,21 +266,21 @@
         fresh
     }
 
-    /// Until when a request is refused, if it is.
+    /// The end of a request's quarantine, if it is in quarantine.
     #[must_use]
     pub fn refused_until(&self, fingerprint: RequestFingerprint, now: Moment) -> Option<Moment> {
         let until = self.suspects.get(&fingerprint)?.refused_until?;
         (until > now).then_some(until)
     }
 
-    /// True if a request is to run apart from other suspects.
+    /// True if a request is a suspect and must run in isolation.
     #[must_use]
     pub fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
         self.suspects.contains_key(&fingerprint)
     }
 
-    /// A suspect was answered whole: it is innocent, unless it is already refused. False if it was
-    /// no suspect or stays one.
+    /// Clears a suspect after a whole answer, unless it was quarantined. Returns false if it was no
+    /// suspect or remains one.
     pub fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
         let innocent = self
             .suspects
@@ -286,9 +289,10 @@
         innocent && self.suspects.remove(&fingerprint).is_some()
     }
 
-    /// Where a suspect shall run, in order of preference. All routers that know the same crash
-    /// work out the same, so that the suspects of one crash go to endpoints of their own, and all
-    /// copies of one request, wherever they were sent again, to one and the same.
+    /// The endpoints for the isolated run of a suspect, in order of preference. All routers that
+    /// know the same crash compute the same order, so that each suspect of a crash gets its own
+    /// endpoint if there are enough, and all copies of a request, at whichever router they arrive,
+    /// get the same one.
     #[must_use]
     pub fn places_for(
         &self,
@@ -321,7 +325,7 @@
         free
     }
 
-    /// Forgets what is old or too much.
+    /// Removes expired rows, and the oldest ones above the configured bounds.
     pub fn shrink(&mut self, now: Moment, config: &QuarantineConfig) {
         let evidence = TimeSpan::from_millis(config.evidence_ms);
         let suspicion = TimeSpan::from_millis(config.suspect_ms);
@@ -349,14 +353,14 @@
         }
     }
 
-    /// Suspects that are remembered.
+    /// Number of known suspects.
     #[must_use]
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 }
 
-/// Rendezvous order of the endpoints for one request, without the one that crashed.
+/// The endpoints in rendezvous order for one request, without the one that crashed.
 fn ranked_places(
     fingerprint: RequestFingerprint,
     endpoints: &[EndpointId],
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -1,4 +1,4 @@
-//! What this router has seen of others' life: contacts, suspicions, the ping under way.
+//! Failure detection state: last contacts, suspicions and the ping in progress.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,77 +10,78 @@
 use super::members::MemberState;
 use super::rumors::RumorQueue;
 
-/// What was seen of one router.
+/// Failure detection state of one router.
 #[derive(Debug, Default)]
 pub struct PeerWatch {
-    /// Last direct sign of life.
+    /// When this router last received a message or handshake from it directly.
     pub heard_at: Option<Moment>,
-    /// Since when it is suspected.
+    /// When the current suspicion began.
     pub suspect_since: Option<Moment>,
-    /// Who else suspects it.
+    /// Other routers that reported the same suspicion.
     pub confirmers: BTreeSet<HostName>,
-    /// Since when it can't be reached from here.
+    /// Since when this router lacks a connection to it that it wants to keep; cleared once the
+    /// member is marked as not reachable.
     pub lost_at: Option<Moment>,
-    /// Since when it is dead.
+    /// When it was declared dead.
     pub dead_since: Option<Moment>,
 }
 
-/// The ping under way.
+/// A ping that awaits its answer.
 #[derive(Debug)]
 pub struct PingRound {
-    /// The router that must answer.
+    /// The router that was pinged.
     pub target: HostName,
-    /// Ties the answer to it.
+    /// Sequence number that matches the answer to the ping.
     pub sequence: u32,
-    /// When it was sent.
+    /// When the ping was sent.
     pub sent_at: Moment,
-    /// True once others were asked to ping the target too.
+    /// True once other routers were asked to ping the target too.
     pub helped: bool,
 }
 
-/// A ping on behalf of another router.
+/// An indirect ping, sent on behalf of another router.
 #[derive(Debug)]
 pub struct RelayedPing {
-    /// Who asked.
+    /// The router that asked for it.
     pub asker: HostName,
-    /// The asker's sequence.
+    /// The asker's sequence number, to be used in the reply.
     pub sequence: u32,
-    /// When it is forgotten.
+    /// When it is discarded.
     pub expires: Moment,
 }
 
-/// Contacts, suspicions and pings.
+/// State of the failure detector and of the connections to other routers.
 #[derive(Debug)]
 pub struct DetectorTable {
-    /// One row a router.
+    /// Failure detection state per router.
     pub watches: BTreeMap<HostName, PeerWatch>,
-    /// Routers whose suspicion or loss runs towards a limit.
+    /// Routers with a running suspicion or reachability timeout.
     pub pending: BTreeSet<HostName>,
     /// Dead routers.
     pub dead: BTreeSet<HostName>,
-    /// Connections that this router keeps, and when each was last needed.
+    /// Routers to which this one keeps a connection open, and when each was last needed.
     pub wanted: BTreeMap<HostName, Moment>,
-    /// Routers that connected before any news named their address.
+    /// Routers that connected before their address was known from the host list or gossip.
     pub strangers: BTreeMap<HostName, RouterIncarnation>,
-    /// Routers still to be pinged in this turn, in random order.
+    /// Routers still to be pinged in the current pass over all routers, in random order.
     pub turn: Vec<HostName>,
-    /// The ping under way.
+    /// The ping that awaits its answer.
     pub round: Option<PingRound>,
     /// When the next ping is due.
     pub next_ping: Moment,
-    /// Sequence of the last ping.
+    /// Sequence number of the last ping.
     pub sequence: u32,
-    /// Pings on behalf of others, by this router's sequence.
+    /// Pings on behalf of other routers, by this router's sequence number.
     pub relays: BTreeMap<u32, RelayedPing>,
-    /// News of members.
+    /// Membership updates to gossip.
     pub rumors: RumorQueue<HostName>,
-    /// Lifeguard's local health: 0 if this router's own pings are answered in time.
+    /// Local health score as in Lifeguard: 0 while this router's own pings are answered in time.
     pub strain: u32,
-    /// When the last tick came.
+    /// Time of the last tick.
     pub last_tick: Moment,
-    /// What this router last told of itself.
+    /// The state of this router that it last announced.
     pub told_state: MemberState,
-    /// Member version that connections were last chosen for.
+    /// Version of the member table for which `wanted` was last updated.
     pub wanted_version: u64,
     /// Routers on the last host list.
     pub listed: BTreeSet<HostName>,
@@ -109,32 +110,32 @@
     }
 }
 
-/// Most that Lifeguard's local health stretches time limits by.
+/// Highest local health score. Timeouts are multiplied by the score plus one.
 const STRAIN_MOST: u32 = 4;
 
 impl DetectorTable {
-    /// The row of a router, made if new.
+    /// The row of a router, created if missing.
     pub fn watch(&mut self, host: &HostName) -> &mut PeerWatch {
         self.watches.entry(host.clone()).or_default()
     }
 
-    /// A number for a new ping.
+    /// Returns a sequence number for a new ping.
     pub fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
     }
 
-    /// A sign that this router itself is slow or cut off.
+    /// Raises the health score after an indication that this router itself is slow or isolated.
     pub fn strain(&mut self) {
         self.strain = (self.strain + 1).min(STRAIN_MOST);
     }
 
-    /// A sign that this router is well.
+    /// Lowers the health score after a ping was answered in time.
     pub fn relax(&mut self) {
         self.strain = self.strain.saturating_sub(1);
     }
 
-    /// Time limits are multiplied by this.
+    /// The factor by which timeouts are multiplied.
     #[must_use]
     pub fn patience(&self) -> u64 {
         u64::from(self.strain) + 1
--- a/src/core/tables/endpoints.rs
+++ b/src/core/tables/endpoints.rs
@@ -1,4 +1,4 @@
-//! What this router knows of endpoints beyond the publication.
+//! Runtime state of endpoints, beyond what the publication says.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,52 +7,53 @@
 use crate::units::Moment;
 use crate::units::PoolId;
 
-/// A system that needs an endpoint's load reports.
+/// A reason to poll an endpoint's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadWatcher {
-    /// The owner of a pool of the endpoint.
+    /// This router owns a pool of the endpoint.
     Owner,
-    /// A router that lost an attempt there and wants to know whether the endpoint crashed.
+    /// This router lost an attempt there and checks whether the endpoint crashed.
     CrashCheck,
-    /// A router that uses the endpoint and does not know yet which life of it.
+    /// This router uses the endpoint and has not read its `life` yet.
     FirstLife,
 }
 
-/// One endpoint.
+/// Runtime state of one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointState {
-    /// The pool it serves now, once it has said so.
+    /// The pool it serves according to its last load report; `None` before the first report.
     pub active: Option<PoolId>,
-    /// True once anybody said that this generation leaves. Never goes back to false for it.
+    /// True once the host list or a peer reported that this generation is leaving. Stays true for
+    /// the generation.
     pub leaving: bool,
-    /// True while the publication in force says that it leaves.
+    /// True while the publication in force marks it as leaving.
     pub published_leaving: bool,
-    /// The generation that the host list gave.
+    /// Its generation, as given by the host list.
     pub generation: u64,
-    /// Its life, from its last load report.
+    /// Identifies the endpoint's process, from its last load report; 0 if unknown.
     pub life: u64,
-    /// Highest fencing number that it said it obeyed.
+    /// Highest fencing token that it has reported.
     pub fence: u64,
-    /// Requests of all routers that it said it runs.
+    /// Running requests of all routers, from its last load report.
     pub reported_running: u32,
     /// When it last reported.
     pub reported_at: Option<Moment>,
-    /// Who reads its load.
+    /// Reasons for which this router polls its load.
     pub watchers: BTreeSet<LoadWatcher>,
-    /// No new work before this moment, after a failure to connect.
+    /// End of the backoff after a failed attempt; no new work is sent before.
     pub rest_until: Moment,
-    /// Failures to connect in a row.
+    /// Number of consecutive failed attempts.
     pub failures: u32,
 }
 
-/// All endpoints that were heard of.
+/// Runtime state of all known endpoints.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     rows: BTreeMap<EndpointId, EndpointState>,
 }
 
 impl EndpointTable {
-    /// The row of an endpoint, made if new.
+    /// The row of an endpoint, created if missing.
     pub fn row(&mut self, endpoint: EndpointId) -> &mut EndpointState {
         self.rows.entry(endpoint).or_default()
     }
@@ -63,7 +64,7 @@
         self.rows.get(&endpoint)
     }
 
-    /// True if the endpoint may be given new work now.
+    /// True if new work may be sent to the endpoint now.
     #[must_use]
     pub fn is_open(&self, endpoint: EndpointId, now: Moment) -> bool {
         self.rows
@@ -71,7 +72,7 @@
             .is_none_or(|row| !row.leaving && !row.published_leaving && row.rest_until <= now)
     }
 
-    /// All rows in id order.
+    /// All endpoints in order of id.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointId, &EndpointState)> {
         self.rows.iter().map(|(endpoint, row)| (*endpoint, row))
     }
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -1,5 +1,5 @@
-//! One pool as an entry router uses it: waiting requests, the slots it holds, and the order
-//! of teams that the pool's owner told it.
+//! An entry router's state of a pool: waiting requests, the slots it holds, and the order of teams
+//! according to the pool's owner.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,57 +14,57 @@
 use crate::units::ShareWeight;
 use crate::units::TeamId;
 
-/// Virtual time per service unit of a team of share 1.
+/// Virtual time of one service unit for a team of share 1.
 pub const VIRTUAL_SCALE: i64 = 1_000;
 
-/// Virtual time that a charge of service units stands for.
+/// Converts a charge in service units to virtual time.
 #[must_use]
 pub fn virtual_time(charge: i64, share: ShareWeight) -> i64 {
     charge.saturating_mul(VIRTUAL_SCALE) / i64::from(share.0.max(1))
 }
 
-/// The owner's incarnation as messages carry it.
+/// A router's incarnation as sent in messages, truncated to 32 bits.
 #[must_use]
 #[allow(clippy::cast_possible_truncation)]
 pub fn epoch_of(incarnation: RouterIncarnation) -> u32 {
     incarnation.0 as u32
 }
 
-/// Slots of one endpoint that this router holds.
+/// Slots of one endpoint held by this router.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotHold {
-    /// Held already when the owner's epoch began.
+    /// Slots already held when the owner's epoch began.
     pub carried: u32,
-    /// Granted since.
+    /// Slots granted since then.
     pub granted: u64,
-    /// Given back since.
+    /// Slots returned since then.
     pub returned: u64,
-    /// Running attempts here.
+    /// Number of running attempts of this router on the endpoint.
     pub busy: u32,
-    /// Sequence of the first report that tells `returned` as it is now.
+    /// Sequence number of the first report that carries the endpoint's current values.
     pub told_in: u64,
 }
 
 impl SlotHold {
-    /// Slots held now.
+    /// Number of slots held now.
     #[must_use]
     pub fn held(&self) -> u32 {
         let held = u64::from(self.carried) + self.granted - self.returned;
         u32::try_from(held).unwrap_or(u32::MAX)
     }
 
-    /// Slots held with nothing running on them.
+    /// Number of held slots without a running attempt.
     #[must_use]
     pub fn free(&self) -> u32 {
         self.held().saturating_sub(self.busy)
     }
 }
 
-/// A team's place among those that wait: teams below their quota first, then by virtual time
-/// less the credit of urgent requests.
+/// Sort key of waiting teams: teams below their quota first, then by virtual time less the credit
+/// for interactive requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TeamRank {
-    /// True if the team runs as many requests here as its quota.
+    /// True if the team's running attempts at this router have reached its quota.
     pub at_quota: bool,
     /// Virtual time less credit.
     pub time: i64,
@@ -73,87 +73,88 @@
 /// One team in one pool at this router.
 #[derive(Debug, Default)]
 pub struct TeamUsage {
-    /// What waits.
+    /// Waiting requests.
     pub queue: TeamQueue,
-    /// How fast what waits is started.
+    /// Estimates the wait of new requests.
     pub pace: StartPace,
-    /// Attempts that run.
+    /// Number of running attempts.
     pub running: u32,
-    /// Service charged since this router's start.
+    /// Service units charged since this router's start.
     pub charged: i64,
-    /// Virtual time that the owner told.
+    /// Virtual time according to the owner's last allotment.
     pub told: i64,
-    /// `charged` as the owner knew it when it told.
+    /// The value of `charged` that `told` includes.
     pub told_charged: i64,
-    /// Slots that the owner thinks fair here; none told yet if absent.
+    /// The team's fair number of slots at this router according to the owner; `None` if unknown.
     pub quota: Option<u32>,
-    /// `charged` as sent in reports that the owner has not acknowledged.
+    /// Report sequence numbers and the values of `charged` sent in them, from the last acknowledged
+    /// report on.
     pub sent_charges: Vec<(u64, i64)>,
-    /// Sequence of the first report that tells the numbers as they are now.
+    /// Sequence number of the first report that carries the current values.
     pub told_in: u64,
-    /// The place in `EntryPool::order`, if the team waits.
+    /// The team's key in `EntryPool::order`, if it has waiting requests.
     pub rank: Option<TeamRank>,
 }
 
-/// Which router owns the pool, as far as this router knows.
+/// The owner of a pool, as far as this router knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnerLink {
     /// Its host.
     pub host: HostName,
-    /// Its incarnation, truncated as on the wire.
+    /// Its incarnation, truncated as in messages.
     pub epoch: u32,
 }
 
-/// One pool at an entry router.
+/// State of one pool at an entry router.
 #[derive(Debug, Default)]
 #[allow(clippy::struct_excessive_bools)]
 pub struct EntryPool {
     /// The owner that this router reports to.
     pub owner: Option<OwnerLink>,
-    /// Member table version for which `owner` was worked out.
+    /// Version of the member table for which `owner` was determined.
     pub owner_version: u64,
-    /// Teams that used the pool here.
+    /// Teams that have used the pool at this router.
     pub teams: BTreeMap<TeamId, TeamUsage>,
-    /// Teams that wait here.
+    /// Teams with waiting requests, in the order in which they are served.
     pub order: BTreeSet<(TeamRank, TeamId)>,
-    /// Slots held here.
+    /// Slots held by this router, per endpoint.
     pub slots: BTreeMap<EndpointId, SlotHold>,
-    /// Endpoints with a free slot, by number of free slots.
+    /// Endpoints with free slots, ordered by the number of free slots.
     pub open: BTreeSet<(u32, EndpointId)>,
-    /// Slots that the owner wants this router to keep.
+    /// Number of slots that this router should keep according to the owner.
     pub target: u32,
-    /// Slots held in all.
+    /// Total number of slots held.
     pub held: u32,
-    /// Attempts running in all.
+    /// Total number of running attempts.
     pub busy: u32,
-    /// True while requests wait somewhere for lack of slots.
+    /// True while the pool's demand exceeds its slots according to the owner.
     pub scarce: bool,
-    /// The pool's virtual time that the owner told.
+    /// The pool's virtual time according to the owner.
     pub clock: i64,
-    /// Counts how often this router turned to an owner anew.
+    /// Number of times that this router restarted its slot counts with an owner.
     pub term: u32,
-    /// Sequence of the last report sent.
+    /// Sequence number of the last report sent.
     pub report_sequence: u64,
-    /// Highest report sequence that the owner acknowledged.
+    /// Highest report sequence number that the owner acknowledged.
     pub report_acked: u64,
-    /// Highest allotment sequence seen.
+    /// Highest allotment sequence number received.
     pub allotment_seen: u64,
     /// When the last report was sent.
     pub reported_at: Moment,
-    /// True if the owner should know soon that slots came back.
+    /// True if an early report is due, for example because slots were returned.
     pub urgent: bool,
-    /// True if a team began to wait since the last report.
+    /// True if a team started to wait since the last report.
     pub wants: bool,
     /// True if anything changed since the last report.
     pub changed: bool,
-    /// Endpoint that last ran a request with this prefix.
+    /// The endpoint that last ran a request with a prefix, by prefix hash.
     pub prefixes: BTreeMap<u64, EndpointId>,
-    /// Waiting requests in all.
+    /// Total number of waiting requests.
     pub waiting: u32,
 }
 
 impl EntryPool {
-    /// Changes the slots held on an endpoint and keeps the sums and the open list right.
+    /// Changes the slots held on an endpoint and updates the totals and `open`.
     pub fn change_slots(&mut self, endpoint: EndpointId, change: impl FnOnce(&mut SlotHold)) {
         let hold = self.slots.entry(endpoint).or_default();
         let before = (hold.held(), hold.busy, hold.free());
@@ -170,7 +171,7 @@
         self.changed = true;
     }
 
-    /// Gives one free slot of an endpoint back to the owner.
+    /// Returns one free slot of an endpoint to the owner.
     pub fn give_back(&mut self, endpoint: EndpointId) {
         let next = self.report_sequence + 1;
         self.change_slots(endpoint, |hold| {
@@ -180,7 +181,7 @@
         self.urgent = true;
     }
 
-    /// Adds a charge to a team.
+    /// Charges a team `amount` service units.
     pub fn charge(&mut self, team: TeamId, amount: i64) {
         let next = self.report_sequence + 1;
         let usage = self.teams.entry(team).or_default();
@@ -189,15 +190,15 @@
         self.changed = true;
     }
 
-    /// Notes that a team's waiting or running numbers moved.
+    /// Marks a team's number of waiting or running requests as changed since the last report.
     pub fn touch(&mut self, team: TeamId) {
         let next = self.report_sequence + 1;
         self.teams.entry(team).or_default().told_in = next;
         self.changed = true;
     }
 
-    /// A team's virtual time as this router knows it: what the owner told plus what was charged
-    /// here since.
+    /// A team's virtual time as known to this router: the owner's value plus the charges at this
+    /// router that it does not include.
     #[must_use]
     pub fn local_time(&self, team: TeamId, share: ShareWeight) -> i64 {
         let Some(usage) = self.teams.get(&team) else {
@@ -206,7 +207,8 @@
         usage.told + virtual_time(usage.charged - usage.told_charged, share)
     }
 
-    /// Puts a team at its place in the order, or takes it out if nothing waits.
+    /// Updates a team's position in the order, or removes the team if it has no waiting requests.
+    /// `express` is the credit for interactive requests in virtual time.
     pub fn rank(&mut self, team: TeamId, share: ShareWeight, express: i64) {
         let time = self.local_time(team, share);
         let Some(usage) = self.teams.get_mut(&team) else {
@@ -219,8 +221,8 @@
             return;
         }
         let credit = if usage.queue.is_urgent() { express } else { 0 };
-        // Costs are known only at the end: a team whose requests turn out dear would hold far
-        // more than its part of the slots before its charges show. Its quota stops that.
+        // The cost of a request is known only at its end. Without the quota, a team with expensive
+        // requests would take far more than its share of the slots before it is charged for them.
         let rank = TeamRank {
             at_quota: usage.quota.is_some_and(|quota| usage.running >= quota),
             time: time - credit,
@@ -229,7 +231,7 @@
         self.order.insert((rank, team));
     }
 
-    /// Requests that run or wait here for a team.
+    /// Number of a team's requests that run or wait at this router.
     #[must_use]
     pub fn demand_of(&self, team: TeamId) -> u32 {
         self.teams.get(&team).map_or(0, |usage| {
@@ -237,7 +239,7 @@
         })
     }
 
-    /// Remembers where a prefix ran; forgets an arbitrary one above `most`.
+    /// Records the endpoint that ran a prefix; above `most` prefixes, removes an arbitrary one.
     pub fn remember_prefix(&mut self, prefix: u64, endpoint: EndpointId, most: usize) {
         if prefix == 0 {
             return;
@@ -249,7 +251,7 @@
     }
 }
 
-/// A request taken from a queue, with its team.
+/// A request taken from a queue for dispatch, with its team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextRequest {
     /// The request.
--- a/src/core/tables/members.rs
+++ b/src/core/tables/members.rs
@@ -1,4 +1,4 @@
-//! The routers of the fleet as this router sees them.
+//! This router's view of the routers in the fleet.
 
 use std::collections::BTreeMap;
 
@@ -12,53 +12,54 @@
 use crate::units::RequestFingerprint;
 use crate::units::RouterIncarnation;
 
-/// What a router is taken to be.
+/// Membership state of a router. The order is used to merge gossip: a later variant takes
+/// precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// It responds.
     Alive,
-    /// It did not answer lately; it still counts as a member.
+    /// It failed to respond recently but still counts as a member.
     Suspect,
-    /// It drains: no new work goes to it and it owns nothing.
+    /// It is draining: it gets no new work, and owns no pools as long as there is a live router.
     Leaving,
-    /// It is gone.
+    /// It is considered failed.
     Dead,
 }
 
-/// One router.
+/// A router as known to this one.
 #[derive(Debug, Clone)]
 pub struct MemberEntry {
-    /// Its life; `None` until a handshake or gossip named it.
+    /// Its incarnation; `None` until known from a handshake or gossip.
     pub incarnation: Option<RouterIncarnation>,
-    /// What it is taken to be.
+    /// Its membership state.
     pub state: MemberState,
-    /// Raised by the member itself to refute a suspicion.
+    /// Incremented by the member itself to refute a suspicion.
     pub refutation: u32,
-    /// IP number and port of its peer listener.
+    /// IP address and port of its peer listener.
     pub address: SmolStr,
-    /// Its failure domain.
+    /// Its host's failure domain.
     pub domain: DomainName,
     /// True while a connection to it is open.
     pub connected: bool,
-    /// False once this router could not connect to it for the time of a suspicion. Others may
-    /// still reach it; for this router it owns nothing.
+    /// False once this router has been unable to connect to it for the suspicion timeout. Others
+    /// may still reach it, but this router no longer treats it as an owner of pools.
     pub reachable: bool,
 }
 
-/// What a piece of news says of a router, in the order in which news outdoes news: a later
-/// incarnation, then a later refutation, then the worse state.
+/// A gossiped claim about a router's state. The greater claim takes precedence: a later
+/// incarnation first, then a later refutation, then the worse state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberRank {
-    /// The life that it is about.
+    /// The incarnation that the claim is about.
     pub incarnation: RouterIncarnation,
-    /// That life's refutation count.
+    /// Refutation count of that incarnation.
     pub refutation: u32,
-    /// What it says.
+    /// The claimed state.
     pub state: MemberState,
 }
 
 impl MemberEntry {
-    /// What is known, as news; `None` for a router that only the host list named.
+    /// The known state as a claim for gossip; `None` for a router known only from the host list.
     #[must_use]
     pub fn rank(&self) -> Option<MemberRank> {
         Some(MemberRank {
@@ -70,14 +71,15 @@
 }
 
 impl MemberRank {
-    /// What is known after two pieces of news, in whatever order and however often they come.
+    /// Merges two claims. Commutative, associative and idempotent, so the order and repetition of
+    /// gossip do not matter.
     #[must_use]
     pub fn merge(self, other: Self) -> Self {
         self.max(other)
     }
 }
 
-/// All routers that were heard of, this one included.
+/// All known routers, including this one.
 #[derive(Debug)]
 pub struct MemberTable {
     rows: BTreeMap<HostName, MemberEntry>,
@@ -85,7 +87,7 @@
 }
 
 impl MemberTable {
-    /// A table that holds only this router.
+    /// Creates a table that holds only this router.
     #[must_use]
     pub fn new(identity: &RouterIdentity) -> Self {
         let entry = MemberEntry {
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Changes a row through `change` and counts a new version if that row differs afterwards
-    /// in what decides ownership.
+    /// Applies `change` to a row and increments the version if a field that decides ownership has
+    /// changed.
     pub fn change(&mut self, host: &HostName, change: impl FnOnce(&mut MemberEntry)) {
         let Some(row) = self.rows.get_mut(host) else {
             return;
@@ -116,43 +118,43 @@
         }
     }
 
-    /// Adds a router, or replaces what was known of it.
+    /// Adds a router, or replaces its row.
     pub fn insert(&mut self, host: HostName, entry: MemberEntry) {
         self.rows.insert(host, entry);
         self.version += 1;
     }
 
-    /// Forgets a router.
+    /// Removes a router.
     pub fn remove(&mut self, host: &HostName) {
         if self.rows.remove(host).is_some() {
             self.version += 1;
         }
     }
 
-    /// Routers that were heard of, this one and dead ones included.
+    /// Number of known routers, including this one and dead ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// True if no router is known; never so, since this one is.
+    /// True if no router is known. Always false, because this router is in the table.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// A router.
+    /// The row of a router, if known.
     #[must_use]
     pub fn get(&self, host: &HostName) -> Option<&MemberEntry> {
         self.rows.get(host)
     }
 
-    /// All routers in name order.
+    /// All routers in order of host name.
     pub fn iter(&self) -> impl Iterator<Item = (&HostName, &MemberEntry)> {
         self.rows.iter()
     }
 
-    /// Grows whenever ownership may change.
+    /// Version of the table; increases whenever ownership may have changed.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -166,14 +168,15 @@
             .is_some_and(|row| row.reachable && row.state <= MemberState::Suspect)
     }
 
-    /// The owner of a pool: the live router of the highest hash (rendezvous hashing). While no
-    /// router is live, a leaving one owns, so that what still waits there is served.
+    /// The owner of a pool: the live router with the highest hash (rendezvous hashing). If no
+    /// router is live, a leaving one is the owner, so that requests still waiting there are served.
     #[must_use]
     pub fn owner_of(&self, pool: PoolId) -> Option<&HostName> {
         self.first_for(u64::from(pool.0))
     }
 
-    /// The router that lends the right to run copies of a request apart, one at a time.
+    /// The router that grants leases for isolated runs of a request, one copy at a time. Chosen by
+    /// rendezvous hashing.
     #[must_use]
     pub fn home_of(&self, fingerprint: RequestFingerprint) -> Option<&HostName> {
         self.first_for(fingerprint.0)
--- a/src/core/tables/mod.rs
+++ b/src/core/tables/mod.rs
@@ -1,4 +1,4 @@
-//! The tables of the decision core: entities as rows, no decisions.
+//! The tables of the decision core. They hold state; the decisions are made by the systems.
 
 pub mod byte_budget;
 pub mod crashes;
--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints, and what a router must know to give them.
+//! Model-load orders to endpoints, and the state needed to decide on them.
 
 use std::collections::BTreeMap;
 
@@ -10,50 +10,51 @@
 use crate::units::RouterIncarnation;
 use crate::units::TimeSpan;
 
-/// One load of a model, in the unit of the store's budget.
+/// Cost of one model load in units of [`LoadBudget`]: microseconds times loads per minute.
 const ONE_LOAD: u64 = 60_000_000;
 
-/// An order that the endpoint has not followed yet.
+/// An order that the endpoint has not carried out yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenOrder {
-    /// The pool whose model it shall load.
+    /// The pool whose model it must load.
     pub pool: PoolId,
-    /// Its number.
+    /// The order's fencing token.
     pub fence: FenceNumber,
     /// When it was last sent.
     pub sent_at: Moment,
 }
 
-/// What an endpoint serves, and since when as far as this router saw.
+/// The pool that an endpoint serves, and since when according to the load reports seen here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Residence {
     /// The pool.
     pub pool: PoolId,
-    /// When this router first saw it there.
+    /// When this router first saw the endpoint serve it.
     pub since: Moment,
 }
 
-/// The highest number that an endpoint reports, and when this router first saw it.
+/// The highest fencing token that an endpoint has reported, and when this router first saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SeenFence {
-    /// The number.
+    /// The fencing token.
     pub fence: u64,
     /// When it was first seen.
     pub since: Moment,
 }
 
-/// This router's part of the weight store's rate.
+/// This router's part of the rate at which models may be loaded from the weight store, as a token
+/// bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadBudget {
     saved: u64,
     refilled: Moment,
-    /// Most hosts that this router ever knew of; the rate is split by it.
+    /// The largest number of hosts that this router has ever known; the rate is divided by it.
     pub hosts: u64,
 }
 
 impl LoadBudget {
-    /// Adds what was earned since the last call; one load is saved up at most. It starts empty,
-    /// so that restarts earn nothing.
+    /// Refills the bucket for the time since the last call, up to one load. The bucket starts
+    /// empty, so that restarts gain nothing.
     pub fn refill(&mut self, now: Moment, loads_per_minute: u32) {
         let passed = now.since(self.refilled).0;
         self.refilled = now;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Spends one load; false if none is saved.
+    /// Spends one load; returns false if the bucket does not hold one.
     pub fn spend(&mut self) -> bool {
         if self.saved < ONE_LOAD {
             return false;
@@ -72,45 +73,46 @@
     }
 }
 
-/// All of it.
+/// State of model-load orders at this router.
 #[derive(Debug, Default)]
 pub struct OrderTable {
-    /// Pools that this router owns, and since when without a pause.
+    /// Pools that this router owns, and since when without a pause of its process.
     pub owner_since: BTreeMap<PoolId, Moment>,
-    /// Owned pools that lack slots, and since when.
+    /// Owned pools whose demand exceeds their slots, and since when.
     pub scarce_since: BTreeMap<PoolId, Moment>,
-    /// When a pool's last wish was sent.
+    /// When a wish for an endpoint was last sent on behalf of a pool.
     pub wished_at: BTreeMap<PoolId, Moment>,
-    /// Orders that were not followed yet.
+    /// Orders that were not carried out yet.
     pub open: BTreeMap<EndpointId, OpenOrder>,
-    /// What endpoints serve.
+    /// Pools that endpoints serve.
     pub residences: BTreeMap<EndpointId, Residence>,
-    /// Numbers that endpoints report.
+    /// Fencing tokens that endpoints report.
     pub fences: BTreeMap<EndpointId, SeenFence>,
-    /// The store's budget.
+    /// Budget of loads from the weight store.
     pub budget: LoadBudget,
-    /// When the last tick came.
+    /// Time of the last tick.
     pub ticked_at: Moment,
 }
 
-/// The part of a fencing number that tells router lives apart.
+/// The part of a fencing token that identifies the router incarnation.
 #[must_use]
 #[allow(clippy::cast_possible_truncation)]
 pub fn fence_tag(life: RouterIncarnation) -> u32 {
     (life.0 ^ (life.0 >> 32)) as u32
 }
 
-/// The tag in a fencing number.
+/// Extracts the incarnation tag from a fencing token.
 #[must_use]
 #[allow(clippy::cast_possible_truncation)]
 pub fn tag_of(fence: u64) -> u32 {
     fence as u32
 }
 
-/// The number for a router life's next order: its term is at least the publication's revision
-/// and the term that the endpoint reports, and above that one if another life gave it. Two lives
-/// never give the same number, so an endpoint that checks obeys, after one life's order, no
-/// order of another life that was decided without knowing of it.
+/// The fencing token for the next order of a router incarnation. Its term is at least the
+/// publication's revision and the term that the endpoint reports, and greater than the latter if
+/// that token came from another incarnation. Two incarnations never issue the same token, so once
+/// an endpoint that checks tokens has followed an order of one incarnation, it rejects orders that
+/// another one issued without knowing of it.
 #[must_use]
 pub fn next_fence(revision: ConfigRevision, reported: u64, life: RouterIncarnation) -> FenceNumber {
     let tag = fence_tag(life);
@@ -124,7 +126,7 @@
 }
 
 impl OrderTable {
-    /// True if the endpoint has served what it serves for at least this long.
+    /// True if the endpoint has served its current pool for at least `least`.
     #[must_use]
     pub fn is_settled(&self, endpoint: EndpointId, now: Moment, least: TimeSpan) -> bool {
         self.residences
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -1,5 +1,5 @@
-//! One pool as its owner sees it: who demands what, who holds which slots, and each team's
-//! virtual time.
+//! The owner's state of a pool: demand and slots of each entry router, and the virtual time of each
+//! team.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,29 +14,29 @@
 /// Demand of one team at one entry router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TeamDemand {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Attempts that run.
+    /// Number of running attempts.
     pub running: u32,
-    /// Service charged there, as last reported.
+    /// Service charged at the entry router since its start, as last reported, in `CHARGE_STEP`s.
     pub charged: i64,
 }
 
-/// Slots of one endpoint at one entry router.
+/// Slots of one endpoint that are assigned to one entry router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotClaim {
-    /// Held when the epoch began.
+    /// Slots held when the epoch began.
     pub carried: u32,
-    /// Granted since.
+    /// Slots granted since then.
     pub granted: u64,
-    /// Given back since, as last reported.
+    /// Slots returned since then, as last reported.
     pub returned: u64,
-    /// Sequence of the first allotment that tells `granted` as it is now.
+    /// Sequence number of the first allotment with the current value of `granted`.
     pub told_in: u64,
 }
 
 impl SlotClaim {
-    /// Slots that the entry router may be using.
+    /// Slots that the entry router may still be using.
     #[must_use]
     pub fn held(&self) -> u32 {
         let held = (u64::from(self.carried) + self.granted).saturating_sub(self.returned);
@@ -44,45 +44,45 @@
     }
 }
 
-/// One entry router's part of the pool.
+/// The owner's state of one entry router in the pool.
 #[derive(Debug, Clone)]
 pub struct MemberClaim {
-    /// Its life. A new life starts a new claim.
+    /// Its incarnation. A new incarnation starts a new claim.
     pub incarnation: RouterIncarnation,
-    /// Highest report sequence taken in.
+    /// Sequence number of the newest report processed.
     pub report_seen: u64,
-    /// `report_seen` as told in the last allotment.
+    /// `report_seen` as acknowledged in the last allotment.
     pub report_told: u64,
-    /// When its last report came.
+    /// When its newest report arrived.
     pub heard_at: Moment,
-    /// Highest allotment sequence that it acknowledged.
+    /// Highest allotment sequence number that it acknowledged.
     pub allotment_acked: u64,
-    /// Sequence of the last allotment sent.
+    /// Sequence number of the last allotment sent.
     pub allotment_sequence: u64,
     /// The term that its slot counts belong to.
     pub term: u32,
-    /// Its teams.
+    /// Its demand per team.
     pub teams: BTreeMap<TeamId, TeamDemand>,
-    /// Its slots.
+    /// Its slots per endpoint.
     pub slots: BTreeMap<EndpointId, SlotClaim>,
-    /// True once it said that it drains.
+    /// True if its newest report says that it is draining.
     pub draining: bool,
-    /// Slots that its part of each team's share comes to.
+    /// Its part of each team's fair share, in slots.
     pub quotas: BTreeMap<TeamId, f64>,
-    /// Slots that it shall keep.
+    /// Number of slots that it should keep.
     pub target: u32,
     /// `target` and `scarce` as last sent.
     pub sent: Option<(u32, bool)>,
-    /// Slots it may be using in all.
+    /// Total number of slots that it may be using.
     pub held: u32,
     /// When the last allotment was sent.
     pub told_at: Moment,
-    /// True if a grant or a lower target has to be told soon.
+    /// True if the next allotment is due at once, because of a grant.
     pub urgent: bool,
 }
 
 impl MemberClaim {
-    /// A claim of a router that was not heard of in this epoch.
+    /// Creates the claim of a router that has not reported in this epoch.
     #[must_use]
     pub fn new(incarnation: RouterIncarnation) -> Self {
         Self {
@@ -105,13 +105,13 @@
         }
     }
 
-    /// Requests waiting there.
+    /// Requests waiting at the entry router.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.teams.values().map(|demand| demand.waiting).sum()
     }
 
-    /// Requests waiting or running there.
+    /// Requests waiting or running at the entry router.
     #[must_use]
     pub fn demand(&self) -> u32 {
         self.teams
@@ -121,60 +121,60 @@
     }
 }
 
-/// What is kept of an entry router that is gone, should the same life of it come back.
+/// State kept of a removed entry router in case the same incarnation comes back.
 #[derive(Debug, Clone)]
 pub struct GoneMember {
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: RouterIncarnation,
-    /// Service charged there per team, as last reported.
+    /// Service charged there per team, as last reported, in `CHARGE_STEP`s.
     pub charged: BTreeMap<TeamId, i64>,
 }
 
-/// One team's account in the pool.
+/// Fairness account of one team in the pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TeamAccount {
-    /// Virtual time: service over share, in `VIRTUAL_SCALE` units.
+    /// Virtual time: service divided by share, times `VIRTUAL_SCALE`.
     pub time: i64,
-    /// Since when it waits anywhere without a break.
+    /// Since when it has had waiting requests at some router without interruption.
     pub waits_since: Option<Moment>,
 }
 
-/// One owned pool.
+/// A pool owned by this router.
 #[derive(Debug)]
 pub struct OwnedPool {
-    /// The owner grants nothing before this moment.
+    /// No slots are granted before this time.
     pub settles_at: Moment,
-    /// Entry routers.
+    /// Claims of the entry routers.
     pub members: BTreeMap<HostName, MemberClaim>,
-    /// Entry routers that are gone; one entry a host, so it is bounded by the host list.
+    /// Removed entry routers; one entry per host, so the size is bounded by the host list.
     pub gone: BTreeMap<HostName, GoneMember>,
-    /// Teams.
+    /// Accounts of the teams.
     pub accounts: BTreeMap<TeamId, TeamAccount>,
-    /// The pool's virtual time: the mean of service over share of the teams that have waited for
-    /// a while, weighted by share. Never falls.
+    /// Virtual time of the pool: the mean virtual time, weighted by share, of the teams that have
+    /// been waiting for a while. Never decreases.
     pub clock: i64,
-    /// Virtual time that the clock gains a second, smoothed.
+    /// Smoothed rate of the clock, in virtual time per second.
     pub pace: f64,
-    /// Limits of the endpoints.
+    /// Slot limit per endpoint.
     pub limits: BTreeMap<EndpointId, u32>,
-    /// Slots held by all entry routers, per endpoint.
+    /// Slots held by all entry routers together, per endpoint.
     pub claimed: BTreeMap<EndpointId, u32>,
-    /// Endpoints with slots that nobody holds, by number of such slots.
+    /// Endpoints with slots that no router holds, ordered by the number of such slots.
     pub vacant: BTreeSet<(u32, EndpointId)>,
-    /// When slots were last shared out.
+    /// When targets and grants were last computed.
     pub shared_at: Moment,
-    /// When slots that nobody waits for were last spread over the entry routers.
+    /// When spare slots were last distributed over entry routers without waiting requests.
     pub spread_at: Moment,
-    /// Bytes that its allotments may still use out of its own part.
+    /// This pool's own part of the byte budget of allotments.
     pub budget: ByteBudget,
-    /// True if slots should be shared out soon.
+    /// True if targets and grants should be computed soon.
     pub urgent: bool,
-    /// True while requests wait for lack of slots.
+    /// True while the demand exceeds the pool's slots.
     pub scarce: bool,
 }
 
 impl OwnedPool {
-    /// A pool that this router begins to own.
+    /// Creates the state of a pool that this router starts to own.
     #[must_use]
     pub fn new(settles_at: Moment) -> Self {
         Self {
@@ -218,7 +218,7 @@
         });
     }
 
-    /// Counts slots of an endpoint as held by somebody, or no longer.
+    /// Replaces `before` by `after` in the number of an endpoint's slots that are held.
     pub fn move_claimed(&mut self, endpoint: EndpointId, before: u32, after: u32) {
         self.change_vacancy(endpoint, |pool| {
             let claimed = pool.claimed.entry(endpoint).or_default();
@@ -226,7 +226,7 @@
         });
     }
 
-    /// Changes one member's claim on an endpoint and keeps all sums right.
+    /// Changes one member's claim on an endpoint and updates the totals.
     pub fn change_claim(
         &mut self,
         host: &HostName,
@@ -244,7 +244,7 @@
         self.move_claimed(endpoint, before, after);
     }
 
-    /// Forgets an entry router that is gone; its slots can be granted again.
+    /// Removes an entry router and frees its slots for new grants.
     pub fn drop_member(&mut self, host: &HostName) {
         let Some(member) = self.members.remove(host) else {
             return;
@@ -263,11 +263,11 @@
         self.urgent = true;
     }
 
-    /// The claim of an entry router, made if there is none.
+    /// The claim of an entry router, created if missing.
     ///
-    /// A router that was out of reach comes back with what it rendered meanwhile in its charges.
-    /// Its earlier charges are remembered, so that the difference counts and teams that were
-    /// served more on the other side of a partition fall back behind the others.
+    /// After a partition, a router's charges include the service it provided meanwhile. Its earlier
+    /// charges are kept so that the difference is counted, and teams that were served more on the
+    /// other side of the partition rank behind the others.
     pub fn claim_of(
         &mut self,
         host: &HostName,
@@ -289,7 +289,7 @@
         })
     }
 
-    /// Waiting and running requests of each team over all entry routers; charges are not added.
+    /// Waiting and running requests of each team, summed over all entry routers. `charged` stays 0.
     #[must_use]
     pub fn team_demands(&self) -> BTreeMap<TeamId, TeamDemand> {
         let mut demands: BTreeMap<TeamId, TeamDemand> = BTreeMap::new();
@@ -303,7 +303,7 @@
         demands
     }
 
-    /// Slots of all endpoints.
+    /// Total of the slot limits of all endpoints.
     #[must_use]
     pub fn total(&self) -> u32 {
         self.limits.values().sum()
--- a/src/core/tables/publication_sync.rs
+++ b/src/core/tables/publication_sync.rs
@@ -1,4 +1,4 @@
-//! Which revisions peers have, and how fresh the fleet's knowledge is.
+//! Publication revisions of peers, and how recently the configuration service was read.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,58 +7,59 @@
 use crate::units::HostName;
 use crate::units::Moment;
 
-/// Refused revisions that are remembered at most.
+/// Maximum number of rejected revisions that are remembered.
 const REFUSED_MOST: usize = 32;
 
-/// The question for a publication that is under way.
+/// A fetch of a publication from a peer that is in progress.
 #[derive(Debug)]
 pub struct PublicationFetch {
-    /// The peer that was asked.
+    /// The peer it is fetched from.
     pub host: HostName,
-    /// The revision that it told.
+    /// The revision that the peer announced or sent.
     pub revision: ConfigRevision,
-    /// When it was asked.
+    /// When the request was sent.
     pub asked_at: Moment,
 }
 
-/// What this router knows of the newest publication.
+/// How up to date this router's publication is known to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigKnowledge {
-    /// No publication is known.
+    /// The router has no publication.
     Nothing,
-    /// A peer has a newer one that is not here yet.
+    /// A peer has a newer publication that this router has not adopted yet.
     Behind,
-    /// The service has not answered anyone lately: there may be a newer one.
+    /// No known router got an answer from the configuration service recently, so a newer
+    /// publication may exist.
     Uncertain,
-    /// The service answered lately and nobody has a newer one.
+    /// The service answered recently and no peer has a newer publication.
     Current,
 }
 
-/// Revisions of peers, the fetch under way, and when the service last answered.
+/// Revisions of peers, the fetch in progress, and when the configuration service last answered.
 #[derive(Debug, Default)]
 pub struct PublicationSync {
-    /// The revision that each connected peer told last.
+    /// The revision that each connected peer last announced.
     pub told: BTreeMap<HostName, ConfigRevision>,
-    /// The question under way; never more than one.
+    /// The fetch in progress; at most one at a time.
     pub fetch: Option<PublicationFetch>,
-    /// Revisions that were refused for their faults.
+    /// Revisions that were rejected as invalid.
     pub refused: BTreeSet<ConfigRevision>,
-    /// When the service last answered any router that this one knows of.
+    /// When the configuration service last answered this router or, as known from gossip, another.
     pub service_seen: Option<Moment>,
-    /// Whether this router watches the service, once decided.
+    /// Whether this router watches the configuration service; `None` before the first decision.
     pub watching: Option<bool>,
-    /// The member version for which that was decided.
+    /// Version of the member table for which `watching` was decided.
     pub watch_version: u64,
     /// When this router started.
     pub started: Option<Moment>,
-    /// True once a host list was read.
+    /// True once a host list was received.
     pub listed: bool,
-    /// True once it may serve. Stays so.
+    /// True once this router may serve requests; never reset.
     pub ready: bool,
 }
 
 impl PublicationSync {
-    /// Remembers that a revision was refused, so that it is not asked for again.
+    /// Records a rejected revision so that it is not fetched again.
     pub fn refuse(&mut self, revision: ConfigRevision) {
         self.refused.insert(revision);
         while self.refused.len() > REFUSED_MOST {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The peer with the highest revision above `current` that was not refused.
+    /// The peer with the highest revision above `current` that was not rejected.
     #[must_use]
     pub fn best_source(&self, current: ConfigRevision) -> Option<(HostName, ConfigRevision)> {
         self.told
--- a/src/core/tables/requests.rs
+++ b/src/core/tables/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that entered the fleet at this router and have not ended.
+//! Unfinished requests that entered the fleet at this router.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,60 +11,60 @@
 use crate::units::Moment;
 use crate::units::RequestId;
 
-/// Where a request stands.
+/// Stage of a request's processing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStage {
     /// Just arrived; no system has decided yet.
     New,
     /// In its team's queue.
     Waiting,
-    /// Waits before a retry.
+    /// In backoff before a retry, until this time.
     Backoff(Moment),
-    /// An attempt runs.
+    /// An attempt is running.
     Running {
-        /// Its number.
+        /// The attempt's number.
         attempt: AttemptNumber,
-        /// Where it runs.
+        /// The endpoint it runs on.
         endpoint: EndpointId,
-        /// When it was dispatched.
+        /// When the attempt was dispatched.
         since: Moment,
     },
 }
 
-/// An attempt that runs now.
+/// The currently running attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningAttempt {
-    /// Where it runs.
+    /// The endpoint it runs on.
     pub endpoint: EndpointId,
     /// When it was dispatched.
     pub since: Moment,
 }
 
-/// One request.
+/// An unfinished request.
 #[derive(Debug, Clone)]
 pub struct RequestEntry {
-    /// What was known on arrival.
+    /// Facts known on arrival.
     pub facts: RequestFacts,
-    /// How quickly its caller needs the answer.
+    /// Its urgency class.
     pub urgency: UrgencyClass,
     /// When it arrived.
     pub arrived: Moment,
-    /// Where it stands.
+    /// Its current stage.
     pub stage: RequestStage,
-    /// Attempts made so far.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// Bytes or events of the answer that the caller has.
+    /// Bytes or events of the answer that were passed on to the caller.
     pub passed_on: u64,
-    /// Service charged for the running attempt.
+    /// Service units charged for the running attempt so far.
     pub charged: i64,
-    /// The endpoint of the last attempt, not to be tried twice in a row.
+    /// The endpoint of the last attempt; a retry prefers another one.
     pub last_endpoint: Option<EndpointId>,
     /// True once a byte of an attempt may have reached an endpoint.
     pub may_have_run: bool,
 }
 
 impl RequestEntry {
-    /// A request that just arrived.
+    /// Creates the entry of a request that just arrived.
     #[must_use]
     pub fn new(facts: RequestFacts, urgency: UrgencyClass, arrived: Moment) -> Self {
         Self {
@@ -80,15 +80,15 @@
         }
     }
 
-    /// True if a second execution does no harm.
+    /// True if the request may be executed more than once.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         self.facts.repeat == RepeatRule::Repeatable
     }
 
-    /// Where and since when `attempt` runs; `None` unless it is the attempt that runs now. Events
-    /// of older attempts are late and dropped by this: ending the newer attempt for them would
-    /// give the caller an answer twice or mixed.
+    /// The running attempt if its number is `attempt`, else `None`. Callers use this to drop late
+    /// events of older attempts: if such an event ended the newer attempt, the caller could get a
+    /// duplicated or mixed answer.
     #[must_use]
     pub fn running(&self, attempt: AttemptNumber) -> Option<RunningAttempt> {
         match self.stage {
@@ -101,14 +101,14 @@
         }
     }
 
-    /// True if `attempt` is the one that runs. Events of older attempts are late and dropped.
+    /// True if `attempt` is the running attempt; see [`Self::running`].
     #[must_use]
     pub fn runs_attempt(&self, attempt: AttemptNumber) -> bool {
         self.running(attempt).is_some()
     }
 }
 
-/// All requests, with the deadlines of those that wait.
+/// All unfinished requests, indexed by id and by deadline.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     rows: BTreeMap<RequestId, RequestEntry>,
@@ -123,20 +123,20 @@
         self.rows.insert(request, entry);
     }
 
-    /// Drops a request.
+    /// Removes a request.
     pub fn remove(&mut self, request: RequestId) -> Option<RequestEntry> {
         let entry = self.rows.remove(&request)?;
         self.deadlines.remove(&(entry.facts.deadline, request));
         Some(entry)
     }
 
-    /// A request.
+    /// The entry of a request.
     #[must_use]
     pub fn get(&self, request: RequestId) -> Option<&RequestEntry> {
         self.rows.get(&request)
     }
 
-    /// A request, to change it.
+    /// Mutable access to the entry of a request.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut RequestEntry> {
         self.rows.get_mut(&request)
     }
@@ -151,18 +151,18 @@
             .collect()
     }
 
-    /// All requests in id order.
+    /// All requests in order of id.
     pub fn iter(&self) -> impl Iterator<Item = (&RequestId, &RequestEntry)> {
         self.rows.iter()
     }
 
-    /// How many there are.
+    /// Number of requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// True if there are none.
+    /// True if there are no requests.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
--- a/src/core/tables/retry_budgets.rs
+++ b/src/core/tables/retry_budgets.rs
@@ -1,14 +1,14 @@
-//! Retries that teams have earned by first attempts.
+//! Retry budgets: each team earns retries in proportion to its first attempts.
 
 use std::collections::BTreeMap;
 
 use crate::configs::attempts::AttemptsConfig;
 use crate::units::TeamId;
 
-/// Hundredths of a retry: one first attempt earns `retry_percent` of them.
+/// Cost of one retry, in hundredths of a retry; a first attempt earns `retry_percent` of these.
 const ONE_RETRY: u32 = 100;
 
-/// Saved-up retries per team.
+/// Retry budget per team, a token bucket filled by first attempts.
 #[derive(Debug, Default)]
 pub struct RetryBudgets {
     saved: BTreeMap<TeamId, u32>,
@@ -20,14 +20,14 @@
         self.saved.entry(team).or_insert(full)
     }
 
-    /// Counts a first attempt.
+    /// Credits a team for a first attempt.
     pub fn earn(&mut self, team: TeamId, config: &AttemptsConfig) {
         let full = config.retry_burst * ONE_RETRY;
         let balance = self.balance(team, config);
         *balance = (*balance + config.retry_percent).min(full);
     }
 
-    /// Spends one retry; false if none is left.
+    /// Spends one retry; returns false if the budget is used up.
     pub fn spend(&mut self, team: TeamId, config: &AttemptsConfig) -> bool {
         let balance = self.balance(team, config);
         if *balance < ONE_RETRY {
--- a/src/core/tables/rumors.rs
+++ b/src/core/tables/rumors.rs
@@ -1,10 +1,10 @@
-//! News to pass on: each piece a bounded number of times, the least told first.
+//! Queue of gossip updates. Each update is sent a bounded number of times, the least sent first.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Subjects with news that has not been passed on often enough. The news itself is read from
-/// the tables when it is sent, so that only the newest travels.
+/// Subjects with an update that has not been sent often enough. The update itself is read from
+/// the tables when it is sent, so that only the latest state is transmitted.
 #[derive(Debug)]
 pub struct RumorQueue<K> {
     told: BTreeMap<K, u32>,
@@ -21,7 +21,7 @@
 }
 
 impl<K: Ord + Clone> RumorQueue<K> {
-    /// There is news about a subject: it counts as never told.
+    /// Queues an update about a subject and resets the number of times it was sent.
     pub fn add(&mut self, subject: K) {
         if let Some(times) = self.told.insert(subject.clone(), 0) {
             self.order.remove(&(times, subject.clone()));
@@ -29,7 +29,8 @@
         self.order.insert((0, subject));
     }
 
-    /// The subjects for one message, at most `most`; each is dropped after `limit` times.
+    /// Takes at most `most` subjects for one message. A subject is dropped from the queue after it
+    /// was taken `limit` times.
     pub fn take(&mut self, most: usize, limit: u32) -> Vec<K> {
         let mut taken = Vec::new();
         while taken.len() < most
@@ -48,15 +49,15 @@
         taken.into_iter().map(|(_, subject)| subject).collect()
     }
 
-    /// True if there is nothing to pass on.
+    /// True if no update is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.told.is_empty()
     }
 }
 
-/// How often a piece of news is passed on among so many routers: `spread` times the binary
-/// logarithm, rounded up.
+/// How many times a router sends an update in a fleet of this size: `spread` times the bit length
+/// of `routers`, so that it grows with the logarithm of the fleet size.
 #[must_use]
 pub fn telling_limit(routers: usize, spread: u32) -> u32 {
     spread * (usize::BITS - routers.leading_zeros()).max(1)
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -1,5 +1,5 @@
-//! How many requests endpoints take within their latency goals, as seen by pool owners, and
-//! late first bytes, as seen by entry routers.
+//! Concurrency limits of endpoints, kept by pool owners, and counts of late first bytes, kept by
+//! entry routers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,23 +8,23 @@
 use crate::units::HostName;
 use crate::units::Moment;
 
-/// Load reports of which the least foreign load counts.
+/// Number of recent load reports over which the minimum of the foreign load is taken.
 const SAMPLES: usize = 4;
 
-/// Answers after which a tally is halved, so that old ones fade.
+/// Number of answers at which a tally is halved, so that old answers lose weight.
 const TALLY_SPAN: u32 = 64;
 
-/// Answers before a tally says anything.
+/// Minimum number of answers for a tally to be used.
 const TALLY_LEAST: u32 = 8;
 
-/// The limit of one endpoint.
+/// The concurrency limit of one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct SlotLimit {
-    /// Requests that may run at once; `None` while no pressure was ever seen.
+    /// Requests that may run at once; `None` while the limit is not below the published slots.
     pub allowed: Option<f64>,
-    /// True if the engine held requests back since the last move.
+    /// True if the engine queued requests since the last adjustment of the limit.
     pub held_back: bool,
-    /// Entry routers that say its answers are late.
+    /// Entry routers that report late answers from the endpoint.
     pub late_at: BTreeSet<HostName>,
     foreign: [u32; SAMPLES],
     next_sample: usize,
@@ -32,33 +32,34 @@
 }
 
 impl SlotLimit {
-    /// Takes in one estimate of the requests that run there without this owner's leave.
+    /// Records an estimate of the foreign load: requests that run there without a slot granted by
+    /// this owner.
     pub fn note_foreign(&mut self, running: u32, now: Moment) {
         self.foreign[self.next_sample] = running;
         self.next_sample = (self.next_sample + 1) % SAMPLES;
         self.foreign_at = Some(now);
     }
 
-    /// Requests of others: the least of the last estimates, because a report that lags behind
-    /// returned slots shows too many for a moment.
+    /// The foreign load: the minimum of the last estimates, because a report that lags behind
+    /// returned slots overestimates it for a short time.
     #[must_use]
     pub fn foreign(&self) -> u32 {
         self.foreign.iter().copied().min().unwrap_or(0)
     }
 
-    /// When foreign load was last estimated.
+    /// When the foreign load was last estimated.
     #[must_use]
     pub fn foreign_at(&self) -> Option<Moment> {
         self.foreign_at
     }
 }
 
-/// Late first bytes of one endpoint at this router.
+/// Counts late first bytes of one endpoint at this router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FirstByteTally {
     answers: u32,
     late: u32,
-    /// True if the owner was told, or is about to be told, that answers are late.
+    /// True if the last report to the owner, or the next one, says that answers are late.
     pub told_late: bool,
 }
 
@@ -73,7 +74,7 @@
         self.late += u32::from(late);
     }
 
-    /// Late answers in a thousand; 0 while there are too few to tell.
+    /// Late answers per mille; 0 while there are too few answers.
     #[must_use]
     pub fn per_mille(&self) -> u32 {
         if self.answers < TALLY_LEAST {
@@ -83,14 +84,14 @@
     }
 }
 
-/// Limits of endpoints and tallies of their answers.
+/// Limits of endpoints and tallies of their late answers.
 #[derive(Debug, Default)]
 pub struct SlotLimits {
-    /// As a pool's owner.
+    /// Limits of the endpoints of pools that this router owns.
     pub limits: BTreeMap<EndpointId, SlotLimit>,
-    /// As an entry router.
+    /// Tallies of the endpoints that this router uses as an entry router.
     pub tallies: BTreeMap<EndpointId, FirstByteTally>,
-    /// When limits were last moved.
+    /// When the limits were last adjusted.
     pub moved_at: Moment,
 }
 
--- a/src/core/tables/start_pace.rs
+++ b/src/core/tables/start_pace.rs
@@ -1,13 +1,15 @@
-//! How fast a team's waiting requests are started, to tell how long a new one would wait.
+//! Estimates how long a new request of a team would wait, from the rate at which its waiting
+//! requests are started.
 
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
-/// Each new sample moves a mean by one part in this many: slots often free up in batches, and
-/// the mean has to span several of them.
+/// Divisor of the weight of a new sample in the moving averages. Slots often free up in batches,
+/// and the average has to span several of them.
 const SMOOTHING: u64 = 32;
 
-/// Mean time between two starts of a backlogged team, and mean time that its attempts run.
+/// Moving averages of the time between two starts of a backlogged team and of the run time of its
+/// attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StartPace {
     last: Option<Moment>,
@@ -17,13 +19,13 @@
 }
 
 impl StartPace {
-    /// Notes a start; `more_wait` is true if further requests wait behind it.
+    /// Records a start. `more_wait` is true if further requests are waiting.
     pub fn note_start(&mut self, now: Moment, more_wait: bool) {
         if let Some(last) = self.last {
             let passed = now.since(last).0;
-            // Without a backlog the gap is that of the arrivals, which bounds the pace from
-            // one side only. Without this an old, slow pace would never be forgotten: callers
-            // would go on being refused after the overload.
+            // Without a backlog the time between starts is that between arrivals, so it is only an
+            // upper bound of the gap. Ignoring it would keep the long gap of an overload, and
+            // callers would still be refused after the overload has ended.
             self.gap = match (self.backlogged, self.gap) {
                 (true, gap) => Some(smooth(gap, passed)),
                 (false, gap) => gap.map(|gap| gap.min(passed)),
@@ -33,13 +35,14 @@
         self.backlogged = more_wait;
     }
 
-    /// Notes how long a whole answer took.
+    /// Records the run time of an attempt that delivered its whole answer.
     pub fn note_run(&mut self, span: TimeSpan) {
         self.run = Some(smooth(self.run, span.0));
     }
 
-    /// How long a request with `ahead` others before it would take to its end; zero if none is
-    /// ahead of it, so that an estimate can't keep everybody out and never be corrected.
+    /// Estimated time until a request with `ahead` others before it ends. Zero if none is ahead of
+    /// it: otherwise an estimate that is too high would refuse every request and never get new
+    /// samples to correct it.
     #[must_use]
     pub fn time_to_end(&self, ahead: usize, now: Moment) -> TimeSpan {
         let Some(gap) = self.gap.filter(|_| ahead > 0) else {
--- a/src/core/tables/team_queue.rs
+++ b/src/core/tables/team_queue.rs
@@ -1,11 +1,12 @@
-//! Waiting requests of one team in one pool at one router.
+//! The queue of one team in one pool at one router.
 
 use std::collections::VecDeque;
 
 use crate::catalog::UrgencyClass;
 use crate::units::RequestId;
 
-/// Interactive requests go before batch ones of the same team, each in order of arrival.
+/// A queue with two lanes, each in order of arrival. Interactive requests are taken before batch
+/// requests.
 #[derive(Debug, Default)]
 pub struct TeamQueue {
     interactive: VecDeque<RequestId>,
@@ -20,24 +21,24 @@
         }
     }
 
-    /// Adds a request at the back of its lane.
+    /// Appends a request to the back of its lane.
     pub fn push(&mut self, request: RequestId, urgency: UrgencyClass) {
         self.lane(urgency).push_back(request);
     }
 
-    /// Puts a request that came back in front of its lane.
+    /// Returns a request to the front of its lane.
     pub fn push_front(&mut self, request: RequestId, urgency: UrgencyClass) {
         self.lane(urgency).push_front(request);
     }
 
-    /// Takes the next request.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<RequestId> {
         self.interactive
             .pop_front()
             .or_else(|| self.batch.pop_front())
     }
 
-    /// Takes a given request out, wherever it stands.
+    /// Removes a request from any position; returns true if it was queued.
     pub fn remove(&mut self, request: RequestId, urgency: UrgencyClass) -> bool {
         let lane = self.lane(urgency);
         let Some(place) = lane.iter().position(|waiting| *waiting == request) else {
@@ -47,7 +48,7 @@
         true
     }
 
-    /// How many would go before a new request.
+    /// Number of requests that would be taken before a new one.
     #[must_use]
     pub fn ahead_of(&self, urgency: UrgencyClass) -> usize {
         match urgency {
@@ -56,19 +57,19 @@
         }
     }
 
-    /// How many wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.interactive.len() + self.batch.len()
     }
 
-    /// True if none waits.
+    /// True if no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.interactive.is_empty() && self.batch.is_empty()
     }
 
-    /// True if an interactive request waits.
+    /// True if an interactive request is waiting.
     #[must_use]
     pub fn is_urgent(&self) -> bool {
         !self.interactive.is_empty()
--- a/src/core/tables/team_shelf.rs
+++ b/src/core/tables/team_shelf.rs
@@ -1,12 +1,12 @@
-//! Things kept for teams within a common bound. The team that keeps the most gives way first,
-//! so that a flood pushes out its own things only.
+//! Eviction order for items that all teams store within a common bound. Items of the team that
+//! uses the most are evicted first, so that a flood by one team evicts only its own items.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 use crate::units::TeamId;
 
-/// Numbered things with a weight each, per team.
+/// Numbered items per team, each with a weight.
 #[derive(Debug, Default)]
 pub struct TeamShelf {
     items: BTreeMap<TeamId, BTreeMap<u64, u64>>,
@@ -17,7 +17,7 @@
 }
 
 impl TeamShelf {
-    /// Adds a thing, or changes its weight.
+    /// Adds an item, or changes its weight.
     pub fn put(&mut self, team: TeamId, number: u64, weight: u64) {
         self.take(team, number);
         self.items.entry(team).or_default().insert(number, weight);
@@ -25,7 +25,7 @@
         self.count += 1;
     }
 
-    /// Takes a thing out; true if it was there.
+    /// Removes an item; returns true if it was present.
     pub fn take(&mut self, team: TeamId, number: u64) -> bool {
         let Some(items) = self.items.get_mut(&team) else {
             return false;
@@ -41,7 +41,7 @@
         true
     }
 
-    /// The oldest thing (least number) of the team of the greatest weight.
+    /// The item to evict next: the oldest (lowest number) of the team with the greatest weight.
     #[must_use]
     pub fn first_to_go(&self) -> Option<(TeamId, u64)> {
         let (_, team) = self.heaviest.last()?;
@@ -49,13 +49,13 @@
         Some((*team, *number))
     }
 
-    /// Weight of all things.
+    /// Total weight of all items.
     #[must_use]
     pub fn weight(&self) -> u64 {
         self.weight
     }
 
-    /// Number of all things.
+    /// Number of items.
     #[must_use]
     pub fn count(&self) -> usize {
         self.count
--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets that this router life minted, and what became of the requests that used them.
+//! Tickets minted by this router incarnation, and the outcomes of the requests that used them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,43 +14,43 @@
 
 use super::team_shelf::TeamShelf;
 
-/// Where a ticket stands.
+/// Stage of a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TicketStage {
-    /// Minted; no request holds it.
+    /// Minted; not held by any request.
     Offered,
-    /// This request holds it: it waits or runs.
+    /// Held by this request, which waits or runs.
     Held(RequestId),
-    /// It ended so, for good.
+    /// Used up; the request ended with this outcome.
     Ended(RunOutcome),
 }
 
-/// One ticket.
+/// A ticket.
 #[derive(Debug, Clone)]
 pub struct TicketRow {
     /// The team that it was minted for.
     pub team: TeamId,
     /// The request that it was minted for.
     pub fingerprint: RequestFingerprint,
-    /// Where it stands.
+    /// Its stage.
     pub stage: TicketStage,
-    /// Later requests that wait for the answer of the one that holds it.
+    /// Later requests with the same ticket that wait for the answer to its holder.
     pub joined: BTreeSet<RequestId>,
-    /// The request whose answer the driver keeps.
+    /// The request whose answer the driver stores, if any.
     pub answer: Option<RequestId>,
 }
 
-/// A request whose ticket names a router life that nobody has told of yet.
+/// A request with a ticket of a router incarnation that is not known yet.
 #[derive(Debug, Clone)]
 pub struct MinterWait {
     /// The request.
     pub facts: RequestFacts,
-    /// When it is given up.
+    /// When the request is given up.
     pub until: Moment,
 }
 
-/// All tickets of this router life. Memory is bounded: the oldest rows of the team that has the
-/// most are cut down to their outcome, and the oldest outcomes are forgotten.
+/// All tickets minted by this router incarnation. Memory is bounded: the oldest rows of the team
+/// with the most rows are reduced to their outcome, and the oldest outcomes are dropped.
 #[derive(Debug, Default)]
 pub struct TicketTable {
     minted: u64,
@@ -60,7 +60,7 @@
     answers: TeamShelf,
     holders: BTreeMap<RequestId, u64>,
     joined: BTreeMap<RequestId, u64>,
-    /// Requests that wait until their ticket's minter is known.
+    /// Requests that wait for the incarnation that minted their ticket to become known.
     pub minter_waits: BTreeMap<RequestId, MinterWait>,
 }
 
@@ -84,14 +84,14 @@
         self.minted
     }
 
-    /// A ticket that is remembered in full.
+    /// A ticket whose row is still stored.
     #[must_use]
     pub fn get(&self, number: u64) -> Option<&TicketRow> {
         self.rows.get(&number)
     }
 
-    /// What is known of a ticket whose row was dropped. Numbers that are too old, and numbers
-    /// that were never minted, are unknown.
+    /// The outcome of a ticket whose row was dropped; `Unknown` for numbers that are too old or
+    /// were never minted.
     #[must_use]
     pub fn outcome_of(&self, number: u64) -> RunOutcome {
         self.place_of(number)
@@ -106,7 +106,7 @@
         usize::try_from(place).ok()
     }
 
-    /// Gives a ticket to the request that will run with it.
+    /// Assigns a ticket to the request that will run with it.
     pub fn hold(&mut self, number: u64, request: RequestId) {
         let Some(row) = self.rows.get_mut(&number) else {
             return;
@@ -116,13 +116,13 @@
         self.holders.insert(request, number);
     }
 
-    /// Takes a ticket back from a request that never left its queue, with nothing told to its
-    /// caller.
+    /// Makes a ticket available again, after its holder was dropped from its queue without an
+    /// answer to its caller.
     pub fn put_back(&mut self, number: u64) {
         self.leave_holder(number, TicketStage::Offered);
     }
 
-    /// Ends a ticket for good and returns the requests that waited for its answer.
+    /// Ends a ticket and returns the requests that waited for its answer.
     pub fn end(&mut self, number: u64, outcome: RunOutcome) -> BTreeSet<RequestId> {
         self.leave_holder(number, TicketStage::Ended(outcome));
         let Some(row) = self.rows.get_mut(&number) else {
@@ -154,7 +154,7 @@
         self.idle.put(row.team, number, 1);
     }
 
-    /// Lets a later request wait for the answer of the one that holds the ticket.
+    /// Makes a later request wait for the answer to the ticket's holder.
     pub fn join(&mut self, number: u64, request: RequestId) {
         let Some(row) = self.rows.get_mut(&number) else {
             return;
@@ -163,7 +163,7 @@
         self.joined.insert(request, number);
     }
 
-    /// Drops a waiting later request; true if there was one.
+    /// Removes a request that waits for the answer to another; returns false if it doesn't wait.
     pub fn leave(&mut self, request: RequestId) -> bool {
         let Some(number) = self.joined.remove(&request) else {
             return false;
@@ -174,7 +174,7 @@
         true
     }
 
-    /// True if others wait for the answer of the request that holds a ticket.
+    /// True if other requests wait for the answer to a ticket's holder.
     #[must_use]
     pub fn is_awaited(&self, number: u64) -> bool {
         self.rows
@@ -182,8 +182,8 @@
             .is_some_and(|row| !row.joined.is_empty())
     }
 
-    /// Notes that the driver keeps this many bytes of the answer of a holder, or none. Told
-    /// before the holder ends.
+    /// Records how many bytes of the answer to a ticket's holder the driver stores; `None` if the
+    /// answer was discarded. Must be called before the holder ends.
     pub fn note_answer(&mut self, request: RequestId, bytes: Option<u64>) {
         let Some(number) = self.holders.get(&request).copied() else {
             return;
@@ -200,7 +200,8 @@
         }
     }
 
-    /// Brings memory back within its bounds. Returns the requests whose answers are forgotten.
+    /// Evicts answers and rows above the configured bounds. Returns the requests whose stored
+    /// answers must be deleted.
     pub fn shrink(&mut self, config: &TicketsConfig) -> Vec<RequestId> {
         let mut forgotten = Vec::new();
         while self.answers.count() > config.max_answers as usize
@@ -230,8 +231,8 @@
         Some(request)
     }
 
-    /// Cuts a row down to its outcome. A ticket that was never used ends as not run: its number
-    /// can never run once the row is gone.
+    /// Reduces a row to its outcome. A ticket that was never used gets the outcome `NotRun`,
+    /// because its number can't run any more without the row.
     fn drop_row(&mut self, number: u64) -> Option<RequestId> {
         let forgotten = self.forget_answer(number);
         let row = self.rows.remove(&number)?;
@@ -250,25 +251,25 @@
         forgotten
     }
 
-    /// Tickets remembered in full.
+    /// Number of stored rows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// True if no ticket is remembered in full.
+    /// True if no rows are stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Bytes of kept answers.
+    /// Total size of the stored answers in bytes.
     #[must_use]
     pub fn answer_bytes(&self) -> u64 {
         self.answers.weight()
     }
 
-    /// Kept answers.
+    /// Number of stored answers.
     #[must_use]
     pub fn answer_count(&self) -> usize {
         self.answers.count()
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -1,9 +1,9 @@
-//! Runs of suspects apart from the common order, of which the fleet makes one at a time for each
-//! request.
+//! Isolated runs of suspects, outside the teams' queues. The fleet runs at most one copy of a
+//! request at a time, which is enforced by leases.
 //!
-//! One router, the home of a request's fingerprint, lends the right to run a copy to one router
-//! after the other. A lease that isn't renewed ends by itself, so a holder that dies keeps nobody
-//! waiting for long; a home that is silent keeps nobody waiting longer than that either.
+//! One router, the home of a request's fingerprint, grants the lease to one router at a time. A
+//! lease that isn't renewed expires, so a holder that dies blocks the others only for that long. A
+//! home that doesn't answer blocks them no longer than that either.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,26 +15,27 @@
 use crate::units::RequestId;
 use crate::units::TimeSpan;
 
-/// A lease is asked for, and renewed, so many times in its span: one lost message does not end it.
+/// How often a lease is requested or renewed within its duration, so that one lost message does not
+/// end it.
 const ASKS_PER_LEASE: u64 = 3;
 
-/// Whether a copy may run here now.
+/// Whether this router may run a copy of a request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialStanding {
-    /// This router holds the lease, or its home is silent.
+    /// Yes: this router holds the lease, or the home does not answer.
     Lent,
-    /// The home has to be asked.
+    /// Not yet: a request for the lease must be sent to the home.
     Asks,
-    /// The home was asked a moment ago.
+    /// Not yet: the lease was requested a short time ago.
     Waits,
 }
 
-/// A copy that runs here.
+/// A copy that runs in isolation at this router.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningTrial {
     /// The request.
     pub request: RequestId,
-    /// What its copies are recognised by.
+    /// The fingerprint that all copies of the request share.
     pub fingerprint: RequestFingerprint,
 }
 
@@ -52,11 +53,11 @@
     until: Option<Moment>,
 }
 
-/// What waits to run apart at this router, what runs so, and leases as their home and as one
-/// who asks.
+/// Suspects that wait or run in isolation at this router, the leases that it grants as a home, and
+/// the leases that it holds or requests.
 #[derive(Debug, Default)]
 pub struct TrialTable {
-    /// Requests that wait for an endpoint of their own, and since when.
+    /// Requests that wait for an isolated run, and since when.
     pub isolated: BTreeMap<RequestId, Moment>,
     running: BTreeMap<EndpointId, RunningTrial>,
     ended: BTreeSet<RequestFingerprint>,
@@ -65,25 +66,25 @@
 }
 
 impl TrialTable {
-    /// Remembers a copy that runs from now on.
+    /// Records a copy that starts to run.
     pub fn start(&mut self, endpoint: EndpointId, trial: RunningTrial) {
         self.running.insert(endpoint, trial);
     }
 
-    /// Copies that run, or were not seen to end yet.
+    /// Copies that run, or whose end has not been recorded yet.
     pub fn running(&self) -> impl Iterator<Item = (EndpointId, RunningTrial)> {
         self.running
             .iter()
             .map(|(endpoint, trial)| (*endpoint, *trial))
     }
 
-    /// True if a copy of some request runs on an endpoint.
+    /// True if a copy of any request runs in isolation on the endpoint.
     #[must_use]
     pub fn is_taken(&self, endpoint: EndpointId) -> bool {
         self.running.contains_key(&endpoint)
     }
 
-    /// True if a copy of this request runs here.
+    /// True if a copy of this request runs in isolation at this router.
     #[must_use]
     pub fn runs(&self, fingerprint: RequestFingerprint) -> bool {
         self.running
@@ -91,7 +92,7 @@
             .any(|trial| trial.fingerprint == fingerprint)
     }
 
-    /// Takes note that the copy on an endpoint ended.
+    /// Records the end of the copy on an endpoint.
     pub fn end(&mut self, endpoint: EndpointId) {
         if let Some(trial) = self.running.remove(&endpoint) {
             self.wanted.remove(&trial.fingerprint);
@@ -99,12 +100,13 @@
         }
     }
 
-    /// Takes the requests whose copies ended and whose homes were not told of it.
+    /// Takes the requests whose copies ended and whose homes were not notified yet.
     pub fn take_ended(&mut self) -> BTreeSet<RequestFingerprint> {
         std::mem::take(&mut self.ended)
     }
 
-    /// How a request stands to its lease of `span`; one that asks counts as having asked.
+    /// Whether a copy of a request may run under a lease of duration `span`. If the result is
+    /// `Asks`, the lease counts as requested now.
     pub fn standing(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -130,7 +132,8 @@
         TrialStanding::Waits
     }
 
-    /// Requests whose copies run here and whose leases have to be renewed now.
+    /// Requests whose copies run here and whose leases must be renewed now; these count as
+    /// renewed.
     pub fn renewals(&mut self, now: Moment, span: TimeSpan) -> Vec<RequestFingerprint> {
         let running: BTreeSet<RequestFingerprint> = self
             .running
@@ -147,8 +150,8 @@
             .collect()
     }
 
-    /// Takes in the home's answer. The lease counts from when it was asked for, and so ends here
-    /// no later than at the home.
+    /// Records the home's answer. The lease starts at the time of the request for it, so that it
+    /// expires here no later than at the home.
     pub fn answered(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -162,7 +165,7 @@
         }
     }
 
-    /// As the home, lends the right to run a copy; false while another router holds it.
+    /// As the home, grants or renews a lease; false while another router holds it.
     pub fn lend(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -182,7 +185,7 @@
         true
     }
 
-    /// As the home, takes a lease back.
+    /// As the home, ends the lease of a holder.
     pub fn give_back(&mut self, fingerprint: RequestFingerprint, holder: &HostName) {
         let held = self.given.get(&fingerprint);
         if held.is_some_and(|lease| lease.holder == *holder) {
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Forgets leases that ended.
+    /// Removes expired leases and requests for leases.
     pub fn shrink(&mut self, now: Moment, span: TimeSpan) {
         self.given.retain(|_, lease| lease.until > now);
         self.wanted
