--- a/tests/cores/mod.rs
+++ b/tests/cores/mod.rs
@@ -1,4 +1,4 @@
-//! A few decision cores joined by a queue of messages: what the tests of failures drive.
+//! Test harness: a few decision cores that exchange messages through an in-memory queue.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -50,30 +50,30 @@
 use verbenaturn::wire::PeerBody;
 use verbenaturn::wire::PeerMessage;
 
-/// Microseconds between two ticks.
+/// Time between two ticks in microseconds.
 pub const TICK_US: u64 = 5_000;
 
-/// The pool of all tests that need only one.
+/// The pool used by tests that need only one.
 pub fn pool() -> PoolId {
     pool_named("tagging")
 }
 
-/// A pool's id.
+/// The id of a pool by name.
 pub fn pool_named(name: &str) -> PoolId {
     PoolId::from(&name.parse::<PoolName>().unwrap())
 }
 
-/// A team's id; teams are called `team-1` and so on.
+/// The id of a team; teams are named `team-1` and so on.
 pub fn team(number: usize) -> TeamId {
     TeamId::from(&format!("team-{number}").parse::<TeamName>().unwrap())
 }
 
-/// An endpoint's id; endpoints are called `engine-1` and so on.
+/// The id of an endpoint; endpoints are named `engine-1` and so on.
 pub fn endpoint(number: usize) -> EndpointId {
     EndpointId::from(&format!("engine-{number}").parse::<EndpointName>().unwrap())
 }
 
-/// A router's host.
+/// The host of a router.
 pub fn host(router: usize) -> HostName {
     format!("host-{router}").parse().unwrap()
 }
@@ -82,7 +82,7 @@
     format!("domain-{number}").parse().unwrap()
 }
 
-/// The kind of all requests.
+/// The request kind used by all requests.
 pub fn kind() -> KindName {
     "tag".parse().unwrap()
 }
@@ -110,7 +110,7 @@
     }
 }
 
-/// One endpoint of the tests.
+/// Catalog entry of an endpoint.
 pub fn endpoint_entry(number: usize, slots: u32, pools: Vec<PoolId>) -> EndpointEntry {
     EndpointEntry {
         name: format!("engine-{number}").parse().unwrap(),
@@ -123,7 +123,7 @@
     }
 }
 
-/// One pool of the tests.
+/// Catalog entry of a pool.
 pub fn pool_entry(name: &str, endpoints: Vec<EndpointId>) -> PoolEntry {
     PoolEntry {
         name: name.parse().unwrap(),
@@ -132,9 +132,9 @@
     }
 }
 
-// Fields that the catalog gains later keep their defaults here.
+// Fields added to the catalog later get their defaults here.
 #[allow(clippy::needless_update)]
-/// One pool, two teams, `endpoints` endpoints of `slots` slots each.
+/// A catalog with one pool, two teams and `endpoints` endpoints of `slots` slots each.
 pub fn catalog(endpoints: usize, slots: u32) -> FleetCatalog {
     let ids: Vec<EndpointId> = (1..=endpoints).map(endpoint).collect();
     FleetCatalog {
@@ -153,7 +153,7 @@
     }
 }
 
-/// A request of team 1 that may be repeated.
+/// A repeatable request of team 1.
 pub fn facts(request: u64) -> RequestFacts {
     RequestFacts {
         request: RequestId(request),
@@ -169,7 +169,7 @@
     }
 }
 
-/// The same request, unrepeatable.
+/// The same request as [`facts`], but unrepeatable.
 pub fn unrepeatable(request: u64, ticket: Option<TicketName>) -> RequestFacts {
     RequestFacts {
         repeat: RepeatRule::Unrepeatable(ticket),
@@ -177,7 +177,7 @@
     }
 }
 
-/// The end of an attempt.
+/// The event for the end of an attempt.
 pub fn ended(request: u64, attempt: u32, outcome: AttemptOutcome) -> CoreEvent {
     CoreEvent::AttemptEnded {
         request: RequestId(request),
@@ -187,19 +187,19 @@
     }
 }
 
-/// Cores, their links and the actions that they asked for.
+/// Cores, their connections and the actions that they returned.
 pub struct CoreFleet {
     /// The cores; `None` while one is down.
     pub cores: Vec<Option<RouterCore>>,
-    /// The time.
+    /// The current time.
     pub now: Moment,
-    /// Pairs of routers that do not reach each other.
+    /// Pairs of routers that can't reach each other.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Texts that cores had checked.
+    /// Number of publication texts that cores had parsed and checked.
     pub adoptions: u64,
-    /// Messages sent, for counting.
+    /// Number of messages sent between cores.
     pub messages: u64,
-    /// Bytes of membership messages sent, frames included.
+    /// Bytes of gossip messages sent, including framing.
     pub gossip_bytes: u64,
     actions: Vec<(usize, CoreAction)>,
     catalog: Arc<FleetCatalog>,
@@ -209,17 +209,18 @@
 }
 
 impl CoreFleet {
-    /// A fleet that knows its members and its publication, with slots shared out.
+    /// Creates a fleet in which all routers know their peers and the publication, and slots have
+    /// been granted.
     pub fn new(routers: usize, catalog: FleetCatalog) -> Self {
         Self::with_config(routers, catalog, CoreConfig::default())
     }
 
-    /// The same with given microseconds between ticks.
+    /// Like [`Self::new`], with the given time between ticks in microseconds.
     pub fn with_tick(routers: usize, catalog: FleetCatalog, tick_us: u64) -> Self {
         Self::build(routers, catalog, CoreConfig::default(), tick_us)
     }
 
-    /// The same with given settings.
+    /// Like [`Self::new`], with the given settings.
     pub fn with_config(routers: usize, catalog: FleetCatalog, config: CoreConfig) -> Self {
         Self::build(routers, catalog, config, TICK_US)
     }
@@ -246,14 +247,14 @@
         fleet
     }
 
-    /// Starts a router with nothing in memory that reads the publication.
+    /// Starts a router with empty state, which reads the fleet's publication.
     pub fn start(&mut self, router: usize) {
         let catalog = Arc::clone(&self.catalog);
         let text = Bytes::new();
         self.start_with(router, Some(CoreEvent::Published { catalog, text }));
     }
 
-    /// Starts a router with nothing in memory; `published` is what the service gives it.
+    /// Starts a router with empty state; `published` is the publication it reads, if any.
     pub fn start_with(&mut self, router: usize, published: Option<CoreEvent>) {
         self.lives += 1;
         let identity = RouterIdentity {
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Ends a router; its peers see the connection close.
+    /// Stops a router; its peers see their connections to it close.
     pub fn stop(&mut self, router: usize) {
         self.cores[router] = None;
         for peer in 0..self.cores.len() {
@@ -283,14 +284,14 @@
         }
     }
 
-    /// Cuts the link of two routers.
+    /// Cuts the link between two routers.
     pub fn part(&mut self, one: usize, other: usize) {
         self.cut.insert((one.min(other), one.max(other)));
         self.tell(one, CoreEvent::PeerClosed { host: host(other) });
         self.tell(other, CoreEvent::PeerClosed { host: host(one) });
     }
 
-    /// Mends the link of two routers.
+    /// Restores the link between two routers.
     pub fn mend(&mut self, one: usize, other: usize) {
         self.cut.remove(&(one.min(other), one.max(other)));
         self.connect(one, other);
@@ -308,24 +309,24 @@
         self.tell(other, opened(host(one), left));
     }
 
-    /// True if two routers reach each other.
+    /// True if two routers can reach each other.
     pub fn is_linked(&self, one: usize, other: usize) -> bool {
         !self.cut.contains(&(one.min(other), one.max(other)))
     }
 
-    /// A router's incarnation.
+    /// A router's incarnation; `None` while it is down.
     pub fn life(&self, router: usize) -> Option<RouterIncarnation> {
         let core = self.cores[router].as_ref()?;
         Some(core.state().identity.incarnation)
     }
 
-    /// A router's core.
+    /// The core of a running router.
     pub fn core(&self, router: usize) -> &RouterCore {
         self.cores[router].as_ref().unwrap()
     }
 
-    /// Tells a router an event, delivers the messages that follow from it, and keeps all other
-    /// actions for [`Self::take`].
+    /// Passes an event to a router, delivers the resulting messages, and keeps all other actions
+    /// for [`Self::take`].
     pub fn tell(&mut self, router: usize, event: CoreEvent) {
         let mut queue = VecDeque::from([(router, event)]);
         while let Some((router, event)) = queue.pop_front() {
@@ -348,7 +349,7 @@
         }
     }
 
-    /// Stands for parsing and checking: a text that begins with `bad` is refused.
+    /// Replaces parsing and checking: a text that starts with `bad` is rejected.
     fn adopt(&self, revision: ConfigRevision, text: &Bytes) -> CoreEvent {
         if text.starts_with(b"bad") {
             return CoreEvent::PublicationRefused { revision };
@@ -356,7 +357,7 @@
         self.publication(revision.0, text.clone())
     }
 
-    /// A good publication of this revision.
+    /// The event for a valid publication of this revision.
     pub fn publication(&self, revision: u64, text: Bytes) -> CoreEvent {
         let mut catalog = FleetCatalog::clone(&self.catalog);
         catalog.revision = ConfigRevision(revision);
@@ -386,12 +387,12 @@
         Some((peer, event))
     }
 
-    /// Lets time pass, with ticks.
+    /// Advances the time, with ticks at the fleet's interval.
     pub fn advance(&mut self, millis: u64) {
         self.advance_by(millis, self.tick_us);
     }
 
-    /// Lets time pass, with ticks this many microseconds apart.
+    /// Advances the time, with ticks `tick_us` microseconds apart.
     pub fn advance_by(&mut self, millis: u64, tick_us: u64) {
         let end = self.now + TimeSpan::from_millis(millis);
         while self.now < end {
@@ -402,13 +403,13 @@
         }
     }
 
-    /// Tells an event and returns what that router asks for at once.
+    /// Passes an event to a router and returns the actions that follow at once.
     pub fn ask(&mut self, router: usize, event: CoreEvent) -> Vec<CoreAction> {
         self.tell(router, event);
         self.take(router)
     }
 
-    /// Takes the actions of a router since the last call.
+    /// Returns the actions of a router since the last call.
     pub fn take(&mut self, router: usize) -> Vec<CoreAction> {
         let (mine, others) = std::mem::take(&mut self.actions)
             .into_iter()
@@ -418,7 +419,7 @@
         mine.into_iter().map(|(_, action)| action).collect()
     }
 
-    /// Presents an unrepeatable request without a ticket and returns the ticket offered.
+    /// Sends an unrepeatable request without a ticket and returns the ticket that is offered.
     pub fn get_ticket(&mut self, router: usize, request: u64) -> TicketName {
         let facts = unrepeatable(request, None);
         let actions = self.ask(router, CoreEvent::Arrived(facts));
@@ -431,7 +432,7 @@
             .unwrap()
     }
 
-    /// Presents a request with a ticket and returns what follows at once.
+    /// Sends an unrepeatable request with a ticket and returns the actions that follow at once.
     pub fn present(&mut self, router: usize, request: u64, ticket: TicketName) -> Vec<CoreAction> {
         let facts = unrepeatable(request, Some(ticket));
         self.ask(router, CoreEvent::Arrived(facts))
@@ -447,7 +448,7 @@
     }
 }
 
-/// The requests that were dispatched, with their endpoints.
+/// The dispatched requests with their endpoints.
 pub fn dispatched(actions: &[CoreAction]) -> Vec<(u64, EndpointId)> {
     actions
         .iter()
--- a/tests/earlier_lives.rs
+++ b/tests/earlier_lives.rs
@@ -1,4 +1,4 @@
-//! Messages that a router sent to the life of another one that has ended since.
+//! Late messages that were sent to an earlier incarnation of a restarted router.
 
 mod cores;
 
@@ -28,15 +28,16 @@
     &fleet.core(router).state().entries[&pool()]
 }
 
-/// Slots held, allotments seen and reports acknowledged.
+/// Slots held, and the sequence numbers of the last allotment seen and the last report
+/// acknowledged.
 fn counts(fleet: &CoreFleet, router: usize) -> (u32, u64, u64) {
     let pool = entry_pool(fleet, router);
     (pool.held, pool.allotment_seen, pool.report_acked)
 }
 
-/// Guards against slots that nobody uses for good: a router restarts, an allotment that was under way to
-/// its earlier life reaches the new one, whose counts have the same term, and the owner is never told
-/// that those slots came back.
+/// Guards against leaked slots: a router restarts, and an allotment for its earlier incarnation
+/// reaches the new one, whose slot counts have the same term. If the new one accepted it, the owner
+/// would never learn that these slots are free, and no router would use them again.
 #[test]
 fn an_allotment_for_an_earlier_life_of_a_router_is_dropped() {
     let mut fleet = CoreFleet::new(2, catalog(2, SLOTS));
