--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -7,7 +7,7 @@
 use crate::core::event::CoreEvent;
 use crate::core::state::CoreState;
 use crate::core::systems::probing;
-use crate::core::tables::rumors::telling_limit;
+use crate::core::tables::gossip_queue::telling_limit;
 use crate::units::EndpointId;
 use crate::units::PoolId;
 use crate::wire::PeerBody;
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -79,7 +79,7 @@
         state
             .members
             .change(host, |entry| entry.state = MemberState::Suspect);
-        state.detector.rumors.add(host.clone());
+        state.detector.gossip_queue.add(host.clone());
     }
     state.detector.pending.insert(host.clone());
     let watch = state.detector.watch(host);
@@ -189,7 +189,7 @@
     state.detector.pending.remove(host);
     let changed = state.members.get(host).and_then(MemberEntry::rank) != before;
     if changed {
-        state.detector.rumors.add(host.clone());
+        state.detector.gossip_queue.add(host.clone());
     }
     // In a large fleet connections open for single pings: only a router that is new, or was taken
     // for dead or suspect, is told everything.
@@ -238,7 +238,7 @@
             .members
             .change(host, |entry| entry.state = MemberState::Alive);
         clear_suspicion(state, host);
-        state.detector.rumors.add(host.clone());
+        state.detector.gossip_queue.add(host.clone());
     }
 }
 
@@ -323,7 +323,7 @@
         reachable: true,
     };
     state.members.insert(host.clone(), entry);
-    state.detector.rumors.add(host.clone());
+    state.detector.gossip_queue.add(host.clone());
     admit(state, host);
     if told.state == MemberState::Suspect {
         suspect(state, host);
@@ -353,7 +353,7 @@
             entry.domain = domain;
         }
     });
-    state.detector.rumors.add(host.clone());
+    state.detector.gossip_queue.add(host.clone());
     if moved {
         redial(state, host);
     }
@@ -384,7 +384,7 @@
         .members
         .change(&host, |entry| entry.refutation = told.refutation + 1);
     state.detector.strain();
-    state.detector.rumors.add(host);
+    state.detector.gossip_queue.add(host);
 }
 
 fn tick(state: &mut CoreState) {
@@ -425,7 +425,7 @@
     };
     if own != state.detector.told_state {
         state.detector.told_state = own;
-        state.detector.rumors.add(host);
+        state.detector.gossip_queue.add(host);
         probing::push(state);
     }
 }
@@ -449,7 +449,7 @@
         state
             .members
             .change(host, |entry| entry.state = MemberState::Dead);
-        state.detector.rumors.add(host.clone());
+        state.detector.gossip_queue.add(host.clone());
         note_dead(state, host);
     }
     let limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -16,8 +16,8 @@
 use crate::core::systems::publication;
 use crate::core::tables::detector::PingRound;
 use crate::core::tables::detector::RelayedPing;
+use crate::core::tables::gossip_queue::telling_limit;
 use crate::core::tables::members::MemberState;
-use crate::core::tables::rumors::telling_limit;
 use crate::units::HostName;
 use crate::units::PoolId;
 use crate::units::TimeSpan;
@@ -333,7 +333,7 @@
 fn loaded(state: &mut CoreState, host: &HostName) -> GossipPing {
     let most = state.config.probing.news;
     let limit = telling_limit(state.members.len(), state.config.probing.spread);
-    let mut names = state.detector.rumors.take(most, limit);
+    let mut names = state.detector.gossip_queue.take(most, limit);
     let bad = state
         .members
         .get(host)
