--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -27,7 +27,7 @@
 use super::tables::detector::DetectorTable;
 use super::tables::endpoints::EndpointTable;
 use super::tables::entry_pool::EntryPool;
-use super::tables::gossip_queue::RumorQueue;
+use super::tables::gossip_queue::GossipQueue;
 use super::tables::members::MemberTable;
 use super::tables::orders::OrderTable;
 use super::tables::owned_pool::OwnedPool;
@@ -62,7 +62,7 @@
     /// Runtime state of endpoints.
     pub endpoints: EndpointTable,
     /// Leaving endpoints to announce to peers.
-    pub leaving_rumors: RumorQueue<EndpointId>,
+    pub leaving_rumors: GossipQueue<EndpointId>,
     /// Requests that entered the fleet here.
     pub requests: RequestTable,
     /// Endpoint crashes and the requests suspected of causing them.
@@ -114,7 +114,7 @@
             publication_sync: PublicationSync::default(),
             detector: DetectorTable::default(),
             endpoints: EndpointTable::default(),
-            leaving_rumors: RumorQueue::default(),
+            leaving_rumors: GossipQueue::default(),
             requests: RequestTable::default(),
             crashes: CrashTable::default(),
             trials: TrialTable::default(),
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -7,7 +7,7 @@
 use crate::units::Moment;
 use crate::units::RouterIncarnation;
 
-use super::gossip_queue::RumorQueue;
+use super::gossip_queue::GossipQueue;
 use super::members::MemberState;
 
 /// Failure detection state of one router.
@@ -74,7 +74,7 @@
     /// Pings on behalf of other routers, by this router's sequence number.
     pub relays: BTreeMap<u32, RelayedPing>,
     /// Membership updates to gossip.
-    pub gossip_queue: RumorQueue<HostName>,
+    pub gossip_queue: GossipQueue<HostName>,
     /// Local health score as in Lifeguard: 0 while this router's own pings are answered in time.
     pub strain: u32,
     /// Time of the last tick.
@@ -100,7 +100,7 @@
             next_ping: Moment(0),
             sequence: 0,
             relays: BTreeMap::new(),
-            gossip_queue: RumorQueue::default(),
+            gossip_queue: GossipQueue::default(),
             strain: 0,
             last_tick: Moment(0),
             told_state: MemberState::Alive,
--- a/src/core/tables/gossip_queue.rs
+++ b/src/core/tables/gossip_queue.rs
@@ -6,12 +6,12 @@
 /// Subjects with an update that has not been sent often enough. The update itself is read from
 /// the tables when it is sent, so that only the latest state is transmitted.
 #[derive(Debug)]
-pub struct RumorQueue<K> {
+pub struct GossipQueue<K> {
     told: BTreeMap<K, u32>,
     order: BTreeSet<(u32, K)>,
 }
 
-impl<K: Ord> Default for RumorQueue<K> {
+impl<K: Ord> Default for GossipQueue<K> {
     fn default() -> Self {
         Self {
             told: BTreeMap::new(),
@@ -20,7 +20,7 @@
     }
 }
 
-impl<K: Ord + Clone> RumorQueue<K> {
+impl<K: Ord + Clone> GossipQueue<K> {
     /// Queues an update about a subject and resets the number of times it was sent.
     pub fn add(&mut self, subject: K) {
         if let Some(times) = self.told.insert(subject.clone(), 0) {
@@ -69,7 +69,7 @@
 
     #[test]
     fn news_is_told_a_bounded_number_of_times_and_the_least_told_first() {
-        let mut queue = RumorQueue::default();
+        let mut queue = GossipQueue::default();
         queue.add("a");
         assert_eq!(queue.take(1, 2), ["a"]);
         queue.add("b");
