--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -62,7 +62,7 @@
     /// Runtime state of endpoints.
     pub endpoints: EndpointTable,
     /// Leaving endpoints to announce to peers.
-    pub leaving_rumors: GossipQueue<EndpointId>,
+    pub leaving_gossip: GossipQueue<EndpointId>,
     /// Requests that entered the fleet here.
     pub requests: RequestTable,
     /// Endpoint crashes and the requests suspected of causing them.
@@ -114,7 +114,7 @@
             publication_sync: PublicationSync::default(),
             detector: DetectorTable::default(),
             endpoints: EndpointTable::default(),
-            leaving_rumors: GossipQueue::default(),
+            leaving_gossip: GossipQueue::default(),
             requests: RequestTable::default(),
             crashes: CrashTable::default(),
             trials: TrialTable::default(),
--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -46,7 +46,7 @@
 /// News of leaving endpoints for one ping.
 pub fn take_news(state: &mut CoreState) -> Vec<LeavingNews> {
     let limit = telling_limit(state.members.len(), state.config.probing.spread);
-    let ids = state.leaving_rumors.take(state.config.leaving.news, limit);
+    let ids = state.leaving_gossip.take(state.config.leaving.news, limit);
     ids.into_iter()
         .filter_map(|id| news_of(state, id))
         .collect()
@@ -79,7 +79,7 @@
     }
     row.generation = generation;
     row.leaving = true;
-    state.leaving_rumors.add(endpoint);
+    state.leaving_gossip.add(endpoint);
     give_back(state, endpoint);
     true
 }
