--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -7,7 +7,7 @@
 use crate::core::event::CoreEvent;
 use crate::core::state::CoreState;
 use crate::core::systems::probing;
-use crate::core::tables::gossip_queue::telling_limit;
+use crate::core::tables::gossip_queue::retransmit_limit;
 use crate::units::EndpointId;
 use crate::units::PoolId;
 use crate::wire::PeerBody;
@@ -45,7 +45,7 @@
 
 /// News of leaving endpoints for one ping.
 pub fn take_news(state: &mut CoreState) -> Vec<LeavingNews> {
-    let limit = telling_limit(state.members.len(), state.config.probing.spread);
+    let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
     let ids = state.leaving_gossip.take(state.config.leaving.news, limit);
     ids.into_iter()
         .filter_map(|id| news_of(state, id))
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -16,7 +16,7 @@
 use crate::core::systems::publication;
 use crate::core::tables::detector::PingRound;
 use crate::core::tables::detector::RelayedPing;
-use crate::core::tables::gossip_queue::telling_limit;
+use crate::core::tables::gossip_queue::retransmit_limit;
 use crate::core::tables::members::MemberState;
 use crate::units::HostName;
 use crate::units::PoolId;
@@ -332,7 +332,7 @@
 /// A ping for `host` with news; news that it is suspect or dead comes first.
 fn loaded(state: &mut CoreState, host: &HostName) -> GossipPing {
     let most = state.config.probing.news;
-    let limit = telling_limit(state.members.len(), state.config.probing.spread);
+    let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
     let mut names = state.detector.gossip_queue.take(most, limit);
     let bad = state
         .members
--- a/src/core/tables/gossip_queue.rs
+++ b/src/core/tables/gossip_queue.rs
@@ -59,7 +59,7 @@
 /// How many times a router sends an update in a fleet of this size: `spread` times the bit length
 /// of `routers`, so that it grows with the logarithm of the fleet size.
 #[must_use]
-pub fn telling_limit(routers: usize, spread: u32) -> u32 {
+pub fn retransmit_limit(routers: usize, spread: u32) -> u32 {
     spread * (usize::BITS - routers.leading_zeros()).max(1)
 }
 
@@ -83,8 +83,8 @@
 
     #[test]
     fn the_limit_grows_with_the_logarithm() {
-        assert_eq!(telling_limit(1, 3), 3);
-        assert_eq!(telling_limit(8, 3), 12);
-        assert_eq!(telling_limit(1_300, 3), 33);
+        assert_eq!(retransmit_limit(1, 3), 3);
+        assert_eq!(retransmit_limit(8, 3), 12);
+        assert_eq!(retransmit_limit(1_300, 3), 33);
     }
 }
