--- a/src/core/tables/gossip_queue.rs
+++ b/src/core/tables/gossip_queue.rs
@@ -7,14 +7,14 @@
 /// the tables when it is sent, so that only the latest state is transmitted.
 #[derive(Debug)]
 pub struct GossipQueue<K> {
-    told: BTreeMap<K, u32>,
+    sent_counts: BTreeMap<K, u32>,
     order: BTreeSet<(u32, K)>,
 }
 
 impl<K: Ord> Default for GossipQueue<K> {
     fn default() -> Self {
         Self {
-            told: BTreeMap::new(),
+            sent_counts: BTreeMap::new(),
             order: BTreeSet::new(),
         }
     }
@@ -23,7 +23,7 @@
 impl<K: Ord + Clone> GossipQueue<K> {
     /// Queues an update about a subject and resets the number of times it was sent.
     pub fn add(&mut self, subject: K) {
-        if let Some(times) = self.told.insert(subject.clone(), 0) {
+        if let Some(times) = self.sent_counts.insert(subject.clone(), 0) {
             self.order.remove(&(times, subject.clone()));
         }
         self.order.insert((0, subject));
@@ -40,10 +40,10 @@
         }
         for (times, subject) in &taken {
             if *times < limit {
-                self.told.insert(subject.clone(), *times);
+                self.sent_counts.insert(subject.clone(), *times);
                 self.order.insert((*times, subject.clone()));
             } else {
-                self.told.remove(subject);
+                self.sent_counts.remove(subject);
             }
         }
         taken.into_iter().map(|(_, subject)| subject).collect()
@@ -52,7 +52,7 @@
     /// True if no update is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.sent_counts.is_empty()
     }
 }
 
