--- a/src/core/tables/mod.rs
+++ b/src/core/tables/mod.rs
@@ -14,7 +14,7 @@
 pub mod retry_budgets;
 pub mod slot_limits;
 pub mod start_pace;
+pub mod team_eviction;
 pub mod team_queue;
-pub mod team_shelf;
 pub mod tickets;
 pub mod trials;
--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -12,7 +12,7 @@
 use crate::units::RequestId;
 use crate::units::TeamId;
 
-use super::team_shelf::TeamShelf;
+use super::team_eviction::TeamShelf;
 
 /// Stage of a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
