--- a/src/core/tables/team_eviction.rs
+++ b/src/core/tables/team_eviction.rs
@@ -8,7 +8,7 @@
 
 /// Numbered items per team, each with a weight.
 #[derive(Debug, Default)]
-pub struct TeamShelf {
+pub struct TeamEvictionIndex {
     items: BTreeMap<TeamId, BTreeMap<u64, u64>>,
     totals: BTreeMap<TeamId, u64>,
     heaviest: BTreeSet<(u64, TeamId)>,
@@ -16,7 +16,7 @@
     count: usize,
 }
 
-impl TeamShelf {
+impl TeamEvictionIndex {
     /// Adds an item, or changes its weight.
     pub fn put(&mut self, team: TeamId, number: u64, weight: u64) {
         self.take(team, number);
@@ -90,7 +90,7 @@
 
     #[test]
     fn the_team_that_keeps_most_gives_way_first() {
-        let mut shelf = TeamShelf::default();
+        let mut shelf = TeamEvictionIndex::default();
         shelf.put(TeamId(1), 1, 10);
         shelf.put(TeamId(2), 2, 6);
         shelf.put(TeamId(2), 3, 6);
--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -12,7 +12,7 @@
 use crate::units::RequestId;
 use crate::units::TeamId;
 
-use super::team_eviction::TeamShelf;
+use super::team_eviction::TeamEvictionIndex;
 
 /// Stage of a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,9 +55,9 @@
 pub struct TicketTable {
     minted: u64,
     rows: BTreeMap<u64, TicketRow>,
-    idle: TeamShelf,
+    idle: TeamEvictionIndex,
     outcomes: VecDeque<RunOutcome>,
-    answers: TeamShelf,
+    answers: TeamEvictionIndex,
     holders: BTreeMap<RequestId, u64>,
     joined: BTreeMap<RequestId, u64>,
     /// Requests that wait for the incarnation that minted their ticket to become known.
