--- a/src/core/tables/team_eviction.rs
+++ b/src/core/tables/team_eviction.rs
@@ -90,14 +90,14 @@
 
     #[test]
     fn the_team_that_keeps_most_gives_way_first() {
-        let mut shelf = TeamEvictionIndex::default();
-        shelf.put(TeamId(1), 1, 10);
-        shelf.put(TeamId(2), 2, 6);
-        shelf.put(TeamId(2), 3, 6);
-        assert_eq!(shelf.first_to_go(), Some((TeamId(2), 2)));
-        assert!(shelf.take(TeamId(2), 2));
-        assert!(!shelf.take(TeamId(2), 2));
-        assert_eq!(shelf.first_to_go(), Some((TeamId(1), 1)));
-        assert_eq!((shelf.weight(), shelf.count()), (16, 2));
+        let mut index = TeamEvictionIndex::default();
+        index.put(TeamId(1), 1, 10);
+        index.put(TeamId(2), 2, 6);
+        index.put(TeamId(2), 3, 6);
+        assert_eq!(index.first_to_go(), Some((TeamId(2), 2)));
+        assert!(index.take(TeamId(2), 2));
+        assert!(!index.take(TeamId(2), 2));
+        assert_eq!(index.first_to_go(), Some((TeamId(1), 1)));
+        assert_eq!((index.weight(), index.count()), (16, 2));
     }
 }
