--- a/src/core/tables/team_eviction.rs
+++ b/src/core/tables/team_eviction.rs
@@ -43,7 +43,7 @@
 
     /// The item to evict next: the oldest (lowest number) of the team with the greatest weight.
     #[must_use]
-    pub fn first_to_go(&self) -> Option<(TeamId, u64)> {
+    pub fn eviction_candidate(&self) -> Option<(TeamId, u64)> {
         let (_, team) = self.heaviest.last()?;
         let (number, _) = self.items.get(team)?.first_key_value()?;
         Some((*team, *number))
@@ -94,10 +94,10 @@
         index.put(TeamId(1), 1, 10);
         index.put(TeamId(2), 2, 6);
         index.put(TeamId(2), 3, 6);
-        assert_eq!(index.first_to_go(), Some((TeamId(2), 2)));
+        assert_eq!(index.eviction_candidate(), Some((TeamId(2), 2)));
         assert!(index.take(TeamId(2), 2));
         assert!(!index.take(TeamId(2), 2));
-        assert_eq!(index.first_to_go(), Some((TeamId(1), 1)));
+        assert_eq!(index.eviction_candidate(), Some((TeamId(1), 1)));
         assert_eq!((index.weight(), index.count()), (16, 2));
     }
 }
--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -207,14 +207,14 @@
         while self.answers.count() > config.max_answers as usize
             || self.answers.weight() > config.max_answer_bytes
         {
-            let Some((team, number)) = self.answers.first_to_go() else {
+            let Some((team, number)) = self.answers.eviction_candidate() else {
                 break;
             };
             self.answers.take(team, number);
             forgotten.extend(self.forget_answer(number));
         }
         while self.idle.count() > config.max_tickets as usize {
-            let Some((_, number)) = self.idle.first_to_go() else {
+            let Some((_, number)) = self.idle.eviction_candidate() else {
                 break;
             };
             forgotten.extend(self.drop_row(number));
