--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use crate::core::tables::start_pace::StartPace;
 use crate::core::tables::team_queue::TeamQueue;
+use crate::core::tables::wait_estimator::StartPace;
 use crate::units::EndpointId;
 use crate::units::HostName;
 use crate::units::Moment;
