--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use crate::core::tables::team_queue::TeamQueue;
-use crate::core::tables::wait_estimator::StartPace;
+use crate::core::tables::wait_estimator::WaitEstimator;
 use crate::units::EndpointId;
 use crate::units::HostName;
 use crate::units::Moment;
@@ -76,7 +76,7 @@
     /// Waiting requests.
     pub queue: TeamQueue,
     /// Estimates the wait of new requests.
-    pub pace: StartPace,
+    pub pace: WaitEstimator,
     /// Number of running attempts.
     pub running: u32,
     /// Service units charged since this router's start.
--- a/src/core/tables/wait_estimator.rs
+++ b/src/core/tables/wait_estimator.rs
@@ -11,14 +11,14 @@
 /// Moving averages of the time between two starts of a backlogged team and of the run time of its
 /// attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct StartPace {
+pub struct WaitEstimator {
     last: Option<Moment>,
     backlogged: bool,
     gap: Option<u64>,
     run: Option<u64>,
 }
 
-impl StartPace {
+impl WaitEstimator {
     /// Records a start. `more_wait` is true if further requests are waiting.
     pub fn note_start(&mut self, now: Moment, more_wait: bool) {
         if let Some(last) = self.last {
@@ -70,7 +70,7 @@
 
     #[test]
     fn the_wait_is_the_pace_times_those_ahead() {
-        let mut pace = StartPace::default();
+        let mut pace = WaitEstimator::default();
         for turn in 0..5 {
             pace.note_start(Moment(turn * 1_000), true);
         }
@@ -83,7 +83,7 @@
 
     #[test]
     fn a_slow_pace_is_forgotten_without_a_backlog() {
-        let mut pace = StartPace::default();
+        let mut pace = WaitEstimator::default();
         pace.note_start(Moment(0), true);
         pace.note_start(Moment(1_000_000), false);
         pace.note_start(Moment(1_000_100), false);
