--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -118,7 +118,7 @@
     let span = state.now.since(since);
     let pool = state.entries.get_mut(&pool_id);
     if let Some(usage) = pool.and_then(|pool| pool.teams.get_mut(&team)) {
-        usage.pace.note_run(span);
+        usage.wait_estimate.note_run(span);
     }
 }
 
--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -270,7 +270,7 @@
         return TimeSpan(0);
     };
     let ahead = usage.queue.ahead_of(urgency);
-    let estimate = usage.pace.time_to_end(ahead, state.now);
+    let estimate = usage.wait_estimate.time_to_end(ahead, state.now);
     TimeSpan(
         estimate
             .0
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -76,7 +76,7 @@
     /// Waiting requests.
     pub queue: TeamQueue,
     /// Estimates the wait of new requests.
-    pub pace: WaitEstimator,
+    pub wait_estimate: WaitEstimator,
     /// Number of running attempts.
     pub running: u32,
     /// Service units charged since this router's start.
