--- a/src/core/tables/wait_estimator.rs
+++ b/src/core/tables/wait_estimator.rs
@@ -70,23 +70,23 @@
 
     #[test]
     fn the_wait_is_the_pace_times_those_ahead() {
-        let mut pace = WaitEstimator::default();
+        let mut estimator = WaitEstimator::default();
         for turn in 0..5 {
-            pace.note_start(Moment(turn * 1_000), true);
+            estimator.note_start(Moment(turn * 1_000), true);
         }
-        pace.note_run(TimeSpan(500));
+        estimator.note_run(TimeSpan(500));
         let now = Moment(4_000);
-        assert_eq!(pace.time_to_end(9, now), TimeSpan(10_500));
-        assert_eq!(pace.time_to_end(0, now), TimeSpan(0));
-        assert_eq!(pace.time_to_end(1, Moment(9_000)), TimeSpan(6_500));
+        assert_eq!(estimator.time_to_end(9, now), TimeSpan(10_500));
+        assert_eq!(estimator.time_to_end(0, now), TimeSpan(0));
+        assert_eq!(estimator.time_to_end(1, Moment(9_000)), TimeSpan(6_500));
     }
 
     #[test]
     fn a_slow_pace_is_forgotten_without_a_backlog() {
-        let mut pace = WaitEstimator::default();
-        pace.note_start(Moment(0), true);
-        pace.note_start(Moment(1_000_000), false);
-        pace.note_start(Moment(1_000_100), false);
-        assert_eq!(pace.time_to_end(1, Moment(1_000_100)), TimeSpan(200));
+        let mut estimator = WaitEstimator::default();
+        estimator.note_start(Moment(0), true);
+        estimator.note_start(Moment(1_000_000), false);
+        estimator.note_start(Moment(1_000_100), false);
+        assert_eq!(estimator.time_to_end(1, Moment(1_000_100)), TimeSpan(200));
     }
 }
