--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -217,7 +217,9 @@
     if let Some(pool) = state.entries.get_mut(&pool_id) {
         let usage = pool.teams.entry(team).or_default();
         usage.running += 1;
-        usage.wait_estimate.note_start(now, !usage.queue.is_empty());
+        usage
+            .wait_estimate
+            .record_start(now, !usage.queue.is_empty());
         pool.change_slots(endpoint, |hold| hold.busy += 1);
         pool.touch(team);
         let most = state.config.dispatch.prefix_memory as usize;
--- a/src/core/tables/wait_estimator.rs
+++ b/src/core/tables/wait_estimator.rs
@@ -20,7 +20,7 @@
 
 impl WaitEstimator {
     /// Records a start. `more_wait` is true if further requests are waiting.
-    pub fn note_start(&mut self, now: Moment, more_wait: bool) {
+    pub fn record_start(&mut self, now: Moment, more_wait: bool) {
         if let Some(last) = self.last {
             let passed = now.since(last).0;
             // Without a backlog the time between starts is that between arrivals, so it is only an
@@ -72,7 +72,7 @@
     fn the_wait_is_the_pace_times_those_ahead() {
         let mut estimator = WaitEstimator::default();
         for turn in 0..5 {
-            estimator.note_start(Moment(turn * 1_000), true);
+            estimator.record_start(Moment(turn * 1_000), true);
         }
         estimator.note_run(TimeSpan(500));
         let now = Moment(4_000);
@@ -84,9 +84,9 @@
     #[test]
     fn a_slow_pace_is_forgotten_without_a_backlog() {
         let mut estimator = WaitEstimator::default();
-        estimator.note_start(Moment(0), true);
-        estimator.note_start(Moment(1_000_000), false);
-        estimator.note_start(Moment(1_000_100), false);
+        estimator.record_start(Moment(0), true);
+        estimator.record_start(Moment(1_000_000), false);
+        estimator.record_start(Moment(1_000_100), false);
         assert_eq!(estimator.time_to_end(1, Moment(1_000_100)), TimeSpan(200));
     }
 }
