--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -107,18 +107,18 @@
         limits::note_answer(state, pool_id, endpoint, true);
     }
     if outcome == AttemptOutcome::Whole {
-        note_run(state, pool_id, team, since);
+        record_run(state, pool_id, team, since);
         finish::complete(state, request);
         return;
     }
     retry_or_refuse(state, request, outcome);
 }
 
-fn note_run(state: &mut CoreState, pool_id: PoolId, team: TeamId, since: Moment) {
+fn record_run(state: &mut CoreState, pool_id: PoolId, team: TeamId, since: Moment) {
     let span = state.now.since(since);
     let pool = state.entries.get_mut(&pool_id);
     if let Some(usage) = pool.and_then(|pool| pool.teams.get_mut(&team)) {
-        usage.wait_estimate.note_run(span);
+        usage.wait_estimate.record_run(span);
     }
 }
 
--- a/src/core/tables/wait_estimator.rs
+++ b/src/core/tables/wait_estimator.rs
@@ -36,7 +36,7 @@
     }
 
     /// Records the run time of an attempt that delivered its whole answer.
-    pub fn note_run(&mut self, span: TimeSpan) {
+    pub fn record_run(&mut self, span: TimeSpan) {
         self.run = Some(smooth(self.run, span.0));
     }
 
@@ -74,7 +74,7 @@
         for turn in 0..5 {
             estimator.record_start(Moment(turn * 1_000), true);
         }
-        estimator.note_run(TimeSpan(500));
+        estimator.record_run(TimeSpan(500));
         let now = Moment(4_000);
         assert_eq!(estimator.time_to_end(9, now), TimeSpan(10_500));
         assert_eq!(estimator.time_to_end(0, now), TimeSpan(0));
