--- a/examples/measure/state_bytes.rs
+++ b/examples/measure/state_bytes.rs
@@ -10,7 +10,7 @@
 use verbenaturn::catalog::TeamEntry;
 use verbenaturn::core::state::CoreState;
 use verbenaturn::core::tables::crashes::SuspectRow;
-use verbenaturn::core::tables::detector::PeerWatch;
+use verbenaturn::core::tables::detector::PeerHealth;
 use verbenaturn::core::tables::entry_pool::EntryPool;
 use verbenaturn::core::tables::entry_pool::SlotHold;
 use verbenaturn::core::tables::entry_pool::TeamRank;
@@ -52,7 +52,7 @@
 /// Counts a core's tables.
 pub fn count(state: &CoreState) -> StateBytes {
     let members = map::<HostName, MemberEntry>(state.members.len());
-    let watches = map::<HostName, PeerWatch>(state.detector.watches.len());
+    let watches = map::<HostName, PeerHealth>(state.detector.watches.len());
     StateBytes {
         entry: state.entries.values().map(entry_bytes).sum(),
         owned: state.owned.values().map(owned_bytes).sum(),
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -12,7 +12,7 @@
 
 /// Failure detection state of one router.
 #[derive(Debug, Default)]
-pub struct PeerWatch {
+pub struct PeerHealth {
     /// When this router last received a message or handshake from it directly.
     pub heard_at: Option<Moment>,
     /// When the current suspicion began.
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct DetectorTable {
     /// Failure detection state per router.
-    pub watches: BTreeMap<HostName, PeerWatch>,
+    pub watches: BTreeMap<HostName, PeerHealth>,
     /// Routers with a running suspicion or reachability timeout.
     pub pending: BTreeSet<HostName>,
     /// Dead routers.
@@ -115,7 +115,7 @@
 
 impl DetectorTable {
     /// The row of a router, created if missing.
-    pub fn watch(&mut self, host: &HostName) -> &mut PeerWatch {
+    pub fn watch(&mut self, host: &HostName) -> &mut PeerHealth {
         self.watches.entry(host.clone()).or_default()
     }
 
