--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -111,7 +111,7 @@
 }
 
 /// Highest local health score. Timeouts are multiplied by the score plus one.
-const STRAIN_MOST: u32 = 4;
+const MAX_HEALTH_SCORE: u32 = 4;
 
 impl DetectorTable {
     /// The row of a router, created if missing.
@@ -127,7 +127,7 @@
 
     /// Raises the health score after an indication that this router itself is slow or isolated.
     pub fn strain(&mut self) {
-        self.strain = (self.strain + 1).min(STRAIN_MOST);
+        self.strain = (self.strain + 1).min(MAX_HEALTH_SCORE);
     }
 
     /// Lowers the health score after a ping was answered in time.
