--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -294,7 +294,7 @@
         .is_some_and(|round| round.sequence == sequence)
     {
         state.detector.round = None;
-        state.detector.relax();
+        state.detector.lower_health_score();
     }
 }
 
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -131,7 +131,7 @@
     }
 
     /// Lowers the health score after a ping was answered in time.
-    pub fn relax(&mut self) {
+    pub fn lower_health_score(&mut self) {
         self.strain = self.strain.saturating_sub(1);
     }
 
