--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -423,8 +423,8 @@
     let Some(own) = state.members.get(&host).map(|row| row.state) else {
         return;
     };
-    if own != state.detector.told_state {
-        state.detector.told_state = own;
+    if own != state.detector.announced_state {
+        state.detector.announced_state = own;
         state.detector.gossip_queue.add(host);
         probing::push(state);
     }
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -80,7 +80,7 @@
     /// Time of the last tick.
     pub last_tick: Moment,
     /// The state of this router that it last announced.
-    pub told_state: MemberState,
+    pub announced_state: MemberState,
     /// Version of the member table for which `wanted` was last updated.
     pub wanted_version: u64,
     /// Routers on the last host list.
@@ -103,7 +103,7 @@
             gossip_queue: GossipQueue::default(),
             strain: 0,
             last_tick: Moment(0),
-            told_state: MemberState::Alive,
+            announced_state: MemberState::Alive,
             wanted_version: 0,
             listed: BTreeSet::new(),
         }
