--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -433,7 +433,7 @@
 fn check_limits(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     let config = &state.config.membership;
-    let patience = state.detector.patience();
+    let timeout_multiplier = state.detector.timeout_multiplier();
     let Some(watch) = state.detector.watches.get(host) else {
         state.detector.pending.remove(host);
         return;
@@ -442,7 +442,7 @@
     let limit = if confirmed {
         TimeSpan::from_millis(config.confirmed_ms)
     } else {
-        TimeSpan::from_millis(config.suspicion_ms * patience)
+        TimeSpan::from_millis(config.suspicion_ms * timeout_multiplier)
     };
     let (suspect_since, lost_at) = (watch.suspect_since, watch.lost_at);
     if suspect_since.is_some_and(|since| now.since(since) >= limit) {
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -174,13 +174,13 @@
 
 fn check_round(state: &mut CoreState) {
     let now = state.now;
-    let patience = state.detector.patience();
+    let timeout_multiplier = state.detector.timeout_multiplier();
     let Some(round) = &state.detector.round else {
         return;
     };
     let waited = now.since(round.sent_at);
     let target = round.target.clone();
-    let answer_limit = TimeSpan::from_millis(state.config.probing.answer_ms * patience);
+    let answer_limit = TimeSpan::from_millis(state.config.probing.answer_ms * timeout_multiplier);
     if !round.helped && waited >= answer_limit {
         ask_helpers(state, &target);
         if let Some(round) = &mut state.detector.round {
@@ -188,7 +188,7 @@
         }
         return;
     }
-    if waited >= TimeSpan(period(state).0 * patience) {
+    if waited >= TimeSpan(period(state).0 * timeout_multiplier) {
         state.detector.round = None;
         state.detector.strain();
         membership::suspect(state, &target);
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -137,7 +137,7 @@
 
     /// The factor by which timeouts are multiplied.
     #[must_use]
-    pub fn patience(&self) -> u64 {
+    pub fn timeout_multiplier(&self) -> u64 {
         u64::from(self.strain) + 1
     }
 }
