--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -94,7 +94,7 @@
     tally.told_late = is_late;
     if let Some(pool) = state.entries.get_mut(&pool_id) {
         let next = pool.report_sequence + 1;
-        pool.change_slots(endpoint, |hold| hold.told_in = next);
+        pool.change_slots(endpoint, |hold| hold.first_sent_in = next);
     }
 }
 
--- a/src/core/systems/ownership/grants.rs
+++ b/src/core/systems/ownership/grants.rs
@@ -63,6 +63,6 @@
     let next = member.allotment_sequence + 1;
     pool.change_claim(host, endpoint, |claim| {
         claim.granted += 1;
-        claim.told_in = next;
+        claim.first_sent_in = next;
     });
 }
--- a/src/core/systems/ownership/telling.rs
+++ b/src/core/systems/ownership/telling.rs
@@ -75,7 +75,7 @@
         ..SlotAllotment::default()
     };
     for (endpoint, claim) in &member.slots {
-        if claim.told_in > member.allotment_acked {
+        if claim.first_sent_in > member.allotment_acked {
             allotment.endpoints.push(endpoint.0);
             allotment.granted.push(claim.granted);
         }
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -158,7 +158,7 @@
 fn add_teams(pool: &mut EntryPool, report: &mut DemandReport) {
     let (sequence, acked) = (pool.report_sequence, pool.report_acked);
     for (team, usage) in &mut pool.teams {
-        if usage.told_in <= acked && acked > 0 {
+        if usage.first_sent_in <= acked && acked > 0 {
             continue;
         }
         let charged = usage.charged / CHARGE_STEP;
@@ -176,7 +176,7 @@
 fn add_slots(pool: &EntryPool, report: &mut DemandReport) {
     let acked = pool.report_acked;
     for (endpoint, hold) in &pool.slots {
-        if hold.told_in <= acked && acked > 0 {
+        if hold.first_sent_in <= acked && acked > 0 {
             continue;
         }
         report.endpoints.push(endpoint.0);
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -42,7 +42,7 @@
     /// Number of running attempts of this router on the endpoint.
     pub busy: u32,
     /// Sequence number of the first report that carries the endpoint's current values.
-    pub told_in: u64,
+    pub first_sent_in: u64,
 }
 
 impl SlotHold {
@@ -91,7 +91,7 @@
     /// report on.
     pub sent_charges: Vec<(u64, i64)>,
     /// Sequence number of the first report that carries the current values.
-    pub told_in: u64,
+    pub first_sent_in: u64,
     /// The team's key in `EntryPool::order`, if it has waiting requests.
     pub rank: Option<TeamRank>,
 }
@@ -176,7 +176,7 @@
         let next = self.report_sequence + 1;
         self.change_slots(endpoint, |hold| {
             hold.returned += 1;
-            hold.told_in = next;
+            hold.first_sent_in = next;
         });
         self.urgent = true;
     }
@@ -186,14 +186,14 @@
         let next = self.report_sequence + 1;
         let usage = self.teams.entry(team).or_default();
         usage.charged += amount;
-        usage.told_in = next;
+        usage.first_sent_in = next;
         self.changed = true;
     }
 
     /// Marks a team's number of waiting or running requests as changed since the last report.
     pub fn touch(&mut self, team: TeamId) {
         let next = self.report_sequence + 1;
-        self.teams.entry(team).or_default().told_in = next;
+        self.teams.entry(team).or_default().first_sent_in = next;
         self.changed = true;
     }
 
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -32,7 +32,7 @@
     /// Slots returned since then, as last reported.
     pub returned: u64,
     /// Sequence number of the first allotment with the current value of `granted`.
-    pub told_in: u64,
+    pub first_sent_in: u64,
 }
 
 impl SlotClaim {
