--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -88,10 +88,10 @@
     let tally = state.slot_limits.tallies.entry(endpoint).or_default();
     tally.note(late);
     let is_late = tally.per_mille() >= state.config.limits.slow_per_mille;
-    if is_late == tally.told_late {
+    if is_late == tally.reported_late {
         return;
     }
-    tally.told_late = is_late;
+    tally.reported_late = is_late;
     if let Some(pool) = state.entries.get_mut(&pool_id) {
         let next = pool.report_sequence + 1;
         pool.change_slots(endpoint, |hold| hold.first_sent_in = next);
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -60,7 +60,7 @@
     answers: u32,
     late: u32,
     /// True if the last report to the owner, or the next one, says that answers are late.
-    pub told_late: bool,
+    pub reported_late: bool,
 }
 
 impl FirstByteTally {
