--- a/src/core/systems/ownership/telling.rs
+++ b/src/core/systems/ownership/telling.rs
@@ -29,7 +29,7 @@
         let lowered = member.target < member.held
             && member.sent.is_none_or(|(target, _)| target > member.target);
         let moved = member.sent != Some((member.target, scarce));
-        let busy = member.waiting() > 0 || moved || member.report_seen > member.report_told;
+        let busy = member.waiting() > 0 || moved || member.report_seen > member.report_ack_sent;
         let due = now.since(member.told_at) >= refresh && busy;
         if !(member.urgent || lowered && scarce || due) {
             continue;
@@ -61,7 +61,7 @@
     member.told_at = now;
     member.urgent = false;
     member.sent = Some((member.target, scarce));
-    member.report_told = member.report_seen;
+    member.report_ack_sent = member.report_seen;
     let mut allotment = SlotAllotment {
         pool: pool_id.0,
         epoch,
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -52,7 +52,7 @@
     /// Sequence number of the newest report processed.
     pub report_seen: u64,
     /// `report_seen` as acknowledged in the last allotment.
-    pub report_told: u64,
+    pub report_ack_sent: u64,
     /// When its newest report arrived.
     pub heard_at: Moment,
     /// Highest allotment sequence number that it acknowledged.
@@ -88,7 +88,7 @@
         Self {
             incarnation,
             report_seen: 0,
-            report_told: 0,
+            report_ack_sent: 0,
             heard_at: Moment(0),
             allotment_acked: 0,
             allotment_sequence: 0,
