--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -124,7 +124,7 @@
             .rev()
             .find(|(sequence, _)| *sequence <= allotment.acked);
         if let Some((_, charged)) = known {
-            usage.told_charged = *charged;
+            usage.owner_charged = *charged;
         }
         usage
             .sent_charges
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -88,7 +88,7 @@
     for usage in pool.teams.values_mut() {
         usage.told = 0;
         usage.quota = None;
-        usage.told_charged = usage.charged;
+        usage.owner_charged = usage.charged;
         usage.sent_charges.clear();
     }
     pool.urgent = true;
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -84,7 +84,7 @@
     /// Virtual time according to the owner's last allotment.
     pub told: i64,
     /// The value of `charged` that `told` includes.
-    pub told_charged: i64,
+    pub owner_charged: i64,
     /// The team's fair number of slots at this router according to the owner; `None` if unknown.
     pub quota: Option<u32>,
     /// Report sequence numbers and the values of `charged` sent in them, from the last acknowledged
@@ -204,7 +204,7 @@
         let Some(usage) = self.teams.get(&team) else {
             return self.clock;
         };
-        usage.told + virtual_time(usage.charged - usage.told_charged, share)
+        usage.told + virtual_time(usage.charged - usage.owner_charged, share)
     }
 
     /// Updates a team's position in the order, or removes the team if it has no waiting requests.
