--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -116,7 +116,7 @@
     let rows = allotment.teams.iter().zip(&allotment.lead);
     for ((team, lead), quota) in rows.zip(&allotment.quota) {
         let usage = pool.teams.entry(TeamId(*team)).or_default();
-        usage.told = pool.clock + lead.saturating_mul(LEAD_STEP);
+        usage.owner_time = pool.clock + lead.saturating_mul(LEAD_STEP);
         usage.quota = Some(*quota);
         let known = usage
             .sent_charges
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -86,7 +86,7 @@
     pool.allotment_seen = 0;
     pool.report_acked = 0;
     for usage in pool.teams.values_mut() {
-        usage.told = 0;
+        usage.owner_time = 0;
         usage.quota = None;
         usage.owner_charged = usage.charged;
         usage.sent_charges.clear();
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -82,8 +82,8 @@
     /// Service units charged since this router's start.
     pub charged: i64,
     /// Virtual time according to the owner's last allotment.
-    pub told: i64,
-    /// The value of `charged` that `told` includes.
+    pub owner_time: i64,
+    /// The value of `charged` that `owner_time` includes.
     pub owner_charged: i64,
     /// The team's fair number of slots at this router according to the owner; `None` if unknown.
     pub quota: Option<u32>,
@@ -204,7 +204,7 @@
         let Some(usage) = self.teams.get(&team) else {
             return self.clock;
         };
-        usage.told + virtual_time(usage.charged - usage.owner_charged, share)
+        usage.owner_time + virtual_time(usage.charged - usage.owner_charged, share)
     }
 
     /// Updates a team's position in the order, or removes the team if it has no waiting requests.
