--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -156,7 +156,7 @@
 }
 
 fn peer_closed(state: &mut CoreState, host: &HostName) {
-    state.publication_sync.told.remove(host);
+    state.publication_sync.peer_revisions.remove(host);
     let fetch = &state.publication_sync.fetch;
     if fetch.as_ref().is_some_and(|fetch| fetch.host == *host) {
         state.publication_sync.fetch = None;
@@ -166,7 +166,10 @@
 
 fn take_ping(state: &mut CoreState, from: &HostName, ping: &GossipPing) {
     let revision = ConfigRevision(ping.revision);
-    state.publication_sync.told.insert(from.clone(), revision);
+    state
+        .publication_sync
+        .peer_revisions
+        .insert(from.clone(), revision);
     if let Some(age) = ping.service_age.checked_sub(1) {
         let age = TimeSpan::from_millis(age.min(u64::from(u32::MAX)));
         let seen = Moment(state.now.0.saturating_sub(age.0));
@@ -208,7 +211,7 @@
     }
     let host = fetch.host.clone();
     state.publication_sync.fetch = None;
-    state.publication_sync.told.remove(&host);
+    state.publication_sync.peer_revisions.remove(&host);
     fetch_if_behind(state);
 }
 
@@ -238,10 +241,10 @@
     let wanted = revision > state.catalog.revision && !sync.refused.contains(&revision);
     if !wanted || offer.text.is_empty() {
         sync.fetch = None;
-        sync.told.remove(from);
+        sync.peer_revisions.remove(from);
         return;
     }
-    sync.told.insert(from.clone(), revision);
+    sync.peer_revisions.insert(from.clone(), revision);
     state.act(CoreAction::AdoptText {
         revision,
         text: offer.text.clone(),
@@ -263,7 +266,7 @@
     let behind = sync.best_source(state.catalog.revision).is_some();
     let asked_all = sync.listed
         && state.members.iter().all(|(host, row)| {
-            let silent = *host != state.identity.host && !sync.told.contains_key(host);
+            let silent = *host != state.identity.host && !sync.peer_revisions.contains_key(host);
             !(silent && (row.connected || row.incarnation.is_none()))
         });
     state.publication_sync.ready = late || (asked_all && !behind);
--- a/src/core/tables/publication_sync.rs
+++ b/src/core/tables/publication_sync.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct PublicationSync {
     /// The revision that each connected peer last announced.
-    pub told: BTreeMap<HostName, ConfigRevision>,
+    pub peer_revisions: BTreeMap<HostName, ConfigRevision>,
     /// The fetch in progress; at most one at a time.
     pub fetch: Option<PublicationFetch>,
     /// Revisions that were rejected as invalid.
@@ -70,7 +70,7 @@
     /// The peer with the highest revision above `current` that was not rejected.
     #[must_use]
     pub fn best_source(&self, current: ConfigRevision) -> Option<(HostName, ConfigRevision)> {
-        self.told
+        self.peer_revisions
             .iter()
             .filter(|(_, told)| **told > current && !self.refused.contains(told))
             .max_by_key(|(_, told)| **told)
