--- a/src/core/tables/publication_sync.rs
+++ b/src/core/tables/publication_sync.rs
@@ -72,8 +72,8 @@
     pub fn best_source(&self, current: ConfigRevision) -> Option<(HostName, ConfigRevision)> {
         self.peer_revisions
             .iter()
-            .filter(|(_, told)| **told > current && !self.refused.contains(told))
-            .max_by_key(|(_, told)| **told)
-            .map(|(host, told)| (host.clone(), *told))
+            .filter(|(_, revision)| **revision > current && !self.refused.contains(revision))
+            .max_by_key(|(_, revision)| **revision)
+            .map(|(host, revision)| (host.clone(), *revision))
     }
 }
