--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -383,7 +383,7 @@
     state
         .members
         .change(&host, |entry| entry.refutation = told.refutation + 1);
-    state.detector.strain();
+    state.detector.raise_health_score();
     state.detector.gossip_queue.add(host);
 }
 
@@ -409,7 +409,7 @@
 fn forgive_pause(state: &mut CoreState) {
     let now = state.now;
     state.detector.round = None;
-    state.detector.strain();
+    state.detector.raise_health_score();
     let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
     for host in pending {
         let watch = state.detector.watch(&host);
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -190,7 +190,7 @@
     }
     if waited >= TimeSpan(period(state).0 * timeout_multiplier) {
         state.detector.round = None;
-        state.detector.strain();
+        state.detector.raise_health_score();
         membership::suspect(state, &target);
     }
 }
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -126,7 +126,7 @@
     }
 
     /// Raises the health score after an indication that this router itself is slow or isolated.
-    pub fn strain(&mut self) {
+    pub fn raise_health_score(&mut self) {
         self.strain = (self.strain + 1).min(MAX_HEALTH_SCORE);
     }
 
