--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -76,7 +76,7 @@
     /// Membership updates to gossip.
     pub gossip_queue: GossipQueue<HostName>,
     /// Local health score as in Lifeguard: 0 while this router's own pings are answered in time.
-    pub strain: u32,
+    pub health_score: u32,
     /// Time of the last tick.
     pub last_tick: Moment,
     /// The state of this router that it last announced.
@@ -101,7 +101,7 @@
             sequence: 0,
             relays: BTreeMap::new(),
             gossip_queue: GossipQueue::default(),
-            strain: 0,
+            health_score: 0,
             last_tick: Moment(0),
             announced_state: MemberState::Alive,
             wanted_version: 0,
@@ -127,17 +127,17 @@
 
     /// Raises the health score after an indication that this router itself is slow or isolated.
     pub fn raise_health_score(&mut self) {
-        self.strain = (self.strain + 1).min(MAX_HEALTH_SCORE);
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
     /// Lowers the health score after a ping was answered in time.
     pub fn lower_health_score(&mut self) {
-        self.strain = self.strain.saturating_sub(1);
+        self.health_score = self.health_score.saturating_sub(1);
     }
 
     /// The factor by which timeouts are multiplied.
     #[must_use]
     pub fn timeout_multiplier(&self) -> u64 {
-        u64::from(self.strain) + 1
+        u64::from(self.health_score) + 1
     }
 }
