--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -22,7 +22,7 @@
 use crate::core::systems::admission;
 use crate::core::systems::attempts;
 use crate::core::systems::limits;
-use crate::core::tables::crashes::CrashProof;
+use crate::core::tables::crashes::CrashEvidence;
 use crate::core::tables::endpoints::LoadWatcher;
 use crate::core::tables::requests::RequestStage;
 use crate::core::tables::requests::RunningAttempt;
@@ -119,7 +119,7 @@
     let life = life_of(state, endpoint);
     let known = state.crashes.find_record(endpoint, life, now, window);
     if known.is_some() || state.crashes.has_losses(endpoint) {
-        crashed(state, endpoint, life, CrashProof::Seen);
+        crashed(state, endpoint, life, CrashEvidence::Seen);
     }
 }
 
@@ -141,9 +141,9 @@
     let before = life_of(state, endpoint);
     limits::watch_load(state, endpoint, LoadWatcher::FirstLife, false);
     if before == 0 && state.crashes.has_losses(endpoint) {
-        crashed(state, endpoint, 0, CrashProof::Lacking);
+        crashed(state, endpoint, 0, CrashEvidence::Lacking);
     } else if before != 0 && before != life {
-        crashed(state, endpoint, before, CrashProof::Seen);
+        crashed(state, endpoint, before, CrashEvidence::Seen);
     } else if before == life {
         // The endpoint lives on, so the link was at fault. A report that was under way when the
         // endpoint crashed would say the same; hence the grace.
@@ -155,12 +155,17 @@
 }
 
 /// An endpoint's life has ended, or may have: all that was lost there lately is suspect.
-fn crashed(state: &mut CoreState, endpoint: EndpointId, life: u64, proof: CrashProof) {
+fn crashed(state: &mut CoreState, endpoint: EndpointId, life: u64, proof: CrashEvidence) {
     let number = open_record(state, endpoint, life, proof);
     suspect_losses(state, endpoint, number);
 }
 
-fn open_record(state: &mut CoreState, endpoint: EndpointId, life: u64, proof: CrashProof) -> u64 {
+fn open_record(
+    state: &mut CoreState,
+    endpoint: EndpointId,
+    life: u64,
+    proof: CrashEvidence,
+) -> u64 {
     let (now, window) = (state.now, evidence_window(state));
     let known = state.crashes.find_record(endpoint, life, now, window);
     let number = known.unwrap_or_else(|| state.crashes.add_record(endpoint, life, proof, now));
@@ -168,7 +173,7 @@
         record.seen_at = now;
         record.life = record.life.max(life);
     }
-    if proof == CrashProof::Seen {
+    if proof == CrashEvidence::Seen {
         let config = &state.config.quarantine;
         for fingerprint in state.crashes.prove(number, now, config) {
             refuse_everywhere(state, fingerprint);
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::core::state::CoreState;
-use crate::core::tables::crashes::CrashProof;
+use crate::core::tables::crashes::CrashEvidence;
 use crate::units::EndpointId;
 use crate::units::HostName;
 use crate::units::RequestFingerprint;
@@ -45,7 +45,7 @@
         .map(|record| QuarantineNotice {
             endpoint: record.endpoint.0,
             crash: record.life,
-            unproven: record.proof == CrashProof::Lacking,
+            unproven: record.proof == CrashEvidence::Lacking,
             fingerprints: numbers(std::mem::take(&mut record.untold)),
             ..QuarantineNotice::default()
         })
@@ -109,9 +109,9 @@
     }
     let endpoint = EndpointId(notice.endpoint);
     let proof = if notice.unproven {
-        CrashProof::Lacking
+        CrashEvidence::Lacking
     } else {
-        CrashProof::Seen
+        CrashEvidence::Seen
     };
     let number = super::open_record(state, endpoint, notice.crash, proof);
     super::add_suspects(state, number, suspects);
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -14,7 +14,7 @@
 
 /// How certain it is that an endpoint crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CrashProof {
+pub enum CrashEvidence {
     /// Attempts were lost there by a router that had not read the endpoint's `life` before: either
     /// the endpoint crashed or the connection broke.
     Lacking,
@@ -30,7 +30,7 @@
     /// The endpoint's `life` before the crash; 0 if unknown to this router.
     pub life: u64,
     /// How certain the crash is.
-    pub proof: CrashProof,
+    pub proof: CrashEvidence,
     /// When evidence of it was last received.
     pub seen_at: Moment,
     /// Requests of any router that were running on the endpoint.
@@ -161,7 +161,7 @@
         &mut self,
         endpoint: EndpointId,
         life: u64,
-        proof: CrashProof,
+        proof: CrashEvidence,
         now: Moment,
     ) -> u64 {
         self.counted += 1;
@@ -218,7 +218,7 @@
         };
         let lacks_proof = |number: &u64| {
             let record = self.records.get(number);
-            record.is_some_and(|record| record.proof == CrashProof::Lacking)
+            record.is_some_and(|record| record.proof == CrashEvidence::Lacking)
         };
         let unseen = row.crashes.iter().filter(|number| lacks_proof(number));
         let unseen = unseen.count();
@@ -236,10 +236,10 @@
         let Some(record) = self.records.get_mut(&number) else {
             return BTreeSet::new();
         };
-        if record.proof == CrashProof::Seen {
+        if record.proof == CrashEvidence::Seen {
             return BTreeSet::new();
         }
-        record.proof = CrashProof::Seen;
+        record.proof = CrashEvidence::Seen;
         record.untold.extend(record.suspects.iter().copied());
         let suspects = record.suspects.clone();
         suspects
@@ -383,7 +383,7 @@
     fn suspects_of_one_crash_get_endpoints_of_their_own() {
         let config = QuarantineConfig::default();
         let mut table = CrashTable::default();
-        let number = table.add_record(EndpointId(0), 5, CrashProof::Seen, Moment(0));
+        let number = table.add_record(EndpointId(0), 5, CrashEvidence::Seen, Moment(0));
         let suspects: Vec<_> = (1..=5).map(RequestFingerprint).collect();
         for suspect in &suspects {
             assert!(!table.add_suspect(number, *suspect, Moment(0), &config));
@@ -402,7 +402,7 @@
         let config = QuarantineConfig::default();
         let window = TimeSpan::from_millis(config.evidence_ms);
         let mut table = CrashTable::default();
-        let number = table.add_record(EndpointId(1), 5, CrashProof::Seen, Moment(0));
+        let number = table.add_record(EndpointId(1), 5, CrashEvidence::Seen, Moment(0));
         let now = Moment(1_000);
         assert_eq!(
             table.find_record(EndpointId(1), 0, now, window),
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -9,7 +9,7 @@
 //! the work of all its requests.
 
 use crate::configs::quarantine::QuarantineConfig;
-use crate::core::tables::crashes::CrashProof;
+use crate::core::tables::crashes::CrashEvidence;
 use crate::core::tables::crashes::CrashTable;
 use crate::units::EndpointId;
 use crate::units::Moment;
@@ -101,7 +101,10 @@
     fn record(&mut self, now: Moment, endpoint: EndpointId, life: u64) -> u64 {
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let known = self.table.find_record(endpoint, life, now, window);
-        known.unwrap_or_else(|| self.table.add_record(endpoint, life, CrashProof::Seen, now))
+        known.unwrap_or_else(|| {
+            self.table
+                .add_record(endpoint, life, CrashEvidence::Seen, now)
+        })
     }
 
     fn suspect(&mut self, now: Moment, record: u64, print: RequestFingerprint) {
