--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -141,7 +141,7 @@
     let before = life_of(state, endpoint);
     limits::watch_load(state, endpoint, LoadWatcher::FirstLife, false);
     if before == 0 && state.crashes.has_losses(endpoint) {
-        crashed(state, endpoint, 0, CrashEvidence::Lacking);
+        crashed(state, endpoint, 0, CrashEvidence::Unconfirmed);
     } else if before != 0 && before != life {
         crashed(state, endpoint, before, CrashEvidence::Seen);
     } else if before == life {
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -45,7 +45,7 @@
         .map(|record| QuarantineNotice {
             endpoint: record.endpoint.0,
             crash: record.life,
-            unproven: record.proof == CrashEvidence::Lacking,
+            unproven: record.proof == CrashEvidence::Unconfirmed,
             fingerprints: numbers(std::mem::take(&mut record.untold)),
             ..QuarantineNotice::default()
         })
@@ -109,7 +109,7 @@
     }
     let endpoint = EndpointId(notice.endpoint);
     let proof = if notice.unproven {
-        CrashEvidence::Lacking
+        CrashEvidence::Unconfirmed
     } else {
         CrashEvidence::Seen
     };
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -17,7 +17,7 @@
 pub enum CrashEvidence {
     /// Attempts were lost there by a router that had not read the endpoint's `life` before: either
     /// the endpoint crashed or the connection broke.
-    Lacking,
+    Unconfirmed,
     /// The endpoint refused connections, or its `life` changed.
     Seen,
 }
@@ -218,7 +218,7 @@
         };
         let lacks_proof = |number: &u64| {
             let record = self.records.get(number);
-            record.is_some_and(|record| record.proof == CrashEvidence::Lacking)
+            record.is_some_and(|record| record.proof == CrashEvidence::Unconfirmed)
         };
         let unseen = row.crashes.iter().filter(|number| lacks_proof(number));
         let unseen = unseen.count();
