--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -119,7 +119,7 @@
     let life = life_of(state, endpoint);
     let known = state.crashes.find_record(endpoint, life, now, window);
     if known.is_some() || state.crashes.has_losses(endpoint) {
-        crashed(state, endpoint, life, CrashEvidence::Seen);
+        crashed(state, endpoint, life, CrashEvidence::Confirmed);
     }
 }
 
@@ -143,7 +143,7 @@
     if before == 0 && state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, 0, CrashEvidence::Unconfirmed);
     } else if before != 0 && before != life {
-        crashed(state, endpoint, before, CrashEvidence::Seen);
+        crashed(state, endpoint, before, CrashEvidence::Confirmed);
     } else if before == life {
         // The endpoint lives on, so the link was at fault. A report that was under way when the
         // endpoint crashed would say the same; hence the grace.
@@ -173,7 +173,7 @@
         record.seen_at = now;
         record.life = record.life.max(life);
     }
-    if proof == CrashEvidence::Seen {
+    if proof == CrashEvidence::Confirmed {
         let config = &state.config.quarantine;
         for fingerprint in state.crashes.prove(number, now, config) {
             refuse_everywhere(state, fingerprint);
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -111,7 +111,7 @@
     let proof = if notice.unproven {
         CrashEvidence::Unconfirmed
     } else {
-        CrashEvidence::Seen
+        CrashEvidence::Confirmed
     };
     let number = super::open_record(state, endpoint, notice.crash, proof);
     super::add_suspects(state, number, suspects);
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -19,7 +19,7 @@
     /// the endpoint crashed or the connection broke.
     Unconfirmed,
     /// The endpoint refused connections, or its `life` changed.
-    Seen,
+    Confirmed,
 }
 
 /// A crash of an endpoint.
@@ -209,8 +209,8 @@
         self.is_guilty(fingerprint, config) && self.refuse(fingerprint, now, config)
     }
 
-    /// True if a request was running in as many crashes as `config.crashes`. At most one unproven
-    /// crash counts, and only in addition to a proven one, so that broken connections alone never
+    /// True if a request was running in as many crashes as `config.crashes`. At most one unconfirmed
+    /// crash counts, and only in addition to a confirmed one, so that broken connections alone never
     /// quarantine a request.
     fn is_guilty(&self, fingerprint: RequestFingerprint, config: &QuarantineConfig) -> bool {
         let Some(row) = self.suspects.get(&fingerprint) else {
@@ -226,7 +226,7 @@
         seen > 0 && seen + unseen.min(1) >= config.crashes as usize
     }
 
-    /// Marks a crash as proven; returns the suspects that this puts in quarantine.
+    /// Marks a crash as confirmed; returns the suspects that this puts in quarantine.
     pub fn prove(
         &mut self,
         number: u64,
@@ -236,10 +236,10 @@
         let Some(record) = self.records.get_mut(&number) else {
             return BTreeSet::new();
         };
-        if record.proof == CrashEvidence::Seen {
+        if record.proof == CrashEvidence::Confirmed {
             return BTreeSet::new();
         }
-        record.proof = CrashEvidence::Seen;
+        record.proof = CrashEvidence::Confirmed;
         record.untold.extend(record.suspects.iter().copied());
         let suspects = record.suspects.clone();
         suspects
@@ -383,7 +383,7 @@
     fn suspects_of_one_crash_get_endpoints_of_their_own() {
         let config = QuarantineConfig::default();
         let mut table = CrashTable::default();
-        let number = table.add_record(EndpointId(0), 5, CrashEvidence::Seen, Moment(0));
+        let number = table.add_record(EndpointId(0), 5, CrashEvidence::Confirmed, Moment(0));
         let suspects: Vec<_> = (1..=5).map(RequestFingerprint).collect();
         for suspect in &suspects {
             assert!(!table.add_suspect(number, *suspect, Moment(0), &config));
@@ -402,7 +402,7 @@
         let config = QuarantineConfig::default();
         let window = TimeSpan::from_millis(config.evidence_ms);
         let mut table = CrashTable::default();
-        let number = table.add_record(EndpointId(1), 5, CrashEvidence::Seen, Moment(0));
+        let number = table.add_record(EndpointId(1), 5, CrashEvidence::Confirmed, Moment(0));
         let now = Moment(1_000);
         assert_eq!(
             table.find_record(EndpointId(1), 0, now, window),
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -103,7 +103,7 @@
         let known = self.table.find_record(endpoint, life, now, window);
         known.unwrap_or_else(|| {
             self.table
-                .add_record(endpoint, life, CrashEvidence::Seen, now)
+                .add_record(endpoint, life, CrashEvidence::Confirmed, now)
         })
     }
 
