--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -216,11 +216,11 @@
         let Some(row) = self.suspects.get(&fingerprint) else {
             return false;
         };
-        let lacks_proof = |number: &u64| {
+        let is_unconfirmed = |number: &u64| {
             let record = self.records.get(number);
             record.is_some_and(|record| record.proof == CrashEvidence::Unconfirmed)
         };
-        let unseen = row.crashes.iter().filter(|number| lacks_proof(number));
+        let unseen = row.crashes.iter().filter(|number| is_unconfirmed(number));
         let unseen = unseen.count();
         let seen = row.crashes.len() - unseen;
         seen > 0 && seen + unseen.min(1) >= config.crashes as usize
