--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -220,10 +220,10 @@
             let record = self.records.get(number);
             record.is_some_and(|record| record.proof == CrashEvidence::Unconfirmed)
         };
-        let unseen = row.crashes.iter().filter(|number| is_unconfirmed(number));
-        let unseen = unseen.count();
-        let seen = row.crashes.len() - unseen;
-        seen > 0 && seen + unseen.min(1) >= config.crashes as usize
+        let unconfirmed = row.crashes.iter().filter(|number| is_unconfirmed(number));
+        let unconfirmed = unconfirmed.count();
+        let seen = row.crashes.len() - unconfirmed;
+        seen > 0 && seen + unconfirmed.min(1) >= config.crashes as usize
     }
 
     /// Marks a crash as confirmed; returns the suspects that this puts in quarantine.
