--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -222,8 +222,8 @@
         };
         let unconfirmed = row.crashes.iter().filter(|number| is_unconfirmed(number));
         let unconfirmed = unconfirmed.count();
-        let seen = row.crashes.len() - unconfirmed;
-        seen > 0 && seen + unconfirmed.min(1) >= config.crashes as usize
+        let confirmed = row.crashes.len() - unconfirmed;
+        confirmed > 0 && confirmed + unconfirmed.min(1) >= config.crashes as usize
     }
 
     /// Marks a crash as confirmed; returns the suspects that this puts in quarantine.
