--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -155,8 +155,8 @@
 }
 
 /// An endpoint's life has ended, or may have: all that was lost there lately is suspect.
-fn crashed(state: &mut CoreState, endpoint: EndpointId, life: u64, proof: CrashEvidence) {
-    let number = open_record(state, endpoint, life, proof);
+fn crashed(state: &mut CoreState, endpoint: EndpointId, life: u64, evidence: CrashEvidence) {
+    let number = open_record(state, endpoint, life, evidence);
     suspect_losses(state, endpoint, number);
 }
 
@@ -164,16 +164,16 @@
     state: &mut CoreState,
     endpoint: EndpointId,
     life: u64,
-    proof: CrashEvidence,
+    evidence: CrashEvidence,
 ) -> u64 {
     let (now, window) = (state.now, evidence_window(state));
     let known = state.crashes.find_record(endpoint, life, now, window);
-    let number = known.unwrap_or_else(|| state.crashes.add_record(endpoint, life, proof, now));
+    let number = known.unwrap_or_else(|| state.crashes.add_record(endpoint, life, evidence, now));
     if let Some(record) = state.crashes.record_mut(number) {
         record.seen_at = now;
         record.life = record.life.max(life);
     }
-    if proof == CrashEvidence::Confirmed {
+    if evidence == CrashEvidence::Confirmed {
         let config = &state.config.quarantine;
         for fingerprint in state.crashes.prove(number, now, config) {
             refuse_everywhere(state, fingerprint);
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -45,7 +45,7 @@
         .map(|record| QuarantineNotice {
             endpoint: record.endpoint.0,
             crash: record.life,
-            unproven: record.proof == CrashEvidence::Unconfirmed,
+            unproven: record.evidence == CrashEvidence::Unconfirmed,
             fingerprints: numbers(std::mem::take(&mut record.untold)),
             ..QuarantineNotice::default()
         })
@@ -108,12 +108,12 @@
         return;
     }
     let endpoint = EndpointId(notice.endpoint);
-    let proof = if notice.unproven {
+    let evidence = if notice.unproven {
         CrashEvidence::Unconfirmed
     } else {
         CrashEvidence::Confirmed
     };
-    let number = super::open_record(state, endpoint, notice.crash, proof);
+    let number = super::open_record(state, endpoint, notice.crash, evidence);
     super::add_suspects(state, number, suspects);
     super::suspect_losses(state, endpoint, number);
 }
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -30,7 +30,7 @@
     /// The endpoint's `life` before the crash; 0 if unknown to this router.
     pub life: u64,
     /// How certain the crash is.
-    pub proof: CrashEvidence,
+    pub evidence: CrashEvidence,
     /// When evidence of it was last received.
     pub seen_at: Moment,
     /// Requests of any router that were running on the endpoint.
@@ -161,14 +161,14 @@
         &mut self,
         endpoint: EndpointId,
         life: u64,
-        proof: CrashEvidence,
+        evidence: CrashEvidence,
         now: Moment,
     ) -> u64 {
         self.counted += 1;
         let record = CrashRecord {
             endpoint,
             life,
-            proof,
+            evidence,
             seen_at: now,
             suspects: BTreeSet::new(),
             untold: BTreeSet::new(),
@@ -218,7 +218,7 @@
         };
         let is_unconfirmed = |number: &u64| {
             let record = self.records.get(number);
-            record.is_some_and(|record| record.proof == CrashEvidence::Unconfirmed)
+            record.is_some_and(|record| record.evidence == CrashEvidence::Unconfirmed)
         };
         let unconfirmed = row.crashes.iter().filter(|number| is_unconfirmed(number));
         let unconfirmed = unconfirmed.count();
@@ -236,10 +236,10 @@
         let Some(record) = self.records.get_mut(&number) else {
             return BTreeSet::new();
         };
-        if record.proof == CrashEvidence::Confirmed {
+        if record.evidence == CrashEvidence::Confirmed {
             return BTreeSet::new();
         }
-        record.proof = CrashEvidence::Confirmed;
+        record.evidence = CrashEvidence::Confirmed;
         record.untold.extend(record.suspects.iter().copied());
         let suspects = record.suspects.clone();
         suspects
