--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -206,13 +206,17 @@
         row.until = row
             .until
             .max(now + TimeSpan::from_millis(config.suspect_ms));
-        self.is_guilty(fingerprint, config) && self.refuse(fingerprint, now, config)
+        self.meets_crash_limit(fingerprint, config) && self.refuse(fingerprint, now, config)
     }
 
     /// True if a request was running in as many crashes as `config.crashes`. At most one unconfirmed
     /// crash counts, and only in addition to a confirmed one, so that broken connections alone never
     /// quarantine a request.
-    fn is_guilty(&self, fingerprint: RequestFingerprint, config: &QuarantineConfig) -> bool {
+    fn meets_crash_limit(
+        &self,
+        fingerprint: RequestFingerprint,
+        config: &QuarantineConfig,
+    ) -> bool {
         let Some(row) = self.suspects.get(&fingerprint) else {
             return false;
         };
@@ -245,7 +249,7 @@
         suspects
             .into_iter()
             .filter(|suspect| {
-                self.is_guilty(*suspect, config) && self.refuse(*suspect, now, config)
+                self.meets_crash_limit(*suspect, config) && self.refuse(*suspect, now, config)
             })
             .collect()
     }
