--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -192,7 +192,7 @@
 fn suspect(state: &mut CoreState, number: u64, fingerprints: &BTreeSet<RequestFingerprint>) {
     if let Some(record) = state.crashes.record_mut(number) {
         let news = fingerprints.difference(&record.suspects);
-        record.untold.extend(news.copied());
+        record.unannounced.extend(news.copied());
     }
     add_suspects(state, number, fingerprints);
 }
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -41,12 +41,12 @@
     state
         .crashes
         .records_mut()
-        .filter(|record| !record.untold.is_empty())
+        .filter(|record| !record.unannounced.is_empty())
         .map(|record| QuarantineNotice {
             endpoint: record.endpoint.0,
             crash: record.life,
             unproven: record.evidence == CrashEvidence::Unconfirmed,
-            fingerprints: numbers(std::mem::take(&mut record.untold)),
+            fingerprints: numbers(std::mem::take(&mut record.unannounced)),
             ..QuarantineNotice::default()
         })
         .collect()
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -36,7 +36,7 @@
     /// Requests of any router that were running on the endpoint.
     pub suspects: BTreeSet<RequestFingerprint>,
     /// Suspects not yet announced to peers.
-    pub untold: BTreeSet<RequestFingerprint>,
+    pub unannounced: BTreeSet<RequestFingerprint>,
 }
 
 /// A request that was running on an endpoint when it crashed.
@@ -171,7 +171,7 @@
             evidence,
             seen_at: now,
             suspects: BTreeSet::new(),
-            untold: BTreeSet::new(),
+            unannounced: BTreeSet::new(),
         };
         self.records.insert(self.counted, record);
         self.counted
@@ -244,7 +244,7 @@
             return BTreeSet::new();
         }
         record.evidence = CrashEvidence::Confirmed;
-        record.untold.extend(record.suspects.iter().copied());
+        record.unannounced.extend(record.suspects.iter().copied());
         let suspects = record.suspects.clone();
         suspects
             .into_iter()
