--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -108,7 +108,7 @@
         suspect(state, number, &[fingerprint].into());
     } else {
         state.crashes.note_loss(endpoint, fingerprint, now);
-        state.crashes.untold_losses.insert(fingerprint);
+        state.crashes.unannounced_losses.insert(fingerprint);
         set_apart(state, &[fingerprint].into());
         limits::watch_load(state, endpoint, LoadWatcher::CrashCheck, true);
     }
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -24,7 +24,7 @@
     let others = QuarantineNotice {
         refused: numbers(std::mem::take(&mut state.crashes.untold_refusals)),
         innocent: numbers(std::mem::take(&mut state.crashes.untold_innocents)),
-        lost: take_some(&mut state.crashes.untold_losses),
+        lost: take_some(&mut state.crashes.unannounced_losses),
         ..QuarantineNotice::default()
     };
     if others != QuarantineNotice::default() {
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -67,7 +67,7 @@
     /// Requests of which other routers lost copies, and when that was last reported.
     told_losses: BTreeMap<RequestFingerprint, Moment>,
     /// Requests of which a copy was lost here, not yet announced to peers.
-    pub untold_losses: BTreeSet<RequestFingerprint>,
+    pub unannounced_losses: BTreeSet<RequestFingerprint>,
     /// Suspects cleared by a whole answer, not yet announced to peers.
     pub untold_innocents: BTreeSet<RequestFingerprint>,
     /// Newly quarantined requests, not yet announced to peers.
