--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -95,7 +95,7 @@
 
 fn cleared(state: &mut CoreState, fingerprint: RequestFingerprint) {
     if state.crashes.clear(fingerprint) {
-        state.crashes.untold_innocents.insert(fingerprint);
+        state.crashes.unannounced_clearances.insert(fingerprint);
     }
 }
 
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -23,7 +23,7 @@
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
         refused: numbers(std::mem::take(&mut state.crashes.untold_refusals)),
-        innocent: numbers(std::mem::take(&mut state.crashes.untold_innocents)),
+        innocent: numbers(std::mem::take(&mut state.crashes.unannounced_clearances)),
         lost: take_some(&mut state.crashes.unannounced_losses),
         ..QuarantineNotice::default()
     };
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -69,7 +69,7 @@
     /// Requests of which a copy was lost here, not yet announced to peers.
     pub unannounced_losses: BTreeSet<RequestFingerprint>,
     /// Suspects cleared by a whole answer, not yet announced to peers.
-    pub untold_innocents: BTreeSet<RequestFingerprint>,
+    pub unannounced_clearances: BTreeSet<RequestFingerprint>,
     /// Newly quarantined requests, not yet announced to peers.
     pub untold_refusals: BTreeSet<RequestFingerprint>,
 }
