--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -209,7 +209,7 @@
 }
 
 fn refuse_everywhere(state: &mut CoreState, fingerprint: RequestFingerprint) {
-    state.crashes.untold_refusals.insert(fingerprint);
+    state.crashes.unannounced_refusals.insert(fingerprint);
     refuse_waiting(state, fingerprint);
 }
 
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -22,7 +22,7 @@
 pub fn tell_peers(state: &mut CoreState) {
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
-        refused: numbers(std::mem::take(&mut state.crashes.untold_refusals)),
+        refused: numbers(std::mem::take(&mut state.crashes.unannounced_refusals)),
         innocent: numbers(std::mem::take(&mut state.crashes.unannounced_clearances)),
         lost: take_some(&mut state.crashes.unannounced_losses),
         ..QuarantineNotice::default()
