--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -292,7 +292,7 @@
 }
 
 fn forget_old(state: &mut CoreState) {
-    let before = state.crashes.lossy_endpoints();
+    let before = state.crashes.endpoints_with_losses();
     let now = state.now;
     state.crashes.shrink(now, &state.config.quarantine);
     let span = check_window(state);
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -129,7 +129,7 @@
 
     /// Endpoints with lost attempts of unknown cause.
     #[must_use]
-    pub fn lossy_endpoints(&self) -> Vec<EndpointId> {
+    pub fn endpoints_with_losses(&self) -> Vec<EndpointId> {
         self.losses.keys().copied().collect()
     }
 
