--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -65,7 +65,7 @@
     suspects: BTreeMap<RequestFingerprint, SuspectRow>,
     losses: BTreeMap<EndpointId, Vec<LostAttempt>>,
     /// Requests of which other routers lost copies, and when that was last reported.
-    told_losses: BTreeMap<RequestFingerprint, Moment>,
+    remote_losses: BTreeMap<RequestFingerprint, Moment>,
     /// Requests of which a copy was lost here, not yet announced to peers.
     pub unannounced_losses: BTreeSet<RequestFingerprint>,
     /// Suspects cleared by a whole answer, not yet announced to peers.
@@ -83,7 +83,7 @@
 
     /// Records that another router lost a copy of a request.
     pub fn note_told_loss(&mut self, fingerprint: RequestFingerprint, at: Moment) {
-        self.told_losses.insert(fingerprint, at);
+        self.remote_losses.insert(fingerprint, at);
     }
 
     /// Removes the lost attempts of an endpoint and returns those lost since `oldest`.
@@ -111,7 +111,7 @@
     /// not known yet whether its endpoint crashed.
     #[must_use]
     pub fn is_in_doubt(&self, fingerprint: RequestFingerprint, oldest: Moment) -> bool {
-        let told_at = self.told_losses.get(&fingerprint);
+        let told_at = self.remote_losses.get(&fingerprint);
         if told_at.is_some_and(|at| *at >= oldest) {
             return true;
         }
@@ -338,9 +338,9 @@
             !losses.is_empty()
         });
         let check = TimeSpan::from_millis(config.check_ms);
-        self.told_losses.retain(|_, at| now.since(*at) <= check);
-        while self.told_losses.len() > config.max_suspects as usize {
-            self.told_losses.pop_first();
+        self.remote_losses.retain(|_, at| now.since(*at) <= check);
+        while self.remote_losses.len() > config.max_suspects as usize {
+            self.remote_losses.pop_first();
         }
         self.suspects.retain(|_, row| row.until > now);
         let kept = |record: &CrashRecord| now.since(record.seen_at) <= suspicion;
