--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -121,7 +121,7 @@
 /// Copies of a request that another router lost are held until it is known why.
 fn take_losses(state: &mut CoreState, lost: &BTreeSet<RequestFingerprint>) {
     for fingerprint in lost {
-        state.crashes.note_told_loss(*fingerprint, state.now);
+        state.crashes.record_remote_loss(*fingerprint, state.now);
     }
     super::set_apart(state, lost);
 }
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records that another router lost a copy of a request.
-    pub fn note_told_loss(&mut self, fingerprint: RequestFingerprint, at: Moment) {
+    pub fn record_remote_loss(&mut self, fingerprint: RequestFingerprint, at: Moment) {
         self.remote_losses.insert(fingerprint, at);
     }
 
