--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -111,8 +111,8 @@
     /// not known yet whether its endpoint crashed.
     #[must_use]
     pub fn is_in_doubt(&self, fingerprint: RequestFingerprint, oldest: Moment) -> bool {
-        let told_at = self.remote_losses.get(&fingerprint);
-        if told_at.is_some_and(|at| *at >= oldest) {
+        let reported_at = self.remote_losses.get(&fingerprint);
+        if reported_at.is_some_and(|at| *at >= oldest) {
             return true;
         }
         self.losses
