--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -277,7 +277,7 @@
         .requests
         .get(request)
         .map(|entry| entry.facts.fingerprint)
-        .is_some_and(|print| state.crashes.is_suspect(print) || is_in_doubt(state, print));
+        .is_some_and(|print| state.crashes.is_suspect(print) || has_unexplained_loss(state, print));
     if suspect {
         state.trials.isolated.insert(request, state.now);
     }
@@ -286,9 +286,9 @@
 
 /// True while a lost copy of the request may turn out to have crashed its endpoint: another
 /// copy started now could crash the next one.
-fn is_in_doubt(state: &CoreState, fingerprint: RequestFingerprint) -> bool {
+fn has_unexplained_loss(state: &CoreState, fingerprint: RequestFingerprint) -> bool {
     let oldest = Moment(state.now.0.saturating_sub(check_window(state).0));
-    state.crashes.is_in_doubt(fingerprint, oldest)
+    state.crashes.has_unexplained_loss(fingerprint, oldest)
 }
 
 fn forget_old(state: &mut CoreState) {
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -76,7 +76,7 @@
     }
     let endpoint = place_for(state, pool_id, fingerprint)?;
     let is_known = knows_life(state, request, endpoint);
-    if !is_known || super::is_in_doubt(state, fingerprint) {
+    if !is_known || super::has_unexplained_loss(state, fingerprint) {
         return None;
     }
     if state.trials.is_taken(endpoint) || state.trials.runs(fingerprint) {
@@ -166,7 +166,7 @@
     }
     let mut answer = QuarantineNotice::default();
     for fingerprint in notice.wanted.iter().copied().map(RequestFingerprint) {
-        let is_held = super::is_in_doubt(state, fingerprint)
+        let is_held = super::has_unexplained_loss(state, fingerprint)
             || state
                 .crashes
                 .refused_until(fingerprint, state.now)
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -110,7 +110,7 @@
     /// True if a copy of a request was lost since `oldest`, here or at another router, and it is
     /// not known yet whether its endpoint crashed.
     #[must_use]
-    pub fn is_in_doubt(&self, fingerprint: RequestFingerprint, oldest: Moment) -> bool {
+    pub fn has_unexplained_loss(&self, fingerprint: RequestFingerprint, oldest: Moment) -> bool {
         let reported_at = self.remote_losses.get(&fingerprint);
         if reported_at.is_some_and(|at| *at >= oldest) {
             return true;
