--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -175,7 +175,7 @@
     }
     if evidence == CrashEvidence::Confirmed {
         let config = &state.config.quarantine;
-        for fingerprint in state.crashes.prove(number, now, config) {
+        for fingerprint in state.crashes.confirm(number, now, config) {
             refuse_everywhere(state, fingerprint);
         }
     }
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -231,7 +231,7 @@
     }
 
     /// Marks a crash as confirmed; returns the suspects that this puts in quarantine.
-    pub fn prove(
+    pub fn confirm(
         &mut self,
         number: u64,
         now: Moment,
