--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -8,8 +8,8 @@
 use crate::core::systems::dispatch;
 use crate::core::tables::entry_pool::NextRequest;
 use crate::core::tables::requests::RequestStage;
+use crate::core::tables::trials::LeaseState;
 use crate::core::tables::trials::RunningTrial;
-use crate::core::tables::trials::TrialStanding;
 use crate::units::EndpointId;
 use crate::units::HostName;
 use crate::units::PoolId;
@@ -84,9 +84,9 @@
     }
     let span = super::check_window(state);
     match state.trials.standing(fingerprint, state.now, span) {
-        TrialStanding::Waits => None,
-        TrialStanding::Asks => Some(fingerprint),
-        TrialStanding::Lent => {
+        LeaseState::Waits => None,
+        LeaseState::Asks => Some(fingerprint),
+        LeaseState::Lent => {
             state.trials.isolated.remove(&request);
             let trial = RunningTrial {
                 request,
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -21,7 +21,7 @@
 
 /// Whether this router may run a copy of a request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TrialStanding {
+pub enum LeaseState {
     /// Yes: this router holds the lease, or the home does not answer.
     Lent,
     /// Not yet: a request for the lease must be sent to the home.
@@ -112,7 +112,7 @@
         fingerprint: RequestFingerprint,
         now: Moment,
         span: TimeSpan,
-    ) -> TrialStanding {
+    ) -> LeaseState {
         let asks = !self.wanted.contains_key(&fingerprint);
         let lease = self.wanted.entry(fingerprint).or_insert(WantedLease {
             first_asked: now,
@@ -123,13 +123,13 @@
         let heard_at = lease.heard_at.unwrap_or(lease.first_asked);
         let is_silent = now.since(heard_at) >= span;
         if is_silent || lease.until.is_some_and(|until| until > now) {
-            return TrialStanding::Lent;
+            return LeaseState::Lent;
         }
         if asks || lease.is_due(now, span) {
             lease.asked_at = now;
-            return TrialStanding::Asks;
+            return LeaseState::Asks;
         }
-        TrialStanding::Waits
+        LeaseState::Waits
     }
 
     /// Requests whose copies run here and whose leases must be renewed now; these count as
