--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -83,7 +83,7 @@
         return None;
     }
     let span = super::check_window(state);
-    match state.trials.standing(fingerprint, state.now, span) {
+    match state.trials.lease_state(fingerprint, state.now, span) {
         LeaseState::Waits => None,
         LeaseState::Asks => Some(fingerprint),
         LeaseState::Lent => {
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -107,7 +107,7 @@
 
     /// Whether a copy of a request may run under a lease of duration `span`. If the result is
     /// `Asks`, the lease counts as requested now.
-    pub fn standing(
+    pub fn lease_state(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Moment,
