--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -86,7 +86,7 @@
     match state.trials.lease_state(fingerprint, state.now, span) {
         LeaseState::Waits => None,
         LeaseState::Asks => Some(fingerprint),
-        LeaseState::Lent => {
+        LeaseState::Granted => {
             state.trials.isolated.remove(&request);
             let trial = RunningTrial {
                 request,
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
     /// Yes: this router holds the lease, or the home does not answer.
-    Lent,
+    Granted,
     /// Not yet: a request for the lease must be sent to the home.
     Asks,
     /// Not yet: the lease was requested a short time ago.
@@ -123,7 +123,7 @@
         let heard_at = lease.heard_at.unwrap_or(lease.first_asked);
         let is_silent = now.since(heard_at) >= span;
         if is_silent || lease.until.is_some_and(|until| until > now) {
-            return LeaseState::Lent;
+            return LeaseState::Granted;
         }
         if asks || lease.is_due(now, span) {
             lease.asked_at = now;
