--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -25,7 +25,7 @@
     /// Yes: this router holds the lease, or the home does not answer.
     Granted,
     /// Not yet: a request for the lease must be sent to the home.
-    Asks,
+    MustRequest,
     /// Not yet: the lease was requested a short time ago.
     Waits,
 }
@@ -106,7 +106,7 @@
     }
 
     /// Whether a copy of a request may run under a lease of duration `span`. If the result is
-    /// `Asks`, the lease counts as requested now.
+    /// `MustRequest`, the lease counts as requested now.
     pub fn lease_state(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -127,7 +127,7 @@
         }
         if asks || lease.is_due(now, span) {
             lease.asked_at = now;
-            return LeaseState::Asks;
+            return LeaseState::MustRequest;
         }
         LeaseState::Waits
     }
