--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -84,7 +84,7 @@
     }
     let span = super::check_window(state);
     match state.trials.lease_state(fingerprint, state.now, span) {
-        LeaseState::Waits => None,
+        LeaseState::Requested => None,
         LeaseState::MustRequest => Some(fingerprint),
         LeaseState::Granted => {
             state.trials.isolated.remove(&request);
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -27,7 +27,7 @@
     /// Not yet: a request for the lease must be sent to the home.
     MustRequest,
     /// Not yet: the lease was requested a short time ago.
-    Waits,
+    Requested,
 }
 
 /// A copy that runs in isolation at this router.
@@ -129,7 +129,7 @@
             lease.asked_at = now;
             return LeaseState::MustRequest;
         }
-        LeaseState::Waits
+        LeaseState::Requested
     }
 
     /// Requests whose copies run here and whose leases must be renewed now; these count as
