--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -46,7 +46,7 @@
 }
 
 #[derive(Debug)]
-struct WantedLease {
+struct RequestedLease {
     first_asked: Moment,
     asked_at: Moment,
     heard_at: Option<Moment>,
@@ -62,7 +62,7 @@
     running: BTreeMap<EndpointId, RunningTrial>,
     ended: BTreeSet<RequestFingerprint>,
     given: BTreeMap<RequestFingerprint, GivenLease>,
-    wanted: BTreeMap<RequestFingerprint, WantedLease>,
+    wanted: BTreeMap<RequestFingerprint, RequestedLease>,
 }
 
 impl TrialTable {
@@ -114,7 +114,7 @@
         span: TimeSpan,
     ) -> LeaseState {
         let asks = !self.wanted.contains_key(&fingerprint);
-        let lease = self.wanted.entry(fingerprint).or_insert(WantedLease {
+        let lease = self.wanted.entry(fingerprint).or_insert(RequestedLease {
             first_asked: now,
             asked_at: now,
             heard_at: None,
@@ -201,7 +201,7 @@
     }
 }
 
-impl WantedLease {
+impl RequestedLease {
     fn is_due(&self, now: Moment, span: TimeSpan) -> bool {
         now.since(self.asked_at).0 >= span.0 / ASKS_PER_LEASE
     }
