--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug)]
-struct GivenLease {
+struct GrantedLease {
     holder: HostName,
     until: Moment,
 }
@@ -61,7 +61,7 @@
     pub isolated: BTreeMap<RequestId, Moment>,
     running: BTreeMap<EndpointId, RunningTrial>,
     ended: BTreeSet<RequestFingerprint>,
-    given: BTreeMap<RequestFingerprint, GivenLease>,
+    given: BTreeMap<RequestFingerprint, GrantedLease>,
     wanted: BTreeMap<RequestFingerprint, RequestedLease>,
 }
 
@@ -177,7 +177,7 @@
         if held.is_some_and(|lease| lease.holder != *holder && lease.until > now) {
             return false;
         }
-        let lease = GivenLease {
+        let lease = GrantedLease {
             holder: holder.clone(),
             until: now + span,
         };
