--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -17,7 +17,7 @@
 
 /// How often a lease is requested or renewed within its duration, so that one lost message does not
 /// end it.
-const ASKS_PER_LEASE: u64 = 3;
+const REQUESTS_PER_LEASE: u64 = 3;
 
 /// Whether this router may run a copy of a request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -203,6 +203,6 @@
 
 impl RequestedLease {
     fn is_due(&self, now: Moment, span: TimeSpan) -> bool {
-        now.since(self.asked_at).0 >= span.0 / ASKS_PER_LEASE
+        now.since(self.asked_at).0 >= span.0 / REQUESTS_PER_LEASE
     }
 }
