--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -61,7 +61,7 @@
     pub isolated: BTreeMap<RequestId, Moment>,
     running: BTreeMap<EndpointId, RunningTrial>,
     ended: BTreeSet<RequestFingerprint>,
-    given: BTreeMap<RequestFingerprint, GrantedLease>,
+    granted: BTreeMap<RequestFingerprint, GrantedLease>,
     wanted: BTreeMap<RequestFingerprint, RequestedLease>,
 }
 
@@ -173,7 +173,7 @@
         now: Moment,
         span: TimeSpan,
     ) -> bool {
-        let held = self.given.get(&fingerprint);
+        let held = self.granted.get(&fingerprint);
         if held.is_some_and(|lease| lease.holder != *holder && lease.until > now) {
             return false;
         }
@@ -181,21 +181,21 @@
             holder: holder.clone(),
             until: now + span,
         };
-        self.given.insert(fingerprint, lease);
+        self.granted.insert(fingerprint, lease);
         true
     }
 
     /// As the home, ends the lease of a holder.
     pub fn give_back(&mut self, fingerprint: RequestFingerprint, holder: &HostName) {
-        let held = self.given.get(&fingerprint);
+        let held = self.granted.get(&fingerprint);
         if held.is_some_and(|lease| lease.holder == *holder) {
-            self.given.remove(&fingerprint);
+            self.granted.remove(&fingerprint);
         }
     }
 
     /// Removes expired leases and requests for leases.
     pub fn shrink(&mut self, now: Moment, span: TimeSpan) {
-        self.given.retain(|_, lease| lease.until > now);
+        self.granted.retain(|_, lease| lease.until > now);
         self.wanted
             .retain(|_, lease| now.since(lease.asked_at) <= span);
     }
