--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -62,7 +62,7 @@
     running: BTreeMap<EndpointId, RunningTrial>,
     ended: BTreeSet<RequestFingerprint>,
     granted: BTreeMap<RequestFingerprint, GrantedLease>,
-    wanted: BTreeMap<RequestFingerprint, RequestedLease>,
+    requested: BTreeMap<RequestFingerprint, RequestedLease>,
 }
 
 impl TrialTable {
@@ -95,7 +95,7 @@
     /// Records the end of the copy on an endpoint.
     pub fn end(&mut self, endpoint: EndpointId) {
         if let Some(trial) = self.running.remove(&endpoint) {
-            self.wanted.remove(&trial.fingerprint);
+            self.requested.remove(&trial.fingerprint);
             self.ended.insert(trial.fingerprint);
         }
     }
@@ -113,8 +113,8 @@
         now: Moment,
         span: TimeSpan,
     ) -> LeaseState {
-        let asks = !self.wanted.contains_key(&fingerprint);
-        let lease = self.wanted.entry(fingerprint).or_insert(RequestedLease {
+        let asks = !self.requested.contains_key(&fingerprint);
+        let lease = self.requested.entry(fingerprint).or_insert(RequestedLease {
             first_asked: now,
             asked_at: now,
             heard_at: None,
@@ -140,7 +140,7 @@
             .values()
             .map(|trial| trial.fingerprint)
             .collect();
-        self.wanted
+        self.requested
             .iter_mut()
             .filter(|(fingerprint, lease)| running.contains(fingerprint) && lease.is_due(now, span))
             .map(|(fingerprint, lease)| {
@@ -159,7 +159,7 @@
         now: Moment,
         span: TimeSpan,
     ) {
-        if let Some(lease) = self.wanted.get_mut(&fingerprint) {
+        if let Some(lease) = self.requested.get_mut(&fingerprint) {
             lease.heard_at = Some(now);
             lease.until = lent.then_some(lease.asked_at + span);
         }
@@ -196,7 +196,7 @@
     /// Removes expired leases and requests for leases.
     pub fn shrink(&mut self, now: Moment, span: TimeSpan) {
         self.granted.retain(|_, lease| lease.until > now);
-        self.wanted
+        self.requested
             .retain(|_, lease| now.since(lease.asked_at) <= span);
     }
 }
