--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -113,7 +113,7 @@
         now: Moment,
         span: TimeSpan,
     ) -> LeaseState {
-        let asks = !self.requested.contains_key(&fingerprint);
+        let is_new = !self.requested.contains_key(&fingerprint);
         let lease = self.requested.entry(fingerprint).or_insert(RequestedLease {
             first_asked: now,
             asked_at: now,
@@ -125,7 +125,7 @@
         if is_silent || lease.until.is_some_and(|until| until > now) {
             return LeaseState::Granted;
         }
-        if asks || lease.is_due(now, span) {
+        if is_new || lease.is_due(now, span) {
             lease.asked_at = now;
             return LeaseState::MustRequest;
         }
