--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -171,7 +171,7 @@
                 .crashes
                 .refused_until(fingerprint, state.now)
                 .is_some();
-        if !is_held && state.trials.lend(fingerprint, from, state.now, span) {
+        if !is_held && state.trials.grant_lease(fingerprint, from, state.now, span) {
             answer.lent.push(fingerprint.0);
         } else {
             answer.withheld.push(fingerprint.0);
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -166,7 +166,7 @@
     }
 
     /// As the home, grants or renews a lease; false while another router holds it.
-    pub fn lend(
+    pub fn grant_lease(
         &mut self,
         fingerprint: RequestFingerprint,
         holder: &HostName,
