--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -155,13 +155,13 @@
     pub fn answered(
         &mut self,
         fingerprint: RequestFingerprint,
-        lent: bool,
+        is_granted: bool,
         now: Moment,
         span: TimeSpan,
     ) {
         if let Some(lease) = self.requested.get_mut(&fingerprint) {
             lease.heard_at = Some(now);
-            lease.until = lent.then_some(lease.asked_at + span);
+            lease.until = is_granted.then_some(lease.asked_at + span);
         }
     }
 
