--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -49,7 +49,7 @@
 struct RequestedLease {
     first_asked: Moment,
     asked_at: Moment,
-    heard_at: Option<Moment>,
+    answered_at: Option<Moment>,
     until: Option<Moment>,
 }
 
@@ -117,11 +117,11 @@
         let lease = self.requested.entry(fingerprint).or_insert(RequestedLease {
             first_asked: now,
             asked_at: now,
-            heard_at: None,
+            answered_at: None,
             until: None,
         });
-        let heard_at = lease.heard_at.unwrap_or(lease.first_asked);
-        let is_silent = now.since(heard_at) >= span;
+        let answered_at = lease.answered_at.unwrap_or(lease.first_asked);
+        let is_silent = now.since(answered_at) >= span;
         if is_silent || lease.until.is_some_and(|until| until > now) {
             return LeaseState::Granted;
         }
@@ -160,7 +160,7 @@
         span: TimeSpan,
     ) {
         if let Some(lease) = self.requested.get_mut(&fingerprint) {
-            lease.heard_at = Some(now);
+            lease.answered_at = Some(now);
             lease.until = is_granted.then_some(lease.asked_at + span);
         }
     }
