--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -232,7 +232,7 @@
         return;
     }
     let revives = matches!(row.state, MemberState::Suspect | MemberState::Dead);
-    state.detector.watch(host).heard_at = Some(now);
+    state.detector.watch(host).last_contact_at = Some(now);
     if revives {
         state
             .members
@@ -246,7 +246,7 @@
     let now = state.now;
     state.detector.dead.remove(host);
     let watch = state.detector.watch(host);
-    watch.heard_at = Some(now);
+    watch.last_contact_at = Some(now);
     watch.suspect_since = None;
     watch.dead_since = None;
     watch.confirmers.clear();
@@ -298,12 +298,12 @@
 }
 
 fn is_fresh(state: &CoreState, host: &HostName) -> bool {
-    let heard_at = state
+    let last_contact_at = state
         .detector
         .watches
         .get(host)
-        .and_then(|watch| watch.heard_at);
-    heard_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(FRESH_MS))
+        .and_then(|watch| watch.last_contact_at);
+    last_contact_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(FRESH_MS))
 }
 
 fn take_newcomer(state: &mut CoreState, host: &HostName, told: MemberRank, news: &MemberNews) {
@@ -364,9 +364,9 @@
         }
         MemberState::Dead => note_dead(state, host),
         MemberState::Alive | MemberState::Leaving => {
-            let heard_at = state.detector.watch(host).heard_at;
+            let last_contact_at = state.detector.watch(host).last_contact_at;
             clear_suspicion(state, host);
-            state.detector.watch(host).heard_at = heard_at;
+            state.detector.watch(host).last_contact_at = last_contact_at;
         }
     }
 }
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub struct PeerHealth {
     /// When this router last received a message or handshake from it directly.
-    pub heard_at: Option<Moment>,
+    pub last_contact_at: Option<Moment>,
     /// When the current suspicion began.
     pub suspect_since: Option<Moment>,
     /// Other routers that reported the same suspicion.
