--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -101,7 +101,7 @@
     if fresh {
         member.report_seen = report.sequence;
         member.allotment_acked = member.allotment_acked.max(report.acked);
-        member.heard_at = now;
+        member.last_report_at = now;
         member.draining = report.draining;
     }
     take_slots(pool, from, report);
@@ -231,7 +231,7 @@
                 let dead = row.is_none_or(|row| {
                     row.state == MemberState::Dead || row.incarnation != Some(member.incarnation)
                 });
-                dead || now.since(member.heard_at) > silence
+                dead || now.since(member.last_report_at) > silence
             })
             .map(|(host, _)| host.clone())
             .collect();
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -54,7 +54,7 @@
     /// `report_seen` as acknowledged in the last allotment.
     pub report_ack_sent: u64,
     /// When its newest report arrived.
-    pub heard_at: Moment,
+    pub last_report_at: Moment,
     /// Highest allotment sequence number that it acknowledged.
     pub allotment_acked: u64,
     /// Sequence number of the last allotment sent.
@@ -89,7 +89,7 @@
             incarnation,
             report_seen: 0,
             report_ack_sent: 0,
-            heard_at: Moment(0),
+            last_report_at: Moment(0),
             allotment_acked: 0,
             allotment_sequence: 0,
             term: 0,
