--- a/src/core/systems/ownership/telling.rs
+++ b/src/core/systems/ownership/telling.rs
@@ -30,7 +30,7 @@
             && member.sent.is_none_or(|(target, _)| target > member.target);
         let moved = member.sent != Some((member.target, scarce));
         let busy = member.waiting() > 0 || moved || member.report_seen > member.report_ack_sent;
-        let due = now.since(member.told_at) >= refresh && busy;
+        let due = now.since(member.last_sent_at) >= refresh && busy;
         if !(member.urgent || lowered && scarce || due) {
             continue;
         }
@@ -58,7 +58,7 @@
     time_of: impl Fn(TeamId) -> i64,
 ) -> SlotAllotment {
     member.allotment_sequence += 1;
-    member.told_at = now;
+    member.last_sent_at = now;
     member.urgent = false;
     member.sent = Some((member.target, scarce));
     member.report_ack_sent = member.report_seen;
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -76,7 +76,7 @@
     /// Total number of slots that it may be using.
     pub held: u32,
     /// When the last allotment was sent.
-    pub told_at: Moment,
+    pub last_sent_at: Moment,
     /// True if the next allotment is due at once, because of a grant.
     pub urgent: bool,
 }
@@ -100,7 +100,7 @@
             target: 0,
             sent: None,
             held: 0,
-            told_at: Moment(0),
+            last_sent_at: Moment(0),
             urgent: false,
         }
     }
