--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -84,7 +84,7 @@
     /// Requests in backoff before a retry, ordered by the end of the backoff.
     pub backoffs: BTreeSet<(Moment, RequestId)>,
     /// Pools touched by this event, for which waiting requests are dispatched and reports sent.
-    pub woken: BTreeSet<PoolId>,
+    pub touched_pools: BTreeSet<PoolId>,
     /// Byte budget of urgent demand reports.
     pub report_budget: ByteBudget,
     /// Byte budget of allotments.
@@ -125,7 +125,7 @@
             slot_limits: SlotLimits::default(),
             retry_budgets: RetryBudgets::default(),
             backoffs: BTreeSet::new(),
-            woken: BTreeSet::new(),
+            touched_pools: BTreeSet::new(),
             report_budget: ByteBudget::default(),
             allotment_budget: ByteBudget::default(),
             draining: false,
--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -153,7 +153,7 @@
         pool.wants = true;
     }
     dispatch::rank_team(state, pool_id, team);
-    state.woken.insert(pool_id);
+    state.touched_pools.insert(pool_id);
 }
 
 /// Takes a waiting request out of its queue.
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -142,7 +142,7 @@
     pool.touch(team);
     pool.change_slots(endpoint, |hold| hold.busy = hold.busy.saturating_sub(1));
     dispatch::rank_team(state, pool_id, team);
-    state.woken.insert(pool_id);
+    state.touched_pools.insert(pool_id);
 }
 
 fn note_endpoint(state: &mut CoreState, endpoint: EndpointId, outcome: AttemptOutcome) {
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -39,7 +39,7 @@
     {
         take_allotment(state, from, *incarnation, allotment);
     }
-    for pool in state.woken.clone() {
+    for pool in state.touched_pools.clone() {
         give_back_surplus(state, pool);
         give_back_surplus(state, pool);
         run_waiting(state, pool);
@@ -85,7 +85,7 @@
         if let Some(owner) = pool.owner.clone() {
             reporting::begin_epoch(pool, owner);
         }
-        state.woken.insert(pool_id);
+        state.touched_pools.insert(pool_id);
         return;
     }
     take_grants(pool, allotment);
@@ -100,7 +100,7 @@
             rank_team(state, pool_id, team);
         }
     }
-    state.woken.insert(pool_id);
+    state.touched_pools.insert(pool_id);
 }
 
 fn take_grants(pool: &mut EntryPool, allotment: &SlotAllotment) {
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -91,7 +91,7 @@
 fn tell_owners(state: &mut CoreState) {
     for (pool_id, pool) in &mut state.entries {
         pool.urgent = true;
-        state.woken.insert(*pool_id);
+        state.touched_pools.insert(*pool_id);
     }
 }
 
@@ -156,6 +156,6 @@
         while let Some((_, endpoint)) = pool.open.first().copied() {
             pool.give_back(endpoint);
         }
-        state.woken.insert(pool_id);
+        state.touched_pools.insert(pool_id);
     }
 }
--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -133,6 +133,6 @@
                 pool.give_back(endpoint);
             }
         }
-        state.woken.insert(pool_id);
+        state.touched_pools.insert(pool_id);
     }
 }
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -136,7 +136,7 @@
     state.publication_text = text.clone();
     for pool in state.catalog.pools.keys() {
         state.entries.entry(*pool).or_default();
-        state.woken.insert(*pool);
+        state.touched_pools.insert(*pool);
     }
     probing::push(state);
     fetch_if_behind(state);
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -94,7 +94,7 @@
             };
             state.trials.start(endpoint, trial);
             dispatch::start(state, pool_id, NextRequest { request, team }, endpoint);
-            state.woken.insert(pool_id);
+            state.touched_pools.insert(pool_id);
             None
         }
     }
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -25,9 +25,9 @@
     if matches!(event, CoreEvent::Tick) {
         refill(state);
         let pools: Vec<PoolId> = state.entries.keys().copied().collect();
-        state.woken.extend(pools);
+        state.touched_pools.extend(pools);
     }
-    for pool in std::mem::take(&mut state.woken) {
+    for pool in std::mem::take(&mut state.touched_pools) {
         follow_owner(state, pool);
         report_if_due(state, pool);
     }
