--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -94,13 +94,13 @@
     /// were never minted.
     #[must_use]
     pub fn outcome_of(&self, number: u64) -> RunOutcome {
-        self.place_of(number)
+        self.outcome_index(number)
             .and_then(|place| self.outcomes.get(place))
             .copied()
             .unwrap_or(RunOutcome::Unknown)
     }
 
-    fn place_of(&self, number: u64) -> Option<usize> {
+    fn outcome_index(&self, number: u64) -> Option<usize> {
         let oldest = self.minted - self.outcomes.len() as u64 + 1;
         let place = number.checked_sub(oldest)?;
         usize::try_from(place).ok()
@@ -243,7 +243,7 @@
             TicketStage::Held(_) => RunOutcome::Unknown,
             TicketStage::Ended(outcome) => outcome,
         };
-        if let Some(place) = self.place_of(number)
+        if let Some(place) = self.outcome_index(number)
             && let Some(known) = self.outcomes.get_mut(place)
         {
             *known = outcome;
