--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -296,7 +296,7 @@
     if may_have_run || state.tickets.is_awaited(number) {
         return true;
     }
-    state.tickets.put_back(number);
+    state.tickets.make_available(number);
     false
 }
 
--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -118,7 +118,7 @@
 
     /// Makes a ticket available again, after its holder was dropped from its queue without an
     /// answer to its caller.
-    pub fn put_back(&mut self, number: u64) {
+    pub fn make_available(&mut self, number: u64) {
         self.leave_holder(number, TicketStage::Offered);
     }
 
