--- a/src/core/action.rs
+++ b/src/core/action.rs
@@ -148,7 +148,7 @@
         host: HostName,
     },
     /// Start (true) or stop (false) watching the source's configuration service.
-    WatchPlatform(bool),
+    WatchSource(bool),
     /// Parse, check and render this publication. Answer with `Published` if it is valid, otherwise
     /// with `PublicationRefused`.
     AdoptText {
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -112,7 +112,7 @@
     let watches = readers.contains(&state.identity.host);
     if state.publication_sync.watching != Some(watches) {
         state.publication_sync.watching = Some(watches);
-        state.act(CoreAction::WatchPlatform(watches));
+        state.act(CoreAction::WatchSource(watches));
     }
 }
 
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -294,7 +294,7 @@
             CoreAction::Send { host, message } => OutsideCommand::Send { host, message },
             CoreAction::Connect { host, address } => OutsideCommand::Connect { host, address },
             CoreAction::Disconnect { host } => OutsideCommand::Disconnect(host),
-            CoreAction::WatchPlatform(on) => OutsideCommand::WatchPlatform(on),
+            CoreAction::WatchSource(on) => OutsideCommand::WatchSource(on),
             CoreAction::AdoptText { revision, text } => {
                 OutsideCommand::AdoptText { revision, text }
             }
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -125,7 +125,7 @@
     /// Close the connection to a peer.
     Disconnect(HostName),
     /// Start or stop watching the configuration service.
-    WatchPlatform(bool),
+    WatchSource(bool),
     /// Parse, check and render a publication that a peer sent.
     AdoptText {
         /// Its revision.
--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -55,7 +55,7 @@
             OutsideCommand::AdoptText { revision, text } => {
                 adopt(context, ConfigText { revision, text });
             }
-            OutsideCommand::WatchPlatform(on) => {
+            OutsideCommand::WatchSource(on) => {
                 context.records.board.watches(on);
                 self.watch.send_modify(|order| {
                     order.on = on;
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -238,5 +238,5 @@
     assert!(watching(&fleet).contains(&idle[0]));
     assert!(!watching(&fleet).contains(&idle[1]));
     let actions = fleet.take(idle[0]);
-    assert!(actions.contains(&CoreAction::WatchPlatform(true)));
+    assert!(actions.contains(&CoreAction::WatchSource(true)));
 }
