--- a/src/core/tables/publication_sync.rs
+++ b/src/core/tables/publication_sync.rs
@@ -8,7 +8,7 @@
 use crate::units::Moment;
 
 /// Maximum number of rejected revisions that are remembered.
-const REFUSED_MOST: usize = 32;
+const MAX_REFUSED_REVISIONS: usize = 32;
 
 /// A fetch of a publication from a peer that is in progress.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
     /// Records a rejected revision so that it is not fetched again.
     pub fn refuse(&mut self, revision: ConfigRevision) {
         self.refused.insert(revision);
-        while self.refused.len() > REFUSED_MOST {
+        while self.refused.len() > MAX_REFUSED_REVISIONS {
             self.refused.pop_first();
         }
     }
