--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -15,7 +15,7 @@
 const TALLY_SPAN: u32 = 64;
 
 /// Minimum number of answers for a tally to be used.
-const TALLY_LEAST: u32 = 8;
+const MIN_TALLY_ANSWERS: u32 = 8;
 
 /// The concurrency limit of one endpoint.
 #[derive(Debug, Clone, Default)]
@@ -77,7 +77,7 @@
     /// Late answers per mille; 0 while there are too few answers.
     #[must_use]
     pub fn per_mille(&self) -> u32 {
-        if self.answers < TALLY_LEAST {
+        if self.answers < MIN_TALLY_ANSWERS {
             return 0;
         }
         self.late * 1_000 / self.answers
