--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -12,7 +12,7 @@
 const SAMPLES: usize = 4;
 
 /// Number of answers at which a tally is halved, so that old answers lose weight.
-const TALLY_SPAN: u32 = 64;
+const TALLY_HALVING_ANSWERS: u32 = 64;
 
 /// Minimum number of answers for a tally to be used.
 const MIN_TALLY_ANSWERS: u32 = 8;
@@ -66,7 +66,7 @@
 impl FirstByteTally {
     /// Counts one answer.
     pub fn note(&mut self, late: bool) {
-        if self.answers >= TALLY_SPAN {
+        if self.answers >= TALLY_HALVING_ANSWERS {
             self.answers /= 2;
             self.late /= 2;
         }
