--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -9,7 +9,7 @@
 use crate::units::Moment;
 
 /// Number of recent load reports over which the minimum of the foreign load is taken.
-const SAMPLES: usize = 4;
+const FOREIGN_LOAD_SAMPLES: usize = 4;
 
 /// Number of answers at which a tally is halved, so that old answers lose weight.
 const TALLY_HALVING_ANSWERS: u32 = 64;
@@ -26,7 +26,7 @@
     pub held_back: bool,
     /// Entry routers that report late answers from the endpoint.
     pub late_at: BTreeSet<HostName>,
-    foreign: [u32; SAMPLES],
+    foreign: [u32; FOREIGN_LOAD_SAMPLES],
     next_sample: usize,
     foreign_at: Option<Moment>,
 }
@@ -36,7 +36,7 @@
     /// this owner.
     pub fn note_foreign(&mut self, running: u32, now: Moment) {
         self.foreign[self.next_sample] = running;
-        self.next_sample = (self.next_sample + 1) % SAMPLES;
+        self.next_sample = (self.next_sample + 1) % FOREIGN_LOAD_SAMPLES;
         self.foreign_at = Some(now);
     }
 
