--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -11,7 +11,7 @@
 use crate::units::TimeSpan;
 
 /// Cost of one model load in units of [`LoadBudget`]: microseconds times loads per minute.
-const ONE_LOAD: u64 = 60_000_000;
+const LOAD_COST: u64 = 60_000_000;
 
 /// An order that the endpoint has not carried out yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,16 +59,16 @@
         let passed = now.since(self.refilled).0;
         self.refilled = now;
         if let Some(earned) = (passed * u64::from(loads_per_minute)).checked_div(self.hosts) {
-            self.saved = (self.saved + earned).min(ONE_LOAD);
+            self.saved = (self.saved + earned).min(LOAD_COST);
         }
     }
 
     /// Spends one load; returns false if the bucket does not hold one.
     pub fn spend(&mut self) -> bool {
-        if self.saved < ONE_LOAD {
+        if self.saved < LOAD_COST {
             return false;
         }
-        self.saved -= ONE_LOAD;
+        self.saved -= LOAD_COST;
         true
     }
 }
