--- a/src/core/tables/retry_budgets.rs
+++ b/src/core/tables/retry_budgets.rs
@@ -6,7 +6,7 @@
 use crate::units::TeamId;
 
 /// Cost of one retry, in hundredths of a retry; a first attempt earns `retry_percent` of these.
-const ONE_RETRY: u32 = 100;
+const RETRY_COST: u32 = 100;
 
 /// Retry budget per team, a token bucket filled by first attempts.
 #[derive(Debug, Default)]
@@ -16,13 +16,13 @@
 
 impl RetryBudgets {
     fn balance(&mut self, team: TeamId, config: &AttemptsConfig) -> &mut u32 {
-        let full = config.retry_burst * ONE_RETRY;
+        let full = config.retry_burst * RETRY_COST;
         self.saved.entry(team).or_insert(full)
     }
 
     /// Credits a team for a first attempt.
     pub fn earn(&mut self, team: TeamId, config: &AttemptsConfig) {
-        let full = config.retry_burst * ONE_RETRY;
+        let full = config.retry_burst * RETRY_COST;
         let balance = self.balance(team, config);
         *balance = (*balance + config.retry_percent).min(full);
     }
@@ -30,10 +30,10 @@
     /// Spends one retry; returns false if the budget is used up.
     pub fn spend(&mut self, team: TeamId, config: &AttemptsConfig) -> bool {
         let balance = self.balance(team, config);
-        if *balance < ONE_RETRY {
+        if *balance < RETRY_COST {
             return false;
         }
-        *balance -= ONE_RETRY;
+        *balance -= RETRY_COST;
         true
     }
 }
