--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -60,7 +60,7 @@
     if state.catalog.revision == ConfigRevision(0) {
         return ConfigKnowledge::Nothing;
     }
-    if sync.best_source(state.catalog.revision).is_some() {
+    if sync.newest_peer_revision(state.catalog.revision).is_some() {
         return ConfigKnowledge::Behind;
     }
     let certain = sync
@@ -186,7 +186,7 @@
         return;
     }
     let current = state.catalog.revision;
-    let Some((host, revision)) = state.publication_sync.best_source(current) else {
+    let Some((host, revision)) = state.publication_sync.newest_peer_revision(current) else {
         return;
     };
     state.publication_sync.fetch = Some(PublicationFetch {
@@ -263,7 +263,7 @@
     let late = sync
         .started
         .is_some_and(|started| state.now.since(started) >= limit);
-    let behind = sync.best_source(state.catalog.revision).is_some();
+    let behind = sync.newest_peer_revision(state.catalog.revision).is_some();
     let asked_all = sync.listed
         && state.members.iter().all(|(host, row)| {
             let silent = *host != state.identity.host && !sync.peer_revisions.contains_key(host);
--- a/src/core/tables/publication_sync.rs
+++ b/src/core/tables/publication_sync.rs
@@ -69,7 +69,10 @@
 
     /// The peer with the highest revision above `current` that was not rejected.
     #[must_use]
-    pub fn best_source(&self, current: ConfigRevision) -> Option<(HostName, ConfigRevision)> {
+    pub fn newest_peer_revision(
+        &self,
+        current: ConfigRevision,
+    ) -> Option<(HostName, ConfigRevision)> {
         self.peer_revisions
             .iter()
             .filter(|(_, revision)| **revision > current && !self.refused.contains(revision))
