--- a/src/core/tables/members.rs
+++ b/src/core/tables/members.rs
@@ -172,17 +172,17 @@
     /// router is live, a leaving one is the owner, so that requests still waiting there are served.
     #[must_use]
     pub fn owner_of(&self, pool: PoolId) -> Option<&HostName> {
-        self.first_for(u64::from(pool.0))
+        self.rendezvous_pick(u64::from(pool.0))
     }
 
     /// The router that grants leases for isolated runs of a request, one copy at a time. Chosen by
     /// rendezvous hashing.
     #[must_use]
     pub fn home_of(&self, fingerprint: RequestFingerprint) -> Option<&HostName> {
-        self.first_for(fingerprint.0)
+        self.rendezvous_pick(fingerprint.0)
     }
 
-    fn first_for(&self, key: u64) -> Option<&HostName> {
+    fn rendezvous_pick(&self, key: u64) -> Option<&HostName> {
         self.rows
             .iter()
             .filter(|(_, row)| row.reachable && row.state != MemberState::Dead)
