--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -123,7 +123,7 @@
 
 /// State kept of a removed entry router in case the same incarnation comes back.
 #[derive(Debug, Clone)]
-pub struct GoneMember {
+pub struct RemovedMember {
     /// Its incarnation.
     pub incarnation: RouterIncarnation,
     /// Service charged there per team, as last reported, in `CHARGE_STEP`s.
@@ -147,7 +147,7 @@
     /// Claims of the entry routers.
     pub members: BTreeMap<HostName, MemberClaim>,
     /// Removed entry routers; one entry per host, so the size is bounded by the host list.
-    pub gone: BTreeMap<HostName, GoneMember>,
+    pub gone: BTreeMap<HostName, RemovedMember>,
     /// Accounts of the teams.
     pub accounts: BTreeMap<TeamId, TeamAccount>,
     /// Virtual time of the pool: the mean virtual time, weighted by share, of the teams that have
@@ -253,7 +253,7 @@
             self.move_claimed(endpoint, claim.held(), 0);
         }
         let charges = member.teams.iter();
-        let gone = GoneMember {
+        let gone = RemovedMember {
             incarnation: member.incarnation,
             charged: charges
                 .map(|(team, demand)| (*team, demand.charged))
