--- a/src/admin/views.rs
+++ b/src/admin/views.rs
@@ -188,7 +188,7 @@
         pool: pool.and_then(|id| Some(state.catalog.pools.get(&id)?.name.clone())),
         slots: entry.slots.0,
         leaving: entry.leaving || row.leaving,
-        resting_ms: row.rest_until.since(state.now).as_millis(),
+        resting_ms: row.backoff_until.since(state.now).as_millis(),
         failures: row.failures,
         held: holds().map(SlotHold::held).sum(),
         running: holds().map(|hold| hold.busy).sum(),
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -157,7 +157,7 @@
     let row = state.endpoints.row(endpoint);
     // An endpoint that refuses connections would otherwise draw all traffic, since it frees its
     // slots at once; seen as a burst of failures. It rests, twice as long each time.
-    row.rest_until = now + TimeSpan(rest.0 << row.failures.min(MOST_DOUBLINGS));
+    row.backoff_until = now + TimeSpan(rest.0 << row.failures.min(MOST_DOUBLINGS));
     row.failures += 1;
 }
 
--- a/src/core/tables/endpoints.rs
+++ b/src/core/tables/endpoints.rs
@@ -41,7 +41,7 @@
     /// Reasons for which this router polls its load.
     pub watchers: BTreeSet<LoadWatcher>,
     /// End of the backoff after a failed attempt; no new work is sent before.
-    pub rest_until: Moment,
+    pub backoff_until: Moment,
     /// Number of consecutive failed attempts.
     pub failures: u32,
 }
@@ -69,7 +69,7 @@
     pub fn is_open(&self, endpoint: EndpointId, now: Moment) -> bool {
         self.rows
             .get(&endpoint)
-            .is_none_or(|row| !row.leaving && !row.published_leaving && row.rest_until <= now)
+            .is_none_or(|row| !row.leaving && !row.published_leaving && row.backoff_until <= now)
     }
 
     /// All endpoints in order of id.
