--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -128,9 +128,9 @@
         let limits = &mut state.slot_limits.limits;
         let limit = limits.entry(EndpointId(*endpoint)).or_default();
         if *pressure >= most {
-            limit.late_at.insert(from.clone());
+            limit.late_reporters.insert(from.clone());
         } else {
-            limit.late_at.remove(from);
+            limit.late_reporters.remove(from);
         }
     }
 }
@@ -201,7 +201,7 @@
         return;
     };
     let members = &state.members;
-    limit.late_at.retain(|host| members.is_live(host));
+    limit.late_reporters.retain(|host| members.is_live(host));
 }
 
 /// Down by a part of itself under pressure, up by a part of the published slots without: the
@@ -218,7 +218,7 @@
         return;
     };
     let held_back = std::mem::take(&mut limit.held_back);
-    let late = !limit.late_at.is_empty();
+    let late = !limit.late_reporters.is_empty();
     let allowed = limit.allowed.unwrap_or(published);
     // Late answers alone may come from long prompts, which fewer slots would not cure, so they
     // lower the limit to a part only.
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -25,7 +25,7 @@
     /// True if the engine queued requests since the last adjustment of the limit.
     pub held_back: bool,
     /// Entry routers that report late answers from the endpoint.
-    pub late_at: BTreeSet<HostName>,
+    pub late_reporters: BTreeSet<HostName>,
     foreign: [u32; FOREIGN_LOAD_SAMPLES],
     next_sample: usize,
     foreign_at: Option<Moment>,
