--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -148,7 +148,7 @@
         usage.queue.push(request, urgency);
     }
     pool.waiting += 1;
-    pool.touch(team);
+    pool.mark_changed(team);
     if begins {
         pool.wants = true;
     }
@@ -173,7 +173,7 @@
     };
     if usage.queue.remove(request, urgency) {
         pool.waiting -= 1;
-        pool.touch(team);
+        pool.mark_changed(team);
         dispatch::rank_team(state, pool_id, team);
     }
 }
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -139,7 +139,7 @@
     if let Some(usage) = pool.teams.get_mut(&team) {
         usage.running -= 1;
     }
-    pool.touch(team);
+    pool.mark_changed(team);
     pool.change_slots(endpoint, |hold| hold.busy = hold.busy.saturating_sub(1));
     dispatch::rank_team(state, pool_id, team);
     state.touched_pools.insert(pool_id);
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -221,7 +221,7 @@
             .wait_estimate
             .record_start(now, !usage.queue.is_empty());
         pool.change_slots(endpoint, |hold| hold.busy += 1);
-        pool.touch(team);
+        pool.mark_changed(team);
         let most = state.config.dispatch.prefix_memory as usize;
         pool.remember_prefix(prefix, endpoint, most);
     }
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -191,7 +191,7 @@
     }
 
     /// Marks a team's number of waiting or running requests as changed since the last report.
-    pub fn touch(&mut self, team: TeamId) {
+    pub fn mark_changed(&mut self, team: TeamId) {
         let next = self.report_sequence + 1;
         self.teams.entry(team).or_default().first_sent_in = next;
         self.changed = true;
