--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -181,10 +181,10 @@
     let waited = now.since(round.sent_at);
     let target = round.target.clone();
     let answer_limit = TimeSpan::from_millis(state.config.probing.answer_ms * timeout_multiplier);
-    if !round.helped && waited >= answer_limit {
+    if !round.indirect_sent && waited >= answer_limit {
         ask_helpers(state, &target);
         if let Some(round) = &mut state.detector.round {
-            round.helped = true;
+            round.indirect_sent = true;
         }
         return;
     }
@@ -221,7 +221,7 @@
             target,
             sequence,
             sent_at: state.now,
-            helped: false,
+            indirect_sent: false,
         });
     }
 }
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -36,7 +36,7 @@
     /// When the ping was sent.
     pub sent_at: Moment,
     /// True once other routers were asked to ping the target too.
-    pub helped: bool,
+    pub indirect_sent: bool,
 }
 
 /// An indirect ping, sent on behalf of another router.
