--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -142,7 +142,7 @@
 /// Gets in touch with a router that was not known before.
 fn admit(state: &mut CoreState, host: &HostName) {
     let now = state.now;
-    if let Some(incarnation) = state.detector.strangers.remove(host) {
+    if let Some(incarnation) = state.detector.unknown_peers.remove(host) {
         peer_opened(state, host, incarnation);
     }
     if is_small(state) {
@@ -164,7 +164,10 @@
 /// A handshake is direct evidence of who lives at a host, whatever the news say.
 fn peer_opened(state: &mut CoreState, host: &HostName, incarnation: RouterIncarnation) {
     if state.members.get(host).is_none() {
-        state.detector.strangers.insert(host.clone(), incarnation);
+        state
+            .detector
+            .unknown_peers
+            .insert(host.clone(), incarnation);
         probing::greet(state, host, true);
         return;
     }
@@ -199,7 +202,7 @@
 
 /// The loss of a connection that this router keeps is direct evidence: suspicion starts at once.
 fn peer_closed(state: &mut CoreState, host: &HostName) {
-    state.detector.strangers.remove(host);
+    state.detector.unknown_peers.remove(host);
     let Some(row) = state.members.get(host) else {
         return;
     };
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -62,7 +62,7 @@
     /// Routers to which this one keeps a connection open, and when each was last needed.
     pub wanted: BTreeMap<HostName, Moment>,
     /// Routers that connected before their address was known from the host list or gossip.
-    pub strangers: BTreeMap<HostName, RouterIncarnation>,
+    pub unknown_peers: BTreeMap<HostName, RouterIncarnation>,
     /// Routers still to be pinged in the current pass over all routers, in random order.
     pub turn: Vec<HostName>,
     /// The ping that awaits its answer.
@@ -94,7 +94,7 @@
             pending: BTreeSet::new(),
             dead: BTreeSet::new(),
             wanted: BTreeMap::new(),
-            strangers: BTreeMap::new(),
+            unknown_peers: BTreeMap::new(),
             turn: Vec::new(),
             round: None,
             next_ping: Moment(0),
