--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -228,7 +228,7 @@
 
 fn next_target(state: &mut CoreState) -> Option<HostName> {
     loop {
-        if let Some(host) = state.detector.turn.pop() {
+        if let Some(host) = state.detector.ping_order.pop() {
             let known = state.members.get(&host);
             // In a small fleet the dead are dialed all the time anyway.
             let skip = is_small(state) && known.is_some_and(|row| row.state == MemberState::Dead);
@@ -239,17 +239,17 @@
         }
         let own = state.identity.host.clone();
         let small = is_small(state);
-        let mut turn: Vec<HostName> = state
+        let mut ping_order: Vec<HostName> = state
             .members
             .iter()
             .filter(|(host, row)| **host != own && !(small && row.state == MemberState::Dead))
             .map(|(host, _)| host.clone())
             .collect();
-        if turn.is_empty() {
+        if ping_order.is_empty() {
             return None;
         }
-        turn.shuffle(&mut state.random);
-        state.detector.turn = turn;
+        ping_order.shuffle(&mut state.random);
+        state.detector.ping_order = ping_order;
     }
 }
 
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -64,7 +64,7 @@
     /// Routers that connected before their address was known from the host list or gossip.
     pub unknown_peers: BTreeMap<HostName, RouterIncarnation>,
     /// Routers still to be pinged in the current pass over all routers, in random order.
-    pub turn: Vec<HostName>,
+    pub ping_order: Vec<HostName>,
     /// The ping that awaits its answer.
     pub round: Option<PingRound>,
     /// When the next ping is due.
@@ -95,7 +95,7 @@
             dead: BTreeSet::new(),
             wanted: BTreeMap::new(),
             unknown_peers: BTreeMap::new(),
-            turn: Vec::new(),
+            ping_order: Vec::new(),
             round: None,
             next_ping: Moment(0),
             sequence: 0,
