--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -55,7 +55,12 @@
 /// Keeps a connection to a router open from now on.
 pub fn want(state: &mut CoreState, host: &HostName) {
     let now = state.now;
-    if state.detector.wanted.insert(host.clone(), now).is_some() {
+    if state
+        .detector
+        .kept_connections
+        .insert(host.clone(), now)
+        .is_some()
+    {
         return;
     }
     let Some(row) = state.members.get(host) else {
@@ -156,7 +161,7 @@
 }
 
 fn redial(state: &mut CoreState, host: &HostName) {
-    if state.detector.wanted.remove(host).is_some() {
+    if state.detector.kept_connections.remove(host).is_some() {
         want(state, host);
     }
 }
@@ -210,7 +215,7 @@
     state.members.change(host, |entry| entry.connected = false);
     // A router that others reach and this one doesn't would be suspected with each failed dial
     // and refute each time; once is enough. From then on pings by way of others decide.
-    if !state.detector.wanted.contains_key(host) || !reachable {
+    if !state.detector.kept_connections.contains_key(host) || !reachable {
         return;
     }
     let now = state.now;
@@ -497,7 +502,7 @@
         state.detector.watches.remove(&host);
         state.detector.dead.remove(&host);
         state.detector.pending.remove(&host);
-        if state.detector.wanted.remove(&host).is_some() {
+        if state.detector.kept_connections.remove(&host).is_some() {
             state.act(CoreAction::Disconnect { host });
         }
     }
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -134,7 +134,7 @@
     let now = state.now;
     let idle: Vec<HostName> = state
         .detector
-        .wanted
+        .kept_connections
         .iter()
         .filter(|(_, needed)| now.since(**needed) >= limit)
         .map(|(host, _)| host.clone())
@@ -145,9 +145,9 @@
             .values()
             .any(|pool| pool.owner.as_ref().is_some_and(|owner| owner.host == host));
         if owns {
-            state.detector.wanted.insert(host, now);
+            state.detector.kept_connections.insert(host, now);
         } else {
-            state.detector.wanted.remove(&host);
+            state.detector.kept_connections.remove(&host);
             state.act(CoreAction::Disconnect { host });
         }
     }
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -60,7 +60,7 @@
     /// Dead routers.
     pub dead: BTreeSet<HostName>,
     /// Routers to which this one keeps a connection open, and when each was last needed.
-    pub wanted: BTreeMap<HostName, Moment>,
+    pub kept_connections: BTreeMap<HostName, Moment>,
     /// Routers that connected before their address was known from the host list or gossip.
     pub unknown_peers: BTreeMap<HostName, RouterIncarnation>,
     /// Routers still to be pinged in the current pass over all routers, in random order.
@@ -81,7 +81,7 @@
     pub last_tick: Moment,
     /// The state of this router that it last announced.
     pub announced_state: MemberState,
-    /// Version of the member table for which `wanted` was last updated.
+    /// Version of the member table for which `kept_connections` was last updated.
     pub wanted_version: u64,
     /// Routers on the last host list.
     pub listed: BTreeSet<HostName>,
@@ -93,7 +93,7 @@
             watches: BTreeMap::new(),
             pending: BTreeSet::new(),
             dead: BTreeSet::new(),
-            wanted: BTreeMap::new(),
+            kept_connections: BTreeMap::new(),
             unknown_peers: BTreeMap::new(),
             ping_order: Vec::new(),
             round: None,
