--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -118,8 +118,8 @@
     if is_small(state) {
         return;
     }
-    if state.detector.wanted_version != state.members.version() {
-        state.detector.wanted_version = state.members.version();
+    if state.detector.connections_version != state.members.version() {
+        state.detector.connections_version = state.members.version();
         let pools: Vec<PoolId> = state.entries.keys().copied().collect();
         let owners: Vec<HostName> = pools
             .iter()
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -82,7 +82,7 @@
     /// The state of this router that it last announced.
     pub announced_state: MemberState,
     /// Version of the member table for which `kept_connections` was last updated.
-    pub wanted_version: u64,
+    pub connections_version: u64,
     /// Routers on the last host list.
     pub listed: BTreeSet<HostName>,
 }
@@ -104,7 +104,7 @@
             health_score: 0,
             last_tick: Moment(0),
             announced_state: MemberState::Alive,
-            wanted_version: 0,
+            connections_version: 0,
             listed: BTreeSet::new(),
         }
     }
