--- a/examples/measure/state_bytes.rs
+++ b/examples/measure/state_bytes.rs
@@ -52,13 +52,13 @@
 /// Counts a core's tables.
 pub fn count(state: &CoreState) -> StateBytes {
     let members = map::<HostName, MemberEntry>(state.members.len());
-    let watches = map::<HostName, PeerHealth>(state.detector.watches.len());
+    let peer_health = map::<HostName, PeerHealth>(state.detector.peer_health.len());
     StateBytes {
         entry: state.entries.values().map(entry_bytes).sum(),
         owned: state.owned.values().map(owned_bytes).sum(),
         requests: map::<RequestId, RequestEntry>(state.requests.len())
             + map::<(Moment, RequestId), ()>(state.requests.len()),
-        members: members + watches,
+        members: members + peer_health,
         catalog: catalog_bytes(&state.catalog),
     }
 }
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -308,7 +308,7 @@
 fn is_fresh(state: &CoreState, host: &HostName) -> bool {
     let last_contact_at = state
         .detector
-        .watches
+        .peer_health
         .get(host)
         .and_then(|watch| watch.last_contact_at);
     last_contact_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(FRESH_MS))
@@ -442,7 +442,7 @@
     let now = state.now;
     let config = &state.config.membership;
     let timeout_multiplier = state.detector.timeout_multiplier();
-    let Some(watch) = state.detector.watches.get(host) else {
+    let Some(watch) = state.detector.peer_health.get(host) else {
         state.detector.pending.remove(host);
         return;
     };
@@ -490,7 +490,7 @@
         .filter(|host| !detector.listed.contains(*host))
         .filter(|host| {
             let since = detector
-                .watches
+                .peer_health
                 .get(*host)
                 .and_then(|watch| watch.dead_since);
             since.is_some_and(|since| now.since(since) >= limit)
@@ -499,7 +499,7 @@
         .collect();
     for host in old {
         state.members.remove(&host);
-        state.detector.watches.remove(&host);
+        state.detector.peer_health.remove(&host);
         state.detector.dead.remove(&host);
         state.detector.pending.remove(&host);
         if state.detector.kept_connections.remove(&host).is_some() {
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct DetectorTable {
     /// Failure detection state per router.
-    pub watches: BTreeMap<HostName, PeerHealth>,
+    pub peer_health: BTreeMap<HostName, PeerHealth>,
     /// Routers with a running suspicion or reachability timeout.
     pub pending: BTreeSet<HostName>,
     /// Dead routers.
@@ -90,7 +90,7 @@
 impl Default for DetectorTable {
     fn default() -> Self {
         Self {
-            watches: BTreeMap::new(),
+            peer_health: BTreeMap::new(),
             pending: BTreeSet::new(),
             dead: BTreeSet::new(),
             kept_connections: BTreeMap::new(),
@@ -116,7 +116,7 @@
 impl DetectorTable {
     /// The row of a router, created if missing.
     pub fn watch(&mut self, host: &HostName) -> &mut PeerHealth {
-        self.watches.entry(host.clone()).or_default()
+        self.peer_health.entry(host.clone()).or_default()
     }
 
     /// Returns a sequence number for a new ping.
