--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -87,7 +87,7 @@
         state.detector.gossip_queue.add(host.clone());
     }
     state.detector.pending.insert(host.clone());
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     watch.suspect_since.get_or_insert(now);
 }
 
@@ -154,7 +154,7 @@
         want(state, host);
         let connected = state.members.get(host).is_some_and(|row| row.connected);
         if !connected {
-            state.detector.watch(host).lost_at = Some(now);
+            state.detector.peer_health_mut(host).lost_at = Some(now);
             state.detector.pending.insert(host.clone());
         }
     }
@@ -192,7 +192,7 @@
         entry.reachable = true;
     });
     clear_suspicion(state, host);
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     watch.lost_at = None;
     state.detector.pending.remove(host);
     let changed = state.members.get(host).and_then(MemberEntry::rank) != before;
@@ -219,7 +219,11 @@
         return;
     }
     let now = state.now;
-    state.detector.watch(host).lost_at.get_or_insert(now);
+    state
+        .detector
+        .peer_health_mut(host)
+        .lost_at
+        .get_or_insert(now);
     state.detector.pending.insert(host.clone());
     let knew = state
         .members
@@ -240,7 +244,7 @@
         return;
     }
     let revives = matches!(row.state, MemberState::Suspect | MemberState::Dead);
-    state.detector.watch(host).last_contact_at = Some(now);
+    state.detector.peer_health_mut(host).last_contact_at = Some(now);
     if revives {
         state
             .members
@@ -253,7 +257,7 @@
 fn clear_suspicion(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     state.detector.dead.remove(host);
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     watch.last_contact_at = Some(now);
     watch.suspect_since = None;
     watch.dead_since = None;
@@ -291,7 +295,11 @@
     }
     if known.is_some_and(|known| known.merge(told) == known) {
         if known == Some(told) && told.state == MemberState::Suspect {
-            state.detector.watch(&host).confirmers.insert(from.clone());
+            state
+                .detector
+                .peer_health_mut(&host)
+                .confirmers
+                .insert(from.clone());
         }
         return;
     }
@@ -368,13 +376,17 @@
     match told.state {
         MemberState::Suspect => {
             suspect(state, host);
-            state.detector.watch(host).confirmers.insert(from.clone());
+            state
+                .detector
+                .peer_health_mut(host)
+                .confirmers
+                .insert(from.clone());
         }
         MemberState::Dead => note_dead(state, host),
         MemberState::Alive | MemberState::Leaving => {
-            let last_contact_at = state.detector.watch(host).last_contact_at;
+            let last_contact_at = state.detector.peer_health_mut(host).last_contact_at;
             clear_suspicion(state, host);
-            state.detector.watch(host).last_contact_at = last_contact_at;
+            state.detector.peer_health_mut(host).last_contact_at = last_contact_at;
         }
     }
 }
@@ -420,7 +432,7 @@
     state.detector.raise_health_score();
     let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
     for host in pending {
-        let watch = state.detector.watch(&host);
+        let watch = state.detector.peer_health_mut(&host);
         watch.suspect_since = watch.suspect_since.map(|_| now);
         watch.lost_at = watch.lost_at.map(|_| now);
     }
@@ -463,9 +475,9 @@
     let limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
     if lost_at.is_some_and(|since| now.since(since) >= limit) {
         state.members.change(host, |entry| entry.reachable = false);
-        state.detector.watch(host).lost_at = None;
+        state.detector.peer_health_mut(host).lost_at = None;
     }
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     if watch.suspect_since.is_none() && watch.lost_at.is_none() {
         state.detector.pending.remove(host);
     }
@@ -473,7 +485,7 @@
 
 fn note_dead(state: &mut CoreState, host: &HostName) {
     let now = state.now;
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     watch.suspect_since = None;
     watch.confirmers.clear();
     watch.dead_since = Some(now);
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -115,7 +115,7 @@
 
 impl DetectorTable {
     /// The row of a router, created if missing.
-    pub fn watch(&mut self, host: &HostName) -> &mut PeerHealth {
+    pub fn peer_health_mut(&mut self, host: &HostName) -> &mut PeerHealth {
         self.peer_health.entry(host.clone()).or_default()
     }
 
