--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -147,7 +147,7 @@
     /// Claims of the entry routers.
     pub members: BTreeMap<HostName, MemberClaim>,
     /// Removed entry routers; one entry per host, so the size is bounded by the host list.
-    pub gone: BTreeMap<HostName, RemovedMember>,
+    pub removed: BTreeMap<HostName, RemovedMember>,
     /// Accounts of the teams.
     pub accounts: BTreeMap<TeamId, TeamAccount>,
     /// Virtual time of the pool: the mean virtual time, weighted by share, of the teams that have
@@ -180,7 +180,7 @@
         Self {
             settles_at,
             members: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            removed: BTreeMap::new(),
             accounts: BTreeMap::new(),
             clock: 0,
             pace: 0.0,
@@ -253,13 +253,13 @@
             self.move_claimed(endpoint, claim.held(), 0);
         }
         let charges = member.teams.iter();
-        let gone = RemovedMember {
+        let removed = RemovedMember {
             incarnation: member.incarnation,
             charged: charges
                 .map(|(team, demand)| (*team, demand.charged))
                 .collect(),
         };
-        self.gone.insert(host.clone(), gone);
+        self.removed.insert(host.clone(), removed);
         self.urgent = true;
     }
 
@@ -273,10 +273,10 @@
         host: &HostName,
         incarnation: RouterIncarnation,
     ) -> &mut MemberClaim {
-        let gone = &mut self.gone;
+        let removed = &mut self.removed;
         self.members.entry(host.clone()).or_insert_with(|| {
             let mut claim = MemberClaim::new(incarnation);
-            let known = gone.remove(host);
+            let known = removed.remove(host);
             let known = known.filter(|known| known.incarnation == incarnation);
             for (team, charged) in known.into_iter().flat_map(|known| known.charged) {
                 let demand = TeamDemand {
