--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -137,10 +137,10 @@
 
 fn move_if_due(state: &mut CoreState) {
     let wait = TimeSpan::from_millis(state.config.limits.adjust_ms);
-    if state.now.since(state.slot_limits.moved_at) < wait {
+    if state.now.since(state.slot_limits.adjusted_at) < wait {
         return;
     }
-    state.slot_limits.moved_at = state.now;
+    state.slot_limits.adjusted_at = state.now;
     let endpoints = owned_endpoints(state);
     watch_owned(state, &endpoints);
     for endpoint in endpoints {
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -92,7 +92,7 @@
     /// Tallies of the endpoints that this router uses as an entry router.
     pub tallies: BTreeMap<EndpointId, FirstByteTally>,
     /// When the limits were last adjusted.
-    pub moved_at: Moment,
+    pub adjusted_at: Moment,
 }
 
 #[cfg(test)]
