--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -67,7 +67,7 @@
     // requests back for that alone; subtracting foreign load cures it within seconds. Lowering
     // the limit as well would leave the endpoint idle long after. So what is held back counts
     // only while no more than the published slots are asked of it.
-    limit.held_back |= *waiting > 0 && present <= published;
+    limit.engine_queued |= *waiting > 0 && present <= published;
 }
 
 /// Tallies whether the first byte came in time, and sees to it that the owner hears of a turn.
@@ -217,17 +217,17 @@
     let Some(limit) = state.slot_limits.limits.get_mut(&endpoint) else {
         return;
     };
-    let held_back = std::mem::take(&mut limit.held_back);
+    let engine_queued = std::mem::take(&mut limit.engine_queued);
     let late = !limit.late_reporters.is_empty();
     let allowed = limit.allowed.unwrap_or(published);
     // Late answers alone may come from long prompts, which fewer slots would not cure, so they
     // lower the limit to a part only.
-    let least = if held_back {
+    let least = if engine_queued {
         part(config.least_percent)
     } else {
         part(config.least_late_percent)
     };
-    let next = if held_back || late {
+    let next = if engine_queued || late {
         let down = allowed * f64::from(config.step_down_percent) / 100.0;
         down.max(least.min(allowed))
     } else {
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -23,7 +23,7 @@
     /// Requests that may run at once; `None` while the limit is not below the published slots.
     pub allowed: Option<f64>,
     /// True if the engine queued requests since the last adjustment of the limit.
-    pub held_back: bool,
+    pub engine_queued: bool,
     /// Entry routers that report late answers from the endpoint.
     pub late_reporters: BTreeSet<HostName>,
     foreign: [u32; FOREIGN_LOAD_SAMPLES],
