--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -192,7 +192,7 @@
     state.publication_sync.fetch = Some(PublicationFetch {
         host: host.clone(),
         revision,
-        asked_at: state.now,
+        requested_at: state.now,
     });
     let request = PublicationRequest {
         revision: current.0,
@@ -206,7 +206,7 @@
     let Some(fetch) = &state.publication_sync.fetch else {
         return;
     };
-    if state.now.since(fetch.asked_at) < limit {
+    if state.now.since(fetch.requested_at) < limit {
         return;
     }
     let host = fetch.host.clone();
--- a/src/core/tables/publication_sync.rs
+++ b/src/core/tables/publication_sync.rs
@@ -18,7 +18,7 @@
     /// The revision that the peer announced or sent.
     pub revision: ConfigRevision,
     /// When the request was sent.
-    pub asked_at: Moment,
+    pub requested_at: Moment,
 }
 
 /// How up to date this router's publication is known to be.
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 struct RequestedLease {
     first_asked: Moment,
-    asked_at: Moment,
+    requested_at: Moment,
     answered_at: Option<Moment>,
     until: Option<Moment>,
 }
@@ -116,7 +116,7 @@
         let is_new = !self.requested.contains_key(&fingerprint);
         let lease = self.requested.entry(fingerprint).or_insert(RequestedLease {
             first_asked: now,
-            asked_at: now,
+            requested_at: now,
             answered_at: None,
             until: None,
         });
@@ -126,7 +126,7 @@
             return LeaseState::Granted;
         }
         if is_new || lease.is_due(now, span) {
-            lease.asked_at = now;
+            lease.requested_at = now;
             return LeaseState::MustRequest;
         }
         LeaseState::Requested
@@ -144,7 +144,7 @@
             .iter_mut()
             .filter(|(fingerprint, lease)| running.contains(fingerprint) && lease.is_due(now, span))
             .map(|(fingerprint, lease)| {
-                lease.asked_at = now;
+                lease.requested_at = now;
                 *fingerprint
             })
             .collect()
@@ -161,7 +161,7 @@
     ) {
         if let Some(lease) = self.requested.get_mut(&fingerprint) {
             lease.answered_at = Some(now);
-            lease.until = is_granted.then_some(lease.asked_at + span);
+            lease.until = is_granted.then_some(lease.requested_at + span);
         }
     }
 
@@ -197,12 +197,12 @@
     pub fn shrink(&mut self, now: Moment, span: TimeSpan) {
         self.granted.retain(|_, lease| lease.until > now);
         self.requested
-            .retain(|_, lease| now.since(lease.asked_at) <= span);
+            .retain(|_, lease| now.since(lease.requested_at) <= span);
     }
 }
 
 impl RequestedLease {
     fn is_due(&self, now: Moment, span: TimeSpan) -> bool {
-        now.since(self.asked_at).0 >= span.0 / REQUESTS_PER_LEASE
+        now.since(self.requested_at).0 >= span.0 / REQUESTS_PER_LEASE
     }
 }
