--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -47,7 +47,7 @@
 
 #[derive(Debug)]
 struct RequestedLease {
-    first_asked: Moment,
+    first_requested_at: Moment,
     requested_at: Moment,
     answered_at: Option<Moment>,
     until: Option<Moment>,
@@ -115,12 +115,12 @@
     ) -> LeaseState {
         let is_new = !self.requested.contains_key(&fingerprint);
         let lease = self.requested.entry(fingerprint).or_insert(RequestedLease {
-            first_asked: now,
+            first_requested_at: now,
             requested_at: now,
             answered_at: None,
             until: None,
         });
-        let answered_at = lease.answered_at.unwrap_or(lease.first_asked);
+        let answered_at = lease.answered_at.unwrap_or(lease.first_requested_at);
         let is_silent = now.since(answered_at) >= span;
         if is_silent || lease.until.is_some_and(|until| until > now) {
             return LeaseState::Granted;
