--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -186,7 +186,7 @@
     let lacks = state.orders.scarce_since.get(&pool).copied();
     let wanted = TimeSpan::from_millis(config.want_ms);
     let gap = TimeSpan::from_millis(config.wish_gap_ms);
-    let last = state.orders.wished_at.get(&pool).copied();
+    let last = state.orders.last_wish_at.get(&pool).copied();
     let waits = lacks.is_none_or(|since| now.since(since) < wanted);
     if waits || last.is_some_and(|last| now.since(last) < gap) {
         return;
@@ -203,7 +203,7 @@
     let Some(host) = owner else {
         return;
     };
-    state.orders.wished_at.insert(pool, now);
+    state.orders.last_wish_at.insert(pool, now);
     let (demand, slots) = demand_of(state, pool);
     let wish = EndpointWish {
         pool: pool.0,
--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -81,7 +81,7 @@
     /// Owned pools whose demand exceeds their slots, and since when.
     pub scarce_since: BTreeMap<PoolId, Moment>,
     /// When a wish for an endpoint was last sent on behalf of a pool.
-    pub wished_at: BTreeMap<PoolId, Moment>,
+    pub last_wish_at: BTreeMap<PoolId, Moment>,
     /// Orders that were not carried out yet.
     pub open: BTreeMap<EndpointId, OpenOrder>,
     /// Pools that endpoints serve.
