--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -220,7 +220,11 @@
         if usage.queue.is_empty() {
             return;
         }
-        let credit = if usage.queue.is_urgent() { express } else { 0 };
+        let credit = if usage.queue.has_interactive() {
+            express
+        } else {
+            0
+        };
         // The cost of a request is known only at its end. Without the quota, a team with expensive
         // requests would take far more than its share of the slots before it is charged for them.
         let rank = TeamRank {
--- a/src/core/tables/team_queue.rs
+++ b/src/core/tables/team_queue.rs
@@ -71,7 +71,7 @@
 
     /// True if an interactive request is waiting.
     #[must_use]
-    pub fn is_urgent(&self) -> bool {
+    pub fn has_interactive(&self) -> bool {
         !self.interactive.is_empty()
     }
 }
