--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -150,7 +150,7 @@
     pool.waiting += 1;
     pool.mark_changed(team);
     if begins {
-        pool.wants = true;
+        pool.has_new_demand = true;
     }
     dispatch::rank_team(state, pool_id, team);
     state.touched_pools.insert(pool_id);
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -101,7 +101,7 @@
     let Some(pool) = state.entries.get_mut(&pool_id) else {
         return;
     };
-    let wants = pool.wants && pool.waiting > 0 && pool.open.is_empty();
+    let wants = pool.has_new_demand && pool.waiting > 0 && pool.open.is_empty();
     let urgent = (pool.urgent || wants) && state.report_budget.is_open();
     let passed = now.since(pool.reported_at);
     let due = match (urgent, pool.changed) {
@@ -129,7 +129,7 @@
     pool.report_sequence += 1;
     pool.reported_at = now;
     pool.urgent = false;
-    pool.wants = false;
+    pool.has_new_demand = false;
     pool.changed = false;
     let mut report = DemandReport {
         pool: pool_id.0,
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -144,7 +144,7 @@
     /// True if an early report is due, for example because slots were returned.
     pub urgent: bool,
     /// True if a team started to wait since the last report.
-    pub wants: bool,
+    pub has_new_demand: bool,
     /// True if anything changed since the last report.
     pub changed: bool,
     /// The endpoint that last ran a request with a prefix, by prefix hash.
