--- a/tests/cores/mod.rs
+++ b/tests/cores/mod.rs
@@ -204,7 +204,7 @@
     actions: Vec<(usize, CoreAction)>,
     catalog: Arc<FleetCatalog>,
     config: CoreConfig,
-    lives: u64,
+    started_routers: u64,
     tick_us: u64,
 }
 
@@ -236,7 +236,7 @@
             actions: Vec::new(),
             catalog: Arc::new(catalog),
             config,
-            lives: 0,
+            started_routers: 0,
             tick_us,
         };
         for router in 0..routers {
@@ -256,14 +256,14 @@
 
     /// Starts a router with empty state; `published` is the publication it reads, if any.
     pub fn start_with(&mut self, router: usize, published: Option<CoreEvent>) {
-        self.lives += 1;
+        self.started_routers += 1;
         let identity = RouterIdentity {
             host: host(router),
-            incarnation: RouterIncarnation(1_000 + self.lives),
+            incarnation: RouterIncarnation(1_000 + self.started_routers),
             domain: domain(router % 3),
             address: "127.0.0.1:9".into(),
         };
-        let core = RouterCore::new(identity, self.config.clone(), self.lives);
+        let core = RouterCore::new(identity, self.config.clone(), self.started_routers);
         self.cores[router] = Some(core);
         let routers = (0..self.cores.len()).map(listed).collect();
         let leaving = Vec::new();
