--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -24,7 +24,7 @@
 fn busy_fleet(requests: u64) -> CoreFleet {
     let mut fleet = CoreFleet::new(1, catalog(1, 1));
     for request in 1..=requests {
-        fleet.tell(0, CoreEvent::Arrived(facts(request)));
+        fleet.handle_event(0, CoreEvent::Arrived(facts(request)));
     }
     fleet.advance(300);
     fleet
@@ -68,7 +68,7 @@
 #[test]
 fn a_draining_router_is_not_ready() {
     let mut fleet = busy_fleet(0);
-    fleet.tell(0, CoreEvent::DrainAsked);
+    fleet.handle_event(0, CoreEvent::DrainAsked);
     let readiness = views::readiness(fleet.core(0).state());
     assert!(!readiness.ready);
     assert_eq!(readiness.reasons, [NotReadyReason::Draining]);
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -229,7 +229,7 @@
         if let (Some(ticket), Some(life)) = (ticket, self.fleet.life(router)) {
             self.tickets.insert((life, self.next_request), ticket);
         }
-        self.fleet.tell(router, CoreEvent::Arrived(facts));
+        self.fleet.handle_event(router, CoreEvent::Arrived(facts));
         self.carry_out();
     }
 
@@ -237,7 +237,7 @@
         self.budget.leaves -= 1;
         if let Some((router, request)) = self.latest.take() {
             let left = CoreEvent::CallerLeft(RequestId(request));
-            self.fleet.tell(router, left);
+            self.fleet.handle_event(router, left);
         }
     }
 
@@ -262,10 +262,10 @@
                 request: RequestId(flight.request),
                 bytes: Some(ByteSize(100)),
             };
-            self.fleet.tell(flight.router, kept);
+            self.fleet.handle_event(flight.router, kept);
         }
         let end = ended(flight.request, flight.attempt, outcome);
-        self.fleet.tell(flight.router, end);
+        self.fleet.handle_event(flight.router, end);
     }
 
     fn answer(&mut self, place: usize, copies: u32) {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -34,7 +34,7 @@
     for router in 0..8 {
         let watches = fleet.core(router).state().publication_sync.watching;
         if watches == Some(true) {
-            fleet.tell(router, CoreEvent::SourceAnswered(true));
+            fleet.handle_event(router, CoreEvent::SourceAnswered(true));
         }
     }
 }
@@ -42,7 +42,7 @@
 fn publish(fleet: &mut CoreFleet, router: usize, revision: u64) {
     let text = Bytes::from(format!("good {revision}"));
     let published = fleet.publication(revision, text);
-    fleet.tell(router, published);
+    fleet.handle_event(router, published);
 }
 
 fn revision(fleet: &CoreFleet, router: usize) -> u64 {
@@ -100,7 +100,7 @@
     }
     fleet.advance_by(HOUR_MS / 2, 50_000);
     for router in 0..8 {
-        fleet.tell(router, CoreEvent::SourceAnswered(false));
+        fleet.handle_event(router, CoreEvent::SourceAnswered(false));
         assert_eq!(knowledge(&fleet, router), ConfigKnowledge::Uncertain);
     }
     fleet.stop(5);
@@ -175,7 +175,7 @@
 fn a_bad_publication_is_refused_once() {
     let mut fleet = fleet();
     let bad = fleet.publication(9, Bytes::from_static(b"bad"));
-    fleet.tell(0, bad);
+    fleet.handle_event(0, bad);
     fleet.advance(60_000);
     assert_eq!(revisions(&fleet), [9, 1, 1, 1, 1, 1, 1, 1]);
     assert_eq!(fleet.adoptions, 7, "each router looked at it once");
@@ -198,7 +198,7 @@
         revision: 50,
         text: Bytes::from_static(b"good 50"),
     };
-    fleet.tell(2, from_five(PeerBody::Publication(pushed)));
+    fleet.handle_event(2, from_five(PeerBody::Publication(pushed)));
     assert_eq!(revision(&fleet, 2), 1);
     fleet.cut.insert((2, 5));
     let told = GossipPing {
@@ -206,7 +206,7 @@
         revision: 60,
         ..GossipPing::default()
     };
-    fleet.tell(2, from_five(PeerBody::Gossip(told)));
+    fleet.handle_event(2, from_five(PeerBody::Gossip(told)));
     publish(&mut fleet, 0, 7);
     fleet.advance(2 * BOUND_MS);
     assert_eq!(revision(&fleet, 2), 7);
--- a/tests/cores/mod.rs
+++ b/tests/cores/mod.rs
@@ -267,9 +267,9 @@
         self.cores[router] = Some(core);
         let routers = (0..self.cores.len()).map(listed).collect();
         let leaving = Vec::new();
-        self.tell(router, CoreEvent::HostsListed { routers, leaving });
+        self.handle_event(router, CoreEvent::HostsListed { routers, leaving });
         if let Some(published) = published {
-            self.tell(router, published);
+            self.handle_event(router, published);
         }
         for peer in 0..self.cores.len() {
             self.connect(router, peer);
@@ -280,15 +280,15 @@
     pub fn stop(&mut self, router: usize) {
         self.cores[router] = None;
         for peer in 0..self.cores.len() {
-            self.tell(peer, CoreEvent::PeerClosed { host: host(router) });
+            self.handle_event(peer, CoreEvent::PeerClosed { host: host(router) });
         }
     }
 
     /// Cuts the link between two routers.
     pub fn part(&mut self, one: usize, other: usize) {
         self.cut.insert((one.min(other), one.max(other)));
-        self.tell(one, CoreEvent::PeerClosed { host: host(other) });
-        self.tell(other, CoreEvent::PeerClosed { host: host(one) });
+        self.handle_event(one, CoreEvent::PeerClosed { host: host(other) });
+        self.handle_event(other, CoreEvent::PeerClosed { host: host(one) });
     }
 
     /// Restores the link between two routers.
@@ -305,8 +305,8 @@
             return;
         }
         let opened = |host, incarnation| CoreEvent::PeerOpened { host, incarnation };
-        self.tell(one, opened(host(other), right));
-        self.tell(other, opened(host(one), left));
+        self.handle_event(one, opened(host(other), right));
+        self.handle_event(other, opened(host(one), left));
     }
 
     /// True if two routers can reach each other.
@@ -327,7 +327,7 @@
 
     /// Passes an event to a router, delivers the resulting messages, and keeps all other actions
     /// for [`Self::take`].
-    pub fn tell(&mut self, router: usize, event: CoreEvent) {
+    pub fn handle_event(&mut self, router: usize, event: CoreEvent) {
         let mut queue = VecDeque::from([(router, event)]);
         while let Some((router, event)) = queue.pop_front() {
             let now = self.now;
@@ -398,14 +398,14 @@
         while self.now < end {
             self.now = (self.now + TimeSpan(tick_us)).min(end);
             for router in 0..self.cores.len() {
-                self.tell(router, CoreEvent::Tick);
+                self.handle_event(router, CoreEvent::Tick);
             }
         }
     }
 
     /// Passes an event to a router and returns the actions that follow at once.
     pub fn ask(&mut self, router: usize, event: CoreEvent) -> Vec<CoreAction> {
-        self.tell(router, event);
+        self.handle_event(router, event);
         self.take(router)
     }
 
--- a/tests/crashing_copies.rs
+++ b/tests/crashing_copies.rs
@@ -43,22 +43,22 @@
 fn fleet_that_knows_lives(routers: usize) -> CoreFleet {
     let mut fleet = CoreFleet::new(routers, catalog(ENDPOINTS, 4));
     for router in 0..routers {
-        (1..=ENDPOINTS).for_each(|number| fleet.tell(router, report(endpoint(number), 1)));
+        (1..=ENDPOINTS).for_each(|number| fleet.handle_event(router, report(endpoint(number), 1)));
     }
     fleet
 }
 
 fn send(fleet: &mut CoreFleet, router: usize, request: u64) {
-    fleet.tell(router, CoreEvent::Arrived(facts(request)));
+    fleet.handle_event(router, CoreEvent::Arrived(facts(request)));
 }
 
 fn lose(fleet: &mut CoreFleet, router: usize, run: Dispatched) {
     let lost = ended(run.request, run.attempt, AttemptOutcome::LostBeforeAnswer);
-    fleet.tell(router, lost);
+    fleet.handle_event(router, lost);
 }
 
 fn end_whole(fleet: &mut CoreFleet, router: usize, run: Dispatched) {
-    fleet.tell(
+    fleet.handle_event(
         router,
         ended(run.request, run.attempt, AttemptOutcome::Whole),
     );
@@ -127,7 +127,7 @@
 #[test]
 fn a_copy_that_waits_for_a_slot_is_held_back_as_well() {
     let mut fleet = CoreFleet::new(1, catalog(1, 1));
-    fleet.tell(0, report(endpoint(1), 1));
+    fleet.handle_event(0, report(endpoint(1), 1));
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
     send(&mut fleet, 0, 2);
@@ -145,7 +145,7 @@
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
     lose(&mut fleet, 0, first);
-    fleet.tell(0, report(first.endpoint, 2));
+    fleet.handle_event(0, report(first.endpoint, 2));
     fleet.advance(10);
     for router in 0..ROUTERS {
         send(&mut fleet, router, 10 + router as u64);
@@ -177,13 +177,13 @@
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
     lose(&mut fleet, 0, first);
-    fleet.tell(0, report(first.endpoint, 2));
+    fleet.handle_event(0, report(first.endpoint, 2));
     assert_eq!(suspects(&fleet, 0), 1);
-    (1..=ENDPOINTS).for_each(|number| fleet.tell(0, report(endpoint(number), 2)));
+    (1..=ENDPOINTS).for_each(|number| fleet.handle_event(0, report(endpoint(number), 2)));
     let second = first_dispatch(&mut fleet, 0);
     assert_ne!(second.endpoint, first.endpoint);
     lose(&mut fleet, 0, second);
-    fleet.tell(0, report(second.endpoint, 3));
+    fleet.handle_event(0, report(second.endpoint, 3));
     fleet.advance(50);
     assert!(is_refused(&mut fleet, 0, 1));
 }
@@ -197,7 +197,7 @@
     for _ in 0..2 {
         let run = first_dispatch(&mut fleet, 0);
         lose(&mut fleet, 0, run);
-        fleet.tell(0, report(run.endpoint, 1));
+        fleet.handle_event(0, report(run.endpoint, 1));
         assert!(!is_refused(&mut fleet, 0, 1));
     }
     let last = first_dispatch(&mut fleet, 0);
@@ -212,25 +212,25 @@
     let mut fleet = CoreFleet::new(3, catalog(ENDPOINTS, 4));
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
-    fleet.tell(1, report(first.endpoint, 1));
+    fleet.handle_event(1, report(first.endpoint, 1));
     lose(&mut fleet, 0, first);
-    fleet.tell(0, report(first.endpoint, 2));
+    fleet.handle_event(0, report(first.endpoint, 2));
     fleet.advance(10);
     let mut other = facts(9);
     other.fingerprint = RequestFingerprint(9);
-    fleet.tell(1, CoreEvent::Arrived(other));
+    fleet.handle_event(1, CoreEvent::Arrived(other));
     let run = first_dispatch(&mut fleet, 1);
     let seen = CoreEvent::EndpointRefused {
         endpoint: first.endpoint,
     };
     lose(&mut fleet, 1, run);
-    fleet.tell(1, seen);
+    fleet.handle_event(1, seen);
     fleet.advance(10);
     let second = first_dispatch(&mut fleet, 0);
     lose(&mut fleet, 0, second);
-    fleet.tell(0, report(second.endpoint, 5));
+    fleet.handle_event(0, report(second.endpoint, 5));
     fleet.advance(10);
-    fleet.tell(0, report(second.endpoint, 6));
+    fleet.handle_event(0, report(second.endpoint, 6));
     fleet.advance(50);
     let refused = fleet.core(2).state();
     let until = refused
@@ -247,7 +247,7 @@
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
     lose(&mut fleet, 0, first);
-    fleet.tell(0, report(first.endpoint, 2));
+    fleet.handle_event(0, report(first.endpoint, 2));
     fleet.advance(10);
     assert_eq!((suspects(&fleet, 0), suspects(&fleet, 1)), (1, 1));
     let second = first_dispatch(&mut fleet, 0);
@@ -267,7 +267,7 @@
     let first = first_dispatch(&mut fleet, asker);
     fleet.cut.insert((0, 1));
     lose(&mut fleet, asker, first);
-    fleet.tell(asker, report(first.endpoint, 2));
+    fleet.handle_event(asker, report(first.endpoint, 2));
     let runs = dispatches(&mut fleet, asker, 2 * CHECK_MS);
     assert_eq!(runs.len(), 1, "{runs:?}");
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -79,7 +79,7 @@
         facts.fingerprint = fingerprint;
         let key = (router, self.next_request);
         self.fingerprints.insert(key, fingerprint);
-        self.fleet.tell(router, CoreEvent::Arrived(facts));
+        self.fleet.handle_event(router, CoreEvent::Arrived(facts));
         self.carry_out();
     }
 
@@ -127,9 +127,9 @@
     fn dispatch(&mut self, router: usize, request: u64, attempt: u32, endpoint: EndpointId) {
         if self.down_until.contains_key(&endpoint) {
             self.fleet
-                .tell(router, CoreEvent::EndpointRefused { endpoint });
+                .handle_event(router, CoreEvent::EndpointRefused { endpoint });
             let not_sent = ended(request, attempt, AttemptOutcome::NotSent);
-            self.fleet.tell(router, not_sent);
+            self.fleet.handle_event(router, not_sent);
             return;
         }
         let poison = self.fingerprints[&(router, request)] == POISON;
@@ -165,7 +165,7 @@
         }
         for one in done {
             let whole = ended(one.request, one.attempt, AttemptOutcome::Whole);
-            self.fleet.tell(one.router, whole);
+            self.fleet.handle_event(one.router, whole);
         }
     }
 
@@ -175,7 +175,7 @@
         self.down_until.insert(endpoint, self.fleet.now.0 + DOWN_US);
         for one in self.running.remove(&endpoint).unwrap_or_default() {
             let lost = ended(one.request, one.attempt, AttemptOutcome::LostBeforeAnswer);
-            self.fleet.tell(one.router, lost);
+            self.fleet.handle_event(one.router, lost);
         }
     }
 
@@ -199,7 +199,7 @@
                 }
             };
             for router in 0..self.fleet.cores.len() {
-                self.fleet.tell(router, event.clone());
+                self.fleet.handle_event(router, event.clone());
             }
         }
     }
@@ -278,12 +278,12 @@
         life: 1,
         fence: 0,
     };
-    (1..=3).for_each(|number| fleet.tell(0, report(number)));
-    fleet.tell(0, CoreEvent::Arrived(facts(1)));
+    (1..=3).for_each(|number| fleet.handle_event(0, report(number)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(1)));
     for attempt in 1..=2 {
-        fleet.tell(0, ended(1, attempt, AttemptOutcome::LostBeforeAnswer));
+        fleet.handle_event(0, ended(1, attempt, AttemptOutcome::LostBeforeAnswer));
         fleet.advance(100);
-        (1..=3).for_each(|number| fleet.tell(0, report(number)));
+        (1..=3).for_each(|number| fleet.handle_event(0, report(number)));
         fleet.advance(100);
     }
     assert_eq!(fleet.core(0).state().crashes.suspect_count(), 0);
@@ -303,7 +303,7 @@
         row.is_some_and(|row| row.watchers.contains(&LoadWatcher::FirstLife))
     };
     assert!(!reads_life(&fleet));
-    fleet.tell(0, CoreEvent::Arrived(facts(1)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(1)));
     assert!(next_dispatch(&mut fleet).is_some());
     assert!(reads_life(&fleet));
     let report = |life| CoreEvent::EndpointLoad {
@@ -314,10 +314,10 @@
         life,
         fence: 0,
     };
-    fleet.tell(0, report(1));
+    fleet.handle_event(0, report(1));
     assert!(!reads_life(&fleet));
-    fleet.tell(0, ended(1, 1, AttemptOutcome::LostBeforeAnswer));
-    fleet.tell(0, report(2));
+    fleet.handle_event(0, ended(1, 1, AttemptOutcome::LostBeforeAnswer));
+    fleet.handle_event(0, report(2));
     assert_eq!(fleet.core(0).state().crashes.suspect_count(), 1);
 }
 
@@ -330,11 +330,11 @@
     for life in 1..40 {
         let mut facts = facts(life);
         facts.fingerprint = innocent(life);
-        fleet.tell(0, CoreEvent::Arrived(facts));
-        fleet.tell(0, ended(life, 1, AttemptOutcome::LostBeforeAnswer));
+        fleet.handle_event(0, CoreEvent::Arrived(facts));
+        fleet.handle_event(0, ended(life, 1, AttemptOutcome::LostBeforeAnswer));
         for number in 1..=2 {
             let endpoint = endpoint(number);
-            fleet.tell(
+            fleet.handle_event(
                 0,
                 CoreEvent::EndpointLoad {
                     endpoint,
@@ -378,12 +378,12 @@
     let mut fleet = CoreFleet::new(1, catalog(ENDPOINTS, 4));
     fleet.advance(500);
     let crash = |fleet: &mut CoreFleet, request: u64, attempt: u32, endpoint: EndpointId| {
-        fleet.tell(0, ended(request, attempt, AttemptOutcome::LostBeforeAnswer));
-        fleet.tell(0, CoreEvent::EndpointRefused { endpoint });
+        fleet.handle_event(0, ended(request, attempt, AttemptOutcome::LostBeforeAnswer));
+        fleet.handle_event(0, CoreEvent::EndpointRefused { endpoint });
     };
-    fleet.tell(0, CoreEvent::Arrived(facts(1)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(1)));
     let (_, _, first) = next_dispatch(&mut fleet).unwrap();
-    fleet.tell(0, CoreEvent::Arrived(facts(2)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(2)));
     let (_, _, slow) = next_dispatch(&mut fleet).unwrap();
     crash(&mut fleet, 1, 1, first);
     let (again, attempt, second) = next_dispatch(&mut fleet).unwrap();
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -30,10 +30,10 @@
     // runs ends whole there, the waiting one is served by the other router, then the host is
     // free to go.
     let mut fleet = CoreFleet::new(2, catalog(1, 1));
-    fleet.tell(0, CoreEvent::Arrived(facts(1)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(1)));
     fleet.advance(200);
     assert_eq!(dispatched(&fleet.take(0)).len(), 1);
-    fleet.tell(0, CoreEvent::Arrived(facts(2)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(2)));
     let asked = fleet.ask(0, CoreEvent::DrainAsked);
     assert_eq!(asked, vec![forward(2, 1)]);
     fleet.advance(300);
@@ -53,7 +53,7 @@
     // have to run a ticket that it did not mint, and a resend could run it again here. So it is
     // served here first, and a resend by way of the peer still finds it.
     let mut fleet = CoreFleet::new(2, catalog(1, 1));
-    fleet.tell(0, CoreEvent::Arrived(facts(1)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(1)));
     fleet.advance(200);
     let ticket = fleet.get_ticket(0, 2);
     fleet.present(0, 3, ticket);
@@ -65,7 +65,7 @@
         original: RequestId(3),
     };
     assert_eq!(fleet.present(0, 4, ticket), vec![join]);
-    fleet.tell(0, ended(1, 1, AttemptOutcome::Whole));
+    fleet.handle_event(0, ended(1, 1, AttemptOutcome::Whole));
     fleet.advance(500);
     assert_eq!(dispatched(&fleet.take(0)).len(), 1);
     let end = fleet.ask(0, ended(3, 1, AttemptOutcome::Whole));
@@ -79,7 +79,7 @@
 #[test]
 fn arrivals_during_a_drain_go_to_a_peer_or_are_truly_refused() {
     let mut fleet = CoreFleet::new(2, catalog(1, 1));
-    fleet.tell(0, CoreEvent::DrainAsked);
+    fleet.handle_event(0, CoreEvent::DrainAsked);
     fleet.advance(600);
     fleet.take(0);
     assert_eq!(
@@ -109,15 +109,15 @@
     // All hosts of a site are shut down, one after the other. The last has nobody to hand its
     // waiting requests to: they run there, and only then is it drained.
     let mut fleet = CoreFleet::new(1, catalog(1, 1));
-    fleet.tell(0, CoreEvent::Arrived(facts(1)));
-    fleet.tell(0, CoreEvent::Arrived(facts(2)));
-    fleet.tell(0, CoreEvent::DrainAsked);
+    fleet.handle_event(0, CoreEvent::Arrived(facts(1)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(2)));
+    fleet.handle_event(0, CoreEvent::DrainAsked);
     fleet.advance(100);
     fleet.take(0);
-    fleet.tell(0, ended(1, 1, AttemptOutcome::Whole));
+    fleet.handle_event(0, ended(1, 1, AttemptOutcome::Whole));
     fleet.advance(200);
     assert_eq!(dispatched(&fleet.take(0)).len(), 1);
-    fleet.tell(0, ended(2, 1, AttemptOutcome::Whole));
+    fleet.handle_event(0, ended(2, 1, AttemptOutcome::Whole));
     fleet.advance(500);
     assert!(fleet.take(0).contains(&CoreAction::Drained));
 }
--- a/tests/earlier_lives.rs
+++ b/tests/earlier_lives.rs
@@ -66,6 +66,6 @@
         incarnation: owner_life,
         message: PeerMessage::new(PeerBody::Allotment(late)),
     };
-    fleet.tell(entry, arrives);
+    fleet.handle_event(entry, arrives);
     assert_eq!(counts(&fleet, entry), before);
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -22,19 +22,19 @@
 fn list_leaving(fleet: &mut CoreFleet, router: usize, rows: &[(EndpointId, u64)]) {
     let leaving = rows.to_vec();
     let routers = Vec::new();
-    fleet.tell(router, CoreEvent::HostsListed { routers, leaving });
+    fleet.handle_event(router, CoreEvent::HostsListed { routers, leaving });
 }
 
 fn list_live(fleet: &mut CoreFleet, router: usize, rows: &[(EndpointId, u64)]) {
     let live = rows.to_vec();
-    fleet.tell(router, CoreEvent::EndpointsListed { live });
+    fleet.handle_event(router, CoreEvent::EndpointsListed { live });
 }
 
 /// Sends a request to each router and returns the endpoints that were given work.
 fn used(fleet: &mut CoreFleet, first: u64) -> Vec<EndpointId> {
     for router in 0..8 {
         let request = first + router as u64;
-        fleet.tell(router, CoreEvent::Arrived(facts(request)));
+        fleet.handle_event(router, CoreEvent::Arrived(facts(request)));
     }
     fleet.advance(1_000);
     let mut used = Vec::new();
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -45,7 +45,7 @@
     // owner must give it less until it has room again, then all of its published slots.
     let mut fleet = CoreFleet::new(1, catalog(1, 16));
     for _ in 0..8 {
-        fleet.tell(0, load(endpoint(1), 11, 5));
+        fleet.handle_event(0, load(endpoint(1), 11, 5));
         fleet.advance(1_000);
     }
     let lowered = limit(&fleet, 0);
@@ -62,7 +62,7 @@
     fleet.part(0, 1);
     let mut sides = [BTreeSet::new(), BTreeSet::new()];
     for request in 0..900 {
-        fleet.tell(request % 2, CoreEvent::Arrived(facts(request as u64)));
+        fleet.handle_event(request % 2, CoreEvent::Arrived(facts(request as u64)));
     }
     for _ in 0..20 {
         turn_over(&mut fleet, &mut sides, 2);
@@ -80,7 +80,7 @@
 fn turn_over(fleet: &mut CoreFleet, sides: &mut [BTreeSet<u64>; 2], active: usize) {
     for (router, running) in sides.iter_mut().enumerate() {
         for request in std::mem::take(running) {
-            fleet.tell(router, ended(request, 1, AttemptOutcome::Whole));
+            fleet.handle_event(router, ended(request, 1, AttemptOutcome::Whole));
         }
     }
     fleet.advance(250);
@@ -92,7 +92,7 @@
     }
     let running = u32::try_from(sides[0].len() + sides[1].len()).unwrap();
     for router in 0..2 {
-        fleet.tell(router, load(endpoint(1), running, 0));
+        fleet.handle_event(router, load(endpoint(1), running, 0));
     }
 }
 
@@ -158,7 +158,7 @@
         let mut facts = facts(self.next_request);
         facts.deadline = self.fleet.now + TimeSpan::from_millis(PATIENCE_MS);
         self.arrived.insert(self.next_request, self.fleet.now);
-        self.fleet.tell(0, CoreEvent::Arrived(facts));
+        self.fleet.handle_event(0, CoreEvent::Arrived(facts));
         self.start();
     }
 
@@ -187,7 +187,7 @@
                 }
                 if self.running.len() >= self.room {
                     let refused = ended(request.0, attempt.0, AttemptOutcome::Refused);
-                    self.fleet.tell(0, refused);
+                    self.fleet.handle_event(0, refused);
                 } else {
                     let end = self.fleet.now + TimeSpan::from_millis(RUN_MS);
                     self.running.insert(request.0, (end, attempt.0));
@@ -219,7 +219,7 @@
             let spent = now.since(self.arrived[&request]).as_millis();
             self.tally.whole_in_time += u32::from(spent <= PATIENCE_MS);
             self.fleet
-                .tell(0, ended(request, attempt, AttemptOutcome::Whole));
+                .handle_event(0, ended(request, attempt, AttemptOutcome::Whole));
         }
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -169,7 +169,7 @@
     for viewer in [0, 2, 3, 4] {
         let message = late.clone();
         let from = host(1);
-        fleet.tell(
+        fleet.handle_event(
             viewer,
             CoreEvent::Message {
                 from,
@@ -197,7 +197,7 @@
     fleet.advance(30_000);
     fleet.cores[0] = Some(asleep);
     let before = fleet.core(0).state().members.version();
-    fleet.tell(0, CoreEvent::Tick);
+    fleet.handle_event(0, CoreEvent::Tick);
     for subject in 1..8 {
         assert!(state_of(&fleet, 0, subject) < MemberState::Dead);
     }
@@ -229,7 +229,7 @@
     ];
     for viewer in 0..8 {
         let (routers, leaving) = (routers.clone(), Vec::new());
-        fleet.tell(viewer, CoreEvent::HostsListed { routers, leaving });
+        fleet.handle_event(viewer, CoreEvent::HostsListed { routers, leaving });
     }
     fleet.advance(30_000);
     for viewer in 0..8 {
@@ -245,7 +245,7 @@
 #[test]
 fn a_leaving_router_stays_leaving_for_its_whole_life() {
     let mut fleet = fleet();
-    fleet.tell(4, CoreEvent::DrainAsked);
+    fleet.handle_event(4, CoreEvent::DrainAsked);
     fleet.advance(1_000);
     fleet.part(4, 0);
     fleet.advance(10);
@@ -321,7 +321,7 @@
             incarnation: fleet.life(1).unwrap(),
             message: PeerMessage::new(PeerBody::Gossip(ping)),
         };
-        fleet.tell(0, event);
+        fleet.handle_event(0, event);
         fleet.advance(500);
         let members = &fleet.core(0).state().members;
         prop_assert_eq!(members.is_live(&host(0)), true);
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -104,7 +104,7 @@
             self.next_request += 1;
             let mut facts = facts(self.next_request);
             facts.pool = pool;
-            self.fleet.tell(router, CoreEvent::Arrived(facts));
+            self.fleet.handle_event(router, CoreEvent::Arrived(facts));
         }
     }
 
@@ -131,7 +131,7 @@
                 fence: engine.fence,
             };
             for router in 0..self.fleet.cores.len() {
-                self.fleet.tell(router, event.clone());
+                self.fleet.handle_event(router, event.clone());
             }
         }
     }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -20,14 +20,14 @@
     // its request did not run and when to come back; it is not held until its deadline.
     let mut fleet = CoreFleet::new(1, catalog(1, 4));
     fleet.advance(500);
-    fleet.tell(0, CoreEvent::Arrived(facts(1)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(1)));
     let mut refusals = Vec::new();
     for _ in 0..100 {
         for action in fleet.take(0) {
             match action {
                 CoreAction::Dispatch {
                     request, attempt, ..
-                } => fleet.tell(0, ended(request.0, attempt.0, AttemptOutcome::NotSent)),
+                } => fleet.handle_event(0, ended(request.0, attempt.0, AttemptOutcome::NotSent)),
                 CoreAction::Refuse {
                     outcome,
                     retry_after,
@@ -47,7 +47,7 @@
     // three times and then refused as unknown: more tries would multiply the load.
     let mut fleet = CoreFleet::new(1, catalog(1, 4));
     fleet.advance(500);
-    fleet.tell(0, CoreEvent::Arrived(facts(1)));
+    fleet.handle_event(0, CoreEvent::Arrived(facts(1)));
     let mut most = AttemptNumber(0);
     let mut refusals = Vec::new();
     for _ in 0..2_000 {
@@ -58,7 +58,7 @@
                 } => {
                     most = most.max(attempt);
                     let lost = AttemptOutcome::LostBeforeAnswer;
-                    fleet.tell(0, ended(request.0, attempt.0, lost));
+                    fleet.handle_event(0, ended(request.0, attempt.0, lost));
                 }
                 CoreAction::Refuse { outcome, .. } => refusals.push(outcome),
                 _ => {}
--- a/tests/slot_counters.rs
+++ b/tests/slot_counters.rs
@@ -84,21 +84,21 @@
             })
             .collect();
         let leaving = Vec::new();
-        self.tell(router, CoreEvent::HostsListed { routers, leaving });
+        self.handle_event(router, CoreEvent::HostsListed { routers, leaving });
         for other in (0..ROUTERS).filter(|other| *other != router) {
             let incarnation = life(other);
             let opened = CoreEvent::PeerOpened {
                 host: host(other),
                 incarnation,
             };
-            self.tell(router, opened);
+            self.handle_event(router, opened);
         }
         let catalog = Arc::new(catalog(1, SLOTS));
         let text = Bytes::new();
-        self.tell(router, CoreEvent::Published { catalog, text });
+        self.handle_event(router, CoreEvent::Published { catalog, text });
     }
 
-    fn tell(&mut self, router: usize, event: CoreEvent) {
+    fn handle_event(&mut self, router: usize, event: CoreEvent) {
         let mut queue = VecDeque::from([(router, event)]);
         while let Some((router, event)) = queue.pop_front() {
             for action in self.cores[router].handle(Moment(self.now), event) {
@@ -151,10 +151,10 @@
         if (self.now / STEP_US).is_multiple_of(7)
             && let Some((from, to, message)) = self.delayed.pop_front()
         {
-            self.tell(to, arrival(from, message));
+            self.handle_event(to, arrival(from, message));
         }
         for router in 0..ROUTERS {
-            self.tell(router, CoreEvent::Tick);
+            self.handle_event(router, CoreEvent::Tick);
         }
     }
 
@@ -164,7 +164,7 @@
         };
         let (request, router, attempt) = (*request, *router, *attempt);
         self.running.remove(&request);
-        self.tell(router, ended(request, attempt, AttemptOutcome::Whole));
+        self.handle_event(router, ended(request, attempt, AttemptOutcome::Whole));
     }
 }
 
@@ -218,14 +218,14 @@
         .run(&(fates(), steps), |(fates, steps)| {
             let mut rig = SlotRig::new(fates);
             for (request, (router, place)) in (1_u64..).zip(steps) {
-                rig.tell(router, CoreEvent::Arrived(facts(request)));
+                rig.handle_event(router, CoreEvent::Arrived(facts(request)));
                 rig.finish(place);
                 rig.step();
                 prop_assert!(rig.running.len() <= SLOTS as usize);
             }
             rig.fates.clear();
             for request in 10_000..10_040 {
-                rig.tell(0, CoreEvent::Arrived(facts(request)));
+                rig.handle_event(0, CoreEvent::Arrived(facts(request)));
             }
             for _ in 0..1_000 {
                 rig.step();
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -84,7 +84,7 @@
     let mut fleet = CoreFleet::new(1, catalog(1, 2));
     let ticket = fleet.get_ticket(0, 1);
     fleet.present(0, 2, ticket);
-    fleet.tell(0, kept(2, 300));
+    fleet.handle_event(0, kept(2, 300));
     fleet.ask(0, ended(2, 1, AttemptOutcome::Whole));
     let resend = fleet.present(0, 3, ticket);
     assert!(joins(&resend, 3, 2) && completes(&resend, 3));
@@ -122,7 +122,7 @@
     let mut fleet = CoreFleet::new(1, catalog(2, 2));
     let ticket = fleet.get_ticket(0, 1);
     fleet.present(0, 2, ticket);
-    fleet.tell(0, ended(2, 1, AttemptOutcome::Refused));
+    fleet.handle_event(0, ended(2, 1, AttemptOutcome::Refused));
     fleet.advance(100);
     assert_eq!(dispatched(&fleet.take(0)).len(), 1);
 }
@@ -155,7 +155,7 @@
     let ticket = fleet.get_ticket(0, 1);
     let mut facts = unrepeatable(2, Some(ticket));
     facts.deadline = fleet.now;
-    fleet.tell(0, CoreEvent::Arrived(facts));
+    fleet.handle_event(0, CoreEvent::Arrived(facts));
     fleet.advance(100);
     let told = fleet.take(0);
     assert_eq!(
@@ -241,8 +241,8 @@
 fn run_one(fleet: &mut CoreFleet, request: u64) -> TicketName {
     let ticket = fleet.get_ticket(0, request);
     fleet.present(0, request + 1, ticket);
-    fleet.tell(0, kept(request + 1, 400));
-    fleet.tell(0, ended(request + 1, 1, AttemptOutcome::Whole));
+    fleet.handle_event(0, kept(request + 1, 400));
+    fleet.handle_event(0, ended(request + 1, 1, AttemptOutcome::Whole));
     ticket
 }
 
