--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -199,7 +199,7 @@
             Step::Part => {
                 self.budget.parts -= 1;
                 self.parted = true;
-                self.fleet.part(0, 1);
+                self.fleet.cut_link(0, 1);
                 self.settle();
             }
             Step::Mend => {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -153,7 +153,7 @@
     let mut fleet = fleet();
     for left in 0..3 {
         for right in 3..8 {
-            fleet.part(left, right);
+            fleet.cut_link(left, right);
         }
     }
     publish(&mut fleet, 0, 5);
--- a/tests/cores/mod.rs
+++ b/tests/cores/mod.rs
@@ -285,7 +285,7 @@
     }
 
     /// Cuts the link between two routers.
-    pub fn part(&mut self, one: usize, other: usize) {
+    pub fn cut_link(&mut self, one: usize, other: usize) {
         self.cut.insert((one.min(other), one.max(other)));
         self.handle_event(one, CoreEvent::PeerClosed { host: host(other) });
         self.handle_event(other, CoreEvent::PeerClosed { host: host(one) });
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -118,7 +118,7 @@
     let mut fleet = fleet();
     for left in 0..2 {
         for right in 2..8 {
-            fleet.part(left, right);
+            fleet.cut_link(left, right);
         }
     }
     fleet.advance(10_000);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -59,7 +59,7 @@
     // The fleet is cut in two and both halves reach the same engine. Each has an owner that
     // would give out all slots: the engine would run twice its limit and every answer be late.
     let mut fleet = CoreFleet::new(2, catalog(1, 12));
-    fleet.part(0, 1);
+    fleet.cut_link(0, 1);
     let mut sides = [BTreeSet::new(), BTreeSet::new()];
     for request in 0..900 {
         fleet.handle_event(request % 2, CoreEvent::Arrived(facts(request as u64)));
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -100,7 +100,7 @@
 #[test]
 fn a_single_cut_link_kills_nobody() {
     let mut fleet = fleet();
-    fleet.part(2, 5);
+    fleet.cut_link(2, 5);
     fleet.advance(10_000);
     for viewer in (0..8).filter(|viewer| ![2, 5].contains(viewer)) {
         assert_eq!(live_count(&fleet, viewer), 8);
@@ -122,7 +122,7 @@
     for round in 0..2 {
         for left in 0..3 {
             for right in 3..8 {
-                fleet.part(left, right);
+                fleet.cut_link(left, right);
             }
         }
         fleet.advance(60_000);
@@ -191,7 +191,7 @@
 #[test]
 fn a_router_that_slept_does_not_bury_the_others() {
     let mut fleet = fleet();
-    fleet.part(0, 7);
+    fleet.cut_link(0, 7);
     fleet.advance(20);
     let asleep = fleet.cores[0].take().unwrap();
     fleet.advance(30_000);
@@ -247,7 +247,7 @@
     let mut fleet = fleet();
     fleet.handle_event(4, CoreEvent::DrainAsked);
     fleet.advance(1_000);
-    fleet.part(4, 0);
+    fleet.cut_link(4, 0);
     fleet.advance(10);
     fleet.mend(4, 0);
     fleet.advance(5_000);
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -210,7 +210,7 @@
     // them. Both sides order. An engine must never follow an order that was decided before the
     // last one it followed, and no model may be thrown out soon after it came.
     let mut run = OrderRun::new(2, FenceCheck::Checked);
-    run.fleet.part(0, 1);
+    run.fleet.cut_link(0, 1);
     run.demand(0, answers(), 200);
     run.demand(1, plans(), 200);
     run.run(2_400);
@@ -237,7 +237,7 @@
     // harm is bounded in time: an engine changes its model no more often than the least
     // residence, as both orderers see it in its reports.
     let mut run = OrderRun::new(2, FenceCheck::Ignored);
-    run.fleet.part(0, 1);
+    run.fleet.cut_link(0, 1);
     run.demand(0, answers(), 200);
     run.demand(1, plans(), 200);
     run.run(2_400);
@@ -253,7 +253,7 @@
     let mut run = OrderRun::new(4, FenceCheck::Ignored);
     for one in 0..4 {
         for other in one + 1..4 {
-            run.fleet.part(one, other);
+            run.fleet.cut_link(one, other);
         }
     }
     for router in 0..4 {
