--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -204,7 +204,7 @@
             }
             Step::Mend => {
                 self.parted = false;
-                self.fleet.mend(0, 1);
+                self.fleet.restore_link(0, 1);
                 self.settle();
             }
             Step::Wait => {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -139,8 +139,8 @@
     assert!(!fleet.core(5).state().publication_sync.ready);
     fleet.advance(1_000);
     assert!(!fleet.core(5).state().publication_sync.ready);
-    fleet.mend(5, 3);
-    fleet.mend(5, 7);
+    fleet.restore_link(5, 3);
+    fleet.restore_link(5, 7);
     assert_eq!(revision(&fleet, 5), 9);
     fleet.advance(3_000);
     assert!(fleet.core(5).state().publication_sync.ready);
@@ -162,7 +162,7 @@
     assert_eq!(revisions(&fleet), [5, 5, 5, 8, 8, 8, 8, 8]);
     for left in 0..3 {
         for right in 3..8 {
-            fleet.mend(left, right);
+            fleet.restore_link(left, right);
         }
     }
     fleet.advance(BOUND_MS);
--- a/tests/cores/mod.rs
+++ b/tests/cores/mod.rs
@@ -292,7 +292,7 @@
     }
 
     /// Restores the link between two routers.
-    pub fn mend(&mut self, one: usize, other: usize) {
+    pub fn restore_link(&mut self, one: usize, other: usize) {
         self.cut.remove(&(one.min(other), one.max(other)));
         self.connect(one, other);
     }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -134,7 +134,7 @@
     assert!((0..2).all(|router| !closed(&fleet, router, 2)));
     for left in 0..2 {
         for right in 2..8 {
-            fleet.mend(left, right);
+            fleet.restore_link(left, right);
         }
     }
     fleet.advance(BOUND_MS);
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -108,7 +108,7 @@
     assert_eq!(state_of(&fleet, 2, 5), MemberState::Alive);
     assert!(!fleet.core(2).state().members.is_live(&host(5)));
     assert!(!fleet.core(5).state().members.is_live(&host(2)));
-    fleet.mend(2, 5);
+    fleet.restore_link(2, 5);
     fleet.advance(1_000);
     assert_eq!(live_count(&fleet, 2), 8);
 }
@@ -132,7 +132,7 @@
         assert_eq!(owners(&fleet, 3..8).len(), 1);
         for left in 0..3 {
             for right in 3..8 {
-                fleet.mend(left, right);
+                fleet.restore_link(left, right);
             }
         }
         fleet.advance(3_000);
@@ -203,7 +203,7 @@
     }
     assert_eq!(fleet.core(0).state().members.version(), before);
     for peer in 1..8 {
-        fleet.mend(0, peer);
+        fleet.restore_link(0, peer);
     }
     fleet.advance(3_000);
     for viewer in 0..8 {
@@ -249,7 +249,7 @@
     fleet.advance(1_000);
     fleet.cut_link(4, 0);
     fleet.advance(10);
-    fleet.mend(4, 0);
+    fleet.restore_link(4, 0);
     fleet.advance(5_000);
     for viewer in (0..8).filter(|viewer| *viewer != 4) {
         assert_eq!(state_of(&fleet, viewer, 4), MemberState::Leaving);
