--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -226,7 +226,7 @@
         if by_caller {
             self.latest = Some((router, self.next_request));
         }
-        if let (Some(ticket), Some(life)) = (ticket, self.fleet.life(router)) {
+        if let (Some(ticket), Some(life)) = (ticket, self.fleet.incarnation_of(router)) {
             self.tickets.insert((life, self.next_request), ticket);
         }
         self.fleet.handle_event(router, CoreEvent::Arrived(facts));
@@ -254,7 +254,7 @@
     }
 
     fn tell_end(&mut self, flight: Flight, outcome: AttemptOutcome) {
-        if self.fleet.life(flight.router) != Some(flight.life) {
+        if self.fleet.incarnation_of(flight.router) != Some(flight.life) {
             return;
         }
         if outcome == AttemptOutcome::Whole {
@@ -303,7 +303,7 @@
     }
 
     fn act(&mut self, router: usize, action: &CoreAction) {
-        let Some(life) = self.fleet.life(router) else {
+        let Some(life) = self.fleet.incarnation_of(router) else {
             return;
         };
         match action {
--- a/tests/cores/mod.rs
+++ b/tests/cores/mod.rs
@@ -298,7 +298,8 @@
     }
 
     fn connect(&mut self, one: usize, other: usize) {
-        let (Some(left), Some(right)) = (self.life(one), self.life(other)) else {
+        let (Some(left), Some(right)) = (self.incarnation_of(one), self.incarnation_of(other))
+        else {
             return;
         };
         if one == other || !self.is_linked(one, other) {
@@ -315,7 +316,7 @@
     }
 
     /// A router's incarnation; `None` while it is down.
-    pub fn life(&self, router: usize) -> Option<RouterIncarnation> {
+    pub fn incarnation_of(&self, router: usize) -> Option<RouterIncarnation> {
         let core = self.cores[router].as_ref()?;
         Some(core.state().identity.incarnation)
     }
@@ -381,7 +382,7 @@
         }
         let event = CoreEvent::Message {
             from: host(router),
-            incarnation: self.life(router)?,
+            incarnation: self.incarnation_of(router)?,
             message,
         };
         Some((peer, event))
--- a/tests/earlier_lives.rs
+++ b/tests/earlier_lives.rs
@@ -43,12 +43,12 @@
     let mut fleet = CoreFleet::new(2, catalog(2, SLOTS));
     let (owner, owner_name) = owner_of(&fleet);
     let entry = 1 - owner;
-    let earlier = fleet.life(entry).unwrap();
+    let earlier = fleet.incarnation_of(entry).unwrap();
     fleet.stop(entry);
     fleet.start(entry);
     fleet.advance(100);
     let before = counts(&fleet, entry);
-    let owner_life = fleet.life(owner).unwrap();
+    let owner_life = fleet.incarnation_of(owner).unwrap();
     let late = SlotAllotment {
         pool: pool().0,
         epoch: epoch_of(owner_life),
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -148,7 +148,7 @@
 #[test]
 fn a_restarted_router_is_a_new_member_whatever_is_said_of_its_old_life() {
     let mut fleet = fleet();
-    let old = fleet.life(3).unwrap();
+    let old = fleet.incarnation_of(3).unwrap();
     fleet.stop(3);
     fleet.advance(2_000);
     fleet.start(3);
@@ -165,7 +165,7 @@
         }],
         ..GossipPing::default()
     }));
-    let incarnation = fleet.life(1).unwrap();
+    let incarnation = fleet.incarnation_of(1).unwrap();
     for viewer in [0, 2, 3, 4] {
         let message = late.clone();
         let from = host(1);
@@ -182,7 +182,10 @@
     for viewer in 0..8 {
         assert_eq!(live_count(&fleet, viewer), 8);
         let members = &fleet.core(viewer).state().members;
-        assert_eq!(members.get(&host(3)).unwrap().incarnation, fleet.life(3));
+        assert_eq!(
+            members.get(&host(3)).unwrap().incarnation,
+            fleet.incarnation_of(3)
+        );
     }
 }
 
@@ -318,7 +321,7 @@
         let ping = GossipPing { step, sequence, target, news, ..GossipPing::default() };
         let event = CoreEvent::Message {
             from: host(1),
-            incarnation: fleet.life(1).unwrap(),
+            incarnation: fleet.incarnation_of(1).unwrap(),
             message: PeerMessage::new(PeerBody::Gossip(ping)),
         };
         fleet.handle_event(0, event);
--- a/tests/slot_counters.rs
+++ b/tests/slot_counters.rs
@@ -86,7 +86,7 @@
         let leaving = Vec::new();
         self.handle_event(router, CoreEvent::HostsListed { routers, leaving });
         for other in (0..ROUTERS).filter(|other| *other != router) {
-            let incarnation = life(other);
+            let incarnation = incarnation_of(other);
             let opened = CoreEvent::PeerOpened {
                 host: host(other),
                 incarnation,
@@ -168,14 +168,14 @@
     }
 }
 
-fn life(router: usize) -> RouterIncarnation {
+fn incarnation_of(router: usize) -> RouterIncarnation {
     RouterIncarnation(500 + router as u64)
 }
 
 fn arrival(from: usize, message: PeerMessage) -> CoreEvent {
     CoreEvent::Message {
         from: host(from),
-        incarnation: life(from),
+        incarnation: incarnation_of(from),
         message,
     }
 }
@@ -183,7 +183,7 @@
 fn new_core(router: usize) -> RouterCore {
     let identity = RouterIdentity {
         host: host(router),
-        incarnation: life(router),
+        incarnation: incarnation_of(router),
         domain: "domain-0".parse().unwrap(),
         address: "127.0.0.1:9".into(),
     };
