--- a/tests/cores/mod.rs
+++ b/tests/cores/mod.rs
@@ -342,7 +342,7 @@
                     }
                     CoreAction::AdoptText { revision, text } => {
                         self.adoptions += 1;
-                        queue.push_back((router, self.adopt(revision, &text)));
+                        queue.push_back((router, self.check_publication(revision, &text)));
                     }
                     action => self.actions.push((router, action)),
                 }
@@ -351,7 +351,7 @@
     }
 
     /// Replaces parsing and checking: a text that starts with `bad` is rejected.
-    fn adopt(&self, revision: ConfigRevision, text: &Bytes) -> CoreEvent {
+    fn check_publication(&self, revision: ConfigRevision, text: &Bytes) -> CoreEvent {
         if text.starts_with(b"bad") {
             return CoreEvent::PublicationRefused { revision };
         }
