--- a/src/admin/team_view.rs
+++ b/src/admin/team_view.rs
@@ -78,8 +78,8 @@
     let share = state.catalog.share_of(team);
     let first = pool.order.first().map(|(_, team)| *team);
     let lead = first.map_or(0, |first| {
-        let least = pool.local_time(first, state.catalog.share_of(first));
-        (pool.local_time(team, share) - least) / VIRTUAL_SCALE
+        let least = pool.local_virtual_time(first, state.catalog.share_of(first));
+        (pool.local_virtual_time(team, share) - least) / VIRTUAL_SCALE
     });
     Some(TeamPoolStatus {
         pool: name,
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -200,7 +200,7 @@
     /// A team's virtual time as known to this router: the owner's value plus the charges at this
     /// router that it does not include.
     #[must_use]
-    pub fn local_time(&self, team: TeamId, share: ShareWeight) -> i64 {
+    pub fn local_virtual_time(&self, team: TeamId, share: ShareWeight) -> i64 {
         let Some(usage) = self.teams.get(&team) else {
             return self.clock;
         };
@@ -210,7 +210,7 @@
     /// Updates a team's position in the order, or removes the team if it has no waiting requests.
     /// `express` is the credit for interactive requests in virtual time.
     pub fn rank(&mut self, team: TeamId, share: ShareWeight, express: i64) {
-        let time = self.local_time(team, share);
+        let time = self.local_virtual_time(team, share);
         let Some(usage) = self.teams.get_mut(&team) else {
             return;
         };
