--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -95,7 +95,7 @@
         ask_restart(state, from, incarnation, report);
         return;
     }
-    let member = pool.claim_of(from, incarnation);
+    let member = pool.claim_mut(from, incarnation);
     member.term = report.term;
     let fresh = report.sequence > member.report_seen;
     if fresh {
