--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -92,7 +92,7 @@
     /// True once an operator asked for a drain.
     pub draining: bool,
     /// Since when the draining router has had no work in flight.
-    pub drain_quiet_since: Option<Moment>,
+    pub drain_idle_since: Option<Moment>,
     /// True once the driver was informed that the drain is complete.
     pub drained: bool,
     actions: Vec<CoreAction>,
@@ -129,7 +129,7 @@
             report_budget: ByteBudget::default(),
             allotment_budget: ByteBudget::default(),
             draining: false,
-            drain_quiet_since: None,
+            drain_idle_since: None,
             drained: false,
             actions: Vec::new(),
             loopback: Vec::new(),
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -46,10 +46,10 @@
 fn tell_if_done(state: &mut CoreState) {
     let empty = state.requests.is_empty() && state.tickets.minter_waits.is_empty();
     if !empty || state.drained {
-        state.drain_quiet_since = None;
+        state.drain_idle_since = None;
         return;
     }
-    let since = *state.drain_quiet_since.get_or_insert(state.now);
+    let since = *state.drain_idle_since.get_or_insert(state.now);
     let told = state
         .entries
         .values()
