--- a/src/core/tables/gossip_queue.rs
+++ b/src/core/tables/gossip_queue.rs
@@ -68,7 +68,7 @@
     use super::*;
 
     #[test]
-    fn news_is_told_a_bounded_number_of_times_and_the_least_told_first() {
+    fn updates_are_sent_a_bounded_number_of_times_and_the_least_sent_first() {
         let mut queue = GossipQueue::default();
         queue.add("a");
         assert_eq!(queue.take(1, 2), ["a"]);
