--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -112,7 +112,7 @@
     }
 
     #[test]
-    fn few_answers_say_nothing() {
+    fn too_few_answers_report_no_lateness() {
         let mut tally = FirstByteTally::default();
         (0..7).for_each(|_| tally.note(true));
         assert_eq!(tally.per_mille(), 0);
