--- a/src/core/tables/team_eviction.rs
+++ b/src/core/tables/team_eviction.rs
@@ -89,7 +89,7 @@
     use super::*;
 
     #[test]
-    fn the_team_that_keeps_most_gives_way_first() {
+    fn the_team_with_the_greatest_weight_is_evicted_first() {
         let mut index = TeamEvictionIndex::default();
         index.put(TeamId(1), 1, 10);
         index.put(TeamId(2), 2, 6);
