--- a/src/core/tables/wait_estimator.rs
+++ b/src/core/tables/wait_estimator.rs
@@ -69,7 +69,7 @@
     use super::*;
 
     #[test]
-    fn the_wait_is_the_pace_times_those_ahead() {
+    fn the_wait_is_the_start_interval_times_the_requests_ahead() {
         let mut estimator = WaitEstimator::default();
         for turn in 0..5 {
             estimator.record_start(Moment(turn * 1_000), true);
