--- a/src/core/tables/wait_estimator.rs
+++ b/src/core/tables/wait_estimator.rs
@@ -82,7 +82,7 @@
     }
 
     #[test]
-    fn a_slow_pace_is_forgotten_without_a_backlog() {
+    fn a_long_start_interval_is_corrected_without_a_backlog() {
         let mut estimator = WaitEstimator::default();
         estimator.record_start(Moment(0), true);
         estimator.record_start(Moment(1_000_000), false);
