--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -151,7 +151,7 @@
     }
 
     #[test]
-    fn another_life_gets_a_higher_number() {
+    fn another_incarnation_gets_a_higher_fencing_token() {
         let first = next_fence(ConfigRevision(5), 0, RouterIncarnation(9));
         let same = next_fence(ConfigRevision(5), first.0, RouterIncarnation(9));
         let other = next_fence(ConfigRevision(5), first.0, RouterIncarnation(3));
