--- a/src/core/share.rs
+++ b/src/core/share.rs
@@ -76,7 +76,7 @@
     }
 
     #[test]
-    fn what_one_leaves_goes_to_the_others() {
+    fn unused_share_goes_to_the_others() {
         let shares = water_fill(
             40.0,
             &[claim(3.0, 6.0), claim(1.0, 100.0), claim(1.0, 100.0)],
