--- a/tests/earlier_lives.rs
+++ b/tests/earlier_lives.rs
@@ -39,7 +39,7 @@
 /// reaches the new one, whose slot counts have the same term. If the new one accepted it, the owner
 /// would never learn that these slots are free, and no router would use them again.
 #[test]
-fn an_allotment_for_an_earlier_life_of_a_router_is_dropped() {
+fn an_allotment_for_an_earlier_incarnation_of_a_router_is_dropped() {
     let mut fleet = CoreFleet::new(2, catalog(2, SLOTS));
     let (owner, owner_name) = owner_of(&fleet);
     let entry = 1 - owner;
