--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -154,7 +154,7 @@
     /// been waiting for a while. Never decreases.
     pub clock: i64,
     /// Smoothed rate of the clock, in virtual time per second.
-    pub pace: f64,
+    pub clock_rate: f64,
     /// Slot limit per endpoint.
     pub limits: BTreeMap<EndpointId, u32>,
     /// Slots held by all entry routers together, per endpoint.
@@ -183,7 +183,7 @@
             removed: BTreeMap::new(),
             accounts: BTreeMap::new(),
             clock: 0,
-            pace: 0.0,
+            clock_rate: 0.0,
             limits: BTreeMap::new(),
             claimed: BTreeMap::new(),
             vacant: BTreeSet::new(),
