--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -97,8 +97,8 @@
 /// The part of a fencing token that identifies the router incarnation.
 #[must_use]
 #[allow(clippy::cast_possible_truncation)]
-pub fn fence_tag(life: RouterIncarnation) -> u32 {
-    (life.0 ^ (life.0 >> 32)) as u32
+pub fn fence_tag(incarnation: RouterIncarnation) -> u32 {
+    (incarnation.0 ^ (incarnation.0 >> 32)) as u32
 }
 
 /// Extracts the incarnation tag from a fencing token.
@@ -114,8 +114,12 @@
 /// an endpoint that checks tokens has followed an order of one incarnation, it rejects orders that
 /// another one issued without knowing of it.
 #[must_use]
-pub fn next_fence(revision: ConfigRevision, reported: u64, life: RouterIncarnation) -> FenceNumber {
-    let tag = fence_tag(life);
+pub fn next_fence(
+    revision: ConfigRevision,
+    reported: u64,
+    incarnation: RouterIncarnation,
+) -> FenceNumber {
+    let tag = fence_tag(incarnation);
     let (term, holder) = (reported >> 32, tag_of(reported));
     let above = if reported == 0 || holder == tag {
         term
