--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -209,9 +209,9 @@
         self.meets_crash_limit(fingerprint, config) && self.refuse(fingerprint, now, config)
     }
 
-    /// True if a request was running in as many crashes as `config.crashes`. At most one unconfirmed
-    /// crash counts, and only in addition to a confirmed one, so that broken connections alone never
-    /// quarantine a request.
+    /// True if a request was running in as many crashes as `config.crashes`. At most one
+    /// unconfirmed crash counts, and only in addition to a confirmed one, so that broken
+    /// connections alone never quarantine a request.
     fn meets_crash_limit(
         &self,
         fingerprint: RequestFingerprint,
