--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -148,12 +148,12 @@
         usage.queue.push(request, urgency);
     }
     pool.waiting += 1;
-    pool.touch(team);
+    pool.mark_changed(team);
     if begins {
-        pool.wants = true;
+        pool.has_new_demand = true;
     }
     dispatch::rank_team(state, pool_id, team);
-    state.woken.insert(pool_id);
+    state.touched_pools.insert(pool_id);
 }
 
 /// Takes a waiting request out of its queue.
@@ -173,7 +173,7 @@
     };
     if usage.queue.remove(request, urgency) {
         pool.waiting -= 1;
-        pool.touch(team);
+        pool.mark_changed(team);
         dispatch::rank_team(state, pool_id, team);
     }
 }
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -107,18 +107,18 @@
         limits::note_answer(state, pool_id, endpoint, true);
     }
     if outcome == AttemptOutcome::Whole {
-        note_run(state, pool_id, team, since);
+        record_run(state, pool_id, team, since);
         finish::complete(state, request);
         return;
     }
     retry_or_refuse(state, request, outcome);
 }
 
-fn note_run(state: &mut CoreState, pool_id: PoolId, team: TeamId, since: Moment) {
+fn record_run(state: &mut CoreState, pool_id: PoolId, team: TeamId, since: Moment) {
     let span = state.now.since(since);
     let pool = state.entries.get_mut(&pool_id);
     if let Some(usage) = pool.and_then(|pool| pool.teams.get_mut(&team)) {
-        usage.pace.note_run(span);
+        usage.wait_estimate.record_run(span);
     }
 }
 
@@ -139,10 +139,10 @@
     if let Some(usage) = pool.teams.get_mut(&team) {
         usage.running -= 1;
     }
-    pool.touch(team);
+    pool.mark_changed(team);
     pool.change_slots(endpoint, |hold| hold.busy = hold.busy.saturating_sub(1));
     dispatch::rank_team(state, pool_id, team);
-    state.woken.insert(pool_id);
+    state.touched_pools.insert(pool_id);
 }
 
 fn note_endpoint(state: &mut CoreState, endpoint: EndpointId, outcome: AttemptOutcome) {
@@ -157,7 +157,7 @@
     let row = state.endpoints.row(endpoint);
     // An endpoint that refuses connections would otherwise draw all traffic, since it frees its
     // slots at once; seen as a burst of failures. It rests, twice as long each time.
-    row.rest_until = now + TimeSpan(rest.0 << row.failures.min(MOST_DOUBLINGS));
+    row.backoff_until = now + TimeSpan(rest.0 << row.failures.min(MOST_DOUBLINGS));
     row.failures += 1;
 }
 
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -39,7 +39,7 @@
     {
         take_allotment(state, from, *incarnation, allotment);
     }
-    for pool in state.woken.clone() {
+    for pool in state.touched_pools.clone() {
         give_back_surplus(state, pool);
         give_back_surplus(state, pool);
         run_waiting(state, pool);
@@ -85,7 +85,7 @@
         if let Some(owner) = pool.owner.clone() {
             reporting::begin_epoch(pool, owner);
         }
-        state.woken.insert(pool_id);
+        state.touched_pools.insert(pool_id);
         return;
     }
     take_grants(pool, allotment);
@@ -100,7 +100,7 @@
             rank_team(state, pool_id, team);
         }
     }
-    state.woken.insert(pool_id);
+    state.touched_pools.insert(pool_id);
 }
 
 fn take_grants(pool: &mut EntryPool, allotment: &SlotAllotment) {
@@ -116,7 +116,7 @@
     let rows = allotment.teams.iter().zip(&allotment.lead);
     for ((team, lead), quota) in rows.zip(&allotment.quota) {
         let usage = pool.teams.entry(TeamId(*team)).or_default();
-        usage.told = pool.clock + lead.saturating_mul(LEAD_STEP);
+        usage.owner_time = pool.clock + lead.saturating_mul(LEAD_STEP);
         usage.quota = Some(*quota);
         let known = usage
             .sent_charges
@@ -124,7 +124,7 @@
             .rev()
             .find(|(sequence, _)| *sequence <= allotment.acked);
         if let Some((_, charged)) = known {
-            usage.told_charged = *charged;
+            usage.owner_charged = *charged;
         }
         usage
             .sent_charges
@@ -217,9 +217,11 @@
     if let Some(pool) = state.entries.get_mut(&pool_id) {
         let usage = pool.teams.entry(team).or_default();
         usage.running += 1;
-        usage.pace.note_start(now, !usage.queue.is_empty());
+        usage
+            .wait_estimate
+            .record_start(now, !usage.queue.is_empty());
         pool.change_slots(endpoint, |hold| hold.busy += 1);
-        pool.touch(team);
+        pool.mark_changed(team);
         let most = state.config.dispatch.prefix_memory as usize;
         pool.remember_prefix(prefix, endpoint, most);
     }
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -46,10 +46,10 @@
 fn tell_if_done(state: &mut CoreState) {
     let empty = state.requests.is_empty() && state.tickets.minter_waits.is_empty();
     if !empty || state.drained {
-        state.drain_quiet_since = None;
+        state.drain_idle_since = None;
         return;
     }
-    let since = *state.drain_quiet_since.get_or_insert(state.now);
+    let since = *state.drain_idle_since.get_or_insert(state.now);
     let told = state
         .entries
         .values()
@@ -91,7 +91,7 @@
 fn tell_owners(state: &mut CoreState) {
     for (pool_id, pool) in &mut state.entries {
         pool.urgent = true;
-        state.woken.insert(*pool_id);
+        state.touched_pools.insert(*pool_id);
     }
 }
 
@@ -156,6 +156,6 @@
         while let Some((_, endpoint)) = pool.open.first().copied() {
             pool.give_back(endpoint);
         }
-        state.woken.insert(pool_id);
+        state.touched_pools.insert(pool_id);
     }
 }
--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -7,7 +7,7 @@
 use crate::core::event::CoreEvent;
 use crate::core::state::CoreState;
 use crate::core::systems::probing;
-use crate::core::tables::rumors::telling_limit;
+use crate::core::tables::gossip_queue::retransmit_limit;
 use crate::units::EndpointId;
 use crate::units::PoolId;
 use crate::wire::PeerBody;
@@ -45,8 +45,8 @@
 
 /// News of leaving endpoints for one ping.
 pub fn take_news(state: &mut CoreState) -> Vec<LeavingNews> {
-    let limit = telling_limit(state.members.len(), state.config.probing.spread);
-    let ids = state.leaving_rumors.take(state.config.leaving.news, limit);
+    let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
+    let ids = state.leaving_gossip.take(state.config.leaving.news, limit);
     ids.into_iter()
         .filter_map(|id| news_of(state, id))
         .collect()
@@ -79,7 +79,7 @@
     }
     row.generation = generation;
     row.leaving = true;
-    state.leaving_rumors.add(endpoint);
+    state.leaving_gossip.add(endpoint);
     give_back(state, endpoint);
     true
 }
@@ -133,6 +133,6 @@
                 pool.give_back(endpoint);
             }
         }
-        state.woken.insert(pool_id);
+        state.touched_pools.insert(pool_id);
     }
 }
--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -67,7 +67,7 @@
     // requests back for that alone; subtracting foreign load cures it within seconds. Lowering
     // the limit as well would leave the endpoint idle long after. So what is held back counts
     // only while no more than the published slots are asked of it.
-    limit.held_back |= *waiting > 0 && present <= published;
+    limit.engine_queued |= *waiting > 0 && present <= published;
 }
 
 /// Tallies whether the first byte came in time, and sees to it that the owner hears of a turn.
@@ -88,13 +88,13 @@
     let tally = state.slot_limits.tallies.entry(endpoint).or_default();
     tally.note(late);
     let is_late = tally.per_mille() >= state.config.limits.slow_per_mille;
-    if is_late == tally.told_late {
+    if is_late == tally.reported_late {
         return;
     }
-    tally.told_late = is_late;
+    tally.reported_late = is_late;
     if let Some(pool) = state.entries.get_mut(&pool_id) {
         let next = pool.report_sequence + 1;
-        pool.change_slots(endpoint, |hold| hold.told_in = next);
+        pool.change_slots(endpoint, |hold| hold.first_sent_in = next);
     }
 }
 
@@ -128,19 +128,19 @@
         let limits = &mut state.slot_limits.limits;
         let limit = limits.entry(EndpointId(*endpoint)).or_default();
         if *pressure >= most {
-            limit.late_at.insert(from.clone());
+            limit.late_reporters.insert(from.clone());
         } else {
-            limit.late_at.remove(from);
+            limit.late_reporters.remove(from);
         }
     }
 }
 
 fn move_if_due(state: &mut CoreState) {
     let wait = TimeSpan::from_millis(state.config.limits.adjust_ms);
-    if state.now.since(state.slot_limits.moved_at) < wait {
+    if state.now.since(state.slot_limits.adjusted_at) < wait {
         return;
     }
-    state.slot_limits.moved_at = state.now;
+    state.slot_limits.adjusted_at = state.now;
     let endpoints = owned_endpoints(state);
     watch_owned(state, &endpoints);
     for endpoint in endpoints {
@@ -201,7 +201,7 @@
         return;
     };
     let members = &state.members;
-    limit.late_at.retain(|host| members.is_live(host));
+    limit.late_reporters.retain(|host| members.is_live(host));
 }
 
 /// Down by a part of itself under pressure, up by a part of the published slots without: the
@@ -217,17 +217,17 @@
     let Some(limit) = state.slot_limits.limits.get_mut(&endpoint) else {
         return;
     };
-    let held_back = std::mem::take(&mut limit.held_back);
-    let late = !limit.late_at.is_empty();
+    let engine_queued = std::mem::take(&mut limit.engine_queued);
+    let late = !limit.late_reporters.is_empty();
     let allowed = limit.allowed.unwrap_or(published);
     // Late answers alone may come from long prompts, which fewer slots would not cure, so they
     // lower the limit to a part only.
-    let least = if held_back {
+    let least = if engine_queued {
         part(config.least_percent)
     } else {
         part(config.least_late_percent)
     };
-    let next = if held_back || late {
+    let next = if engine_queued || late {
         let down = allowed * f64::from(config.step_down_percent) / 100.0;
         down.max(least.min(allowed))
     } else {
@@ -270,7 +270,7 @@
         return TimeSpan(0);
     };
     let ahead = usage.queue.ahead_of(urgency);
-    let estimate = usage.pace.time_to_end(ahead, state.now);
+    let estimate = usage.wait_estimate.time_to_end(ahead, state.now);
     TimeSpan(
         estimate
             .0
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -55,7 +55,12 @@
 /// Keeps a connection to a router open from now on.
 pub fn want(state: &mut CoreState, host: &HostName) {
     let now = state.now;
-    if state.detector.wanted.insert(host.clone(), now).is_some() {
+    if state
+        .detector
+        .kept_connections
+        .insert(host.clone(), now)
+        .is_some()
+    {
         return;
     }
     let Some(row) = state.members.get(host) else {
@@ -79,10 +84,10 @@
         state
             .members
             .change(host, |entry| entry.state = MemberState::Suspect);
-        state.detector.rumors.add(host.clone());
+        state.detector.gossip_queue.add(host.clone());
     }
     state.detector.pending.insert(host.clone());
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     watch.suspect_since.get_or_insert(now);
 }
 
@@ -142,21 +147,21 @@
 /// Gets in touch with a router that was not known before.
 fn admit(state: &mut CoreState, host: &HostName) {
     let now = state.now;
-    if let Some(incarnation) = state.detector.strangers.remove(host) {
+    if let Some(incarnation) = state.detector.unknown_peers.remove(host) {
         peer_opened(state, host, incarnation);
     }
     if is_small(state) {
         want(state, host);
         let connected = state.members.get(host).is_some_and(|row| row.connected);
         if !connected {
-            state.detector.watch(host).lost_at = Some(now);
+            state.detector.peer_health_mut(host).lost_at = Some(now);
             state.detector.pending.insert(host.clone());
         }
     }
 }
 
 fn redial(state: &mut CoreState, host: &HostName) {
-    if state.detector.wanted.remove(host).is_some() {
+    if state.detector.kept_connections.remove(host).is_some() {
         want(state, host);
     }
 }
@@ -164,7 +169,10 @@
 /// A handshake is direct evidence of who lives at a host, whatever the news say.
 fn peer_opened(state: &mut CoreState, host: &HostName, incarnation: RouterIncarnation) {
     if state.members.get(host).is_none() {
-        state.detector.strangers.insert(host.clone(), incarnation);
+        state
+            .detector
+            .unknown_peers
+            .insert(host.clone(), incarnation);
         probing::greet(state, host, true);
         return;
     }
@@ -184,12 +192,12 @@
         entry.reachable = true;
     });
     clear_suspicion(state, host);
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     watch.lost_at = None;
     state.detector.pending.remove(host);
     let changed = state.members.get(host).and_then(MemberEntry::rank) != before;
     if changed {
-        state.detector.rumors.add(host.clone());
+        state.detector.gossip_queue.add(host.clone());
     }
     // In a large fleet connections open for single pings: only a router that is new, or was taken
     // for dead or suspect, is told everything.
@@ -199,7 +207,7 @@
 
 /// The loss of a connection that this router keeps is direct evidence: suspicion starts at once.
 fn peer_closed(state: &mut CoreState, host: &HostName) {
-    state.detector.strangers.remove(host);
+    state.detector.unknown_peers.remove(host);
     let Some(row) = state.members.get(host) else {
         return;
     };
@@ -207,11 +215,15 @@
     state.members.change(host, |entry| entry.connected = false);
     // A router that others reach and this one doesn't would be suspected with each failed dial
     // and refute each time; once is enough. From then on pings by way of others decide.
-    if !state.detector.wanted.contains_key(host) || !reachable {
+    if !state.detector.kept_connections.contains_key(host) || !reachable {
         return;
     }
     let now = state.now;
-    state.detector.watch(host).lost_at.get_or_insert(now);
+    state
+        .detector
+        .peer_health_mut(host)
+        .lost_at
+        .get_or_insert(now);
     state.detector.pending.insert(host.clone());
     let knew = state
         .members
@@ -232,21 +244,21 @@
         return;
     }
     let revives = matches!(row.state, MemberState::Suspect | MemberState::Dead);
-    state.detector.watch(host).heard_at = Some(now);
+    state.detector.peer_health_mut(host).last_contact_at = Some(now);
     if revives {
         state
             .members
             .change(host, |entry| entry.state = MemberState::Alive);
         clear_suspicion(state, host);
-        state.detector.rumors.add(host.clone());
+        state.detector.gossip_queue.add(host.clone());
     }
 }
 
 fn clear_suspicion(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     state.detector.dead.remove(host);
-    let watch = state.detector.watch(host);
-    watch.heard_at = Some(now);
+    let watch = state.detector.peer_health_mut(host);
+    watch.last_contact_at = Some(now);
     watch.suspect_since = None;
     watch.dead_since = None;
     watch.confirmers.clear();
@@ -283,7 +295,11 @@
     }
     if known.is_some_and(|known| known.merge(told) == known) {
         if known == Some(told) && told.state == MemberState::Suspect {
-            state.detector.watch(&host).confirmers.insert(from.clone());
+            state
+                .detector
+                .peer_health_mut(&host)
+                .confirmers
+                .insert(from.clone());
         }
         return;
     }
@@ -298,12 +314,12 @@
 }
 
 fn is_fresh(state: &CoreState, host: &HostName) -> bool {
-    let heard_at = state
+    let last_contact_at = state
         .detector
-        .watches
+        .peer_health
         .get(host)
-        .and_then(|watch| watch.heard_at);
-    heard_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(FRESH_MS))
+        .and_then(|watch| watch.last_contact_at);
+    last_contact_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(FRESH_MS))
 }
 
 fn take_newcomer(state: &mut CoreState, host: &HostName, told: MemberRank, news: &MemberNews) {
@@ -323,7 +339,7 @@
         reachable: true,
     };
     state.members.insert(host.clone(), entry);
-    state.detector.rumors.add(host.clone());
+    state.detector.gossip_queue.add(host.clone());
     admit(state, host);
     if told.state == MemberState::Suspect {
         suspect(state, host);
@@ -353,20 +369,24 @@
             entry.domain = domain;
         }
     });
-    state.detector.rumors.add(host.clone());
+    state.detector.gossip_queue.add(host.clone());
     if moved {
         redial(state, host);
     }
     match told.state {
         MemberState::Suspect => {
             suspect(state, host);
-            state.detector.watch(host).confirmers.insert(from.clone());
+            state
+                .detector
+                .peer_health_mut(host)
+                .confirmers
+                .insert(from.clone());
         }
         MemberState::Dead => note_dead(state, host),
         MemberState::Alive | MemberState::Leaving => {
-            let heard_at = state.detector.watch(host).heard_at;
+            let last_contact_at = state.detector.peer_health_mut(host).last_contact_at;
             clear_suspicion(state, host);
-            state.detector.watch(host).heard_at = heard_at;
+            state.detector.peer_health_mut(host).last_contact_at = last_contact_at;
         }
     }
 }
@@ -383,8 +403,8 @@
     state
         .members
         .change(&host, |entry| entry.refutation = told.refutation + 1);
-    state.detector.strain();
-    state.detector.rumors.add(host);
+    state.detector.raise_health_score();
+    state.detector.gossip_queue.add(host);
 }
 
 fn tick(state: &mut CoreState) {
@@ -409,10 +429,10 @@
 fn forgive_pause(state: &mut CoreState) {
     let now = state.now;
     state.detector.round = None;
-    state.detector.strain();
+    state.detector.raise_health_score();
     let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
     for host in pending {
-        let watch = state.detector.watch(&host);
+        let watch = state.detector.peer_health_mut(&host);
         watch.suspect_since = watch.suspect_since.map(|_| now);
         watch.lost_at = watch.lost_at.map(|_| now);
     }
@@ -423,9 +443,9 @@
     let Some(own) = state.members.get(&host).map(|row| row.state) else {
         return;
     };
-    if own != state.detector.told_state {
-        state.detector.told_state = own;
-        state.detector.rumors.add(host);
+    if own != state.detector.announced_state {
+        state.detector.announced_state = own;
+        state.detector.gossip_queue.add(host);
         probing::push(state);
     }
 }
@@ -433,8 +453,8 @@
 fn check_limits(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     let config = &state.config.membership;
-    let patience = state.detector.patience();
-    let Some(watch) = state.detector.watches.get(host) else {
+    let timeout_multiplier = state.detector.timeout_multiplier();
+    let Some(watch) = state.detector.peer_health.get(host) else {
         state.detector.pending.remove(host);
         return;
     };
@@ -442,22 +462,22 @@
     let limit = if confirmed {
         TimeSpan::from_millis(config.confirmed_ms)
     } else {
-        TimeSpan::from_millis(config.suspicion_ms * patience)
+        TimeSpan::from_millis(config.suspicion_ms * timeout_multiplier)
     };
     let (suspect_since, lost_at) = (watch.suspect_since, watch.lost_at);
     if suspect_since.is_some_and(|since| now.since(since) >= limit) {
         state
             .members
             .change(host, |entry| entry.state = MemberState::Dead);
-        state.detector.rumors.add(host.clone());
+        state.detector.gossip_queue.add(host.clone());
         note_dead(state, host);
     }
     let limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
     if lost_at.is_some_and(|since| now.since(since) >= limit) {
         state.members.change(host, |entry| entry.reachable = false);
-        state.detector.watch(host).lost_at = None;
+        state.detector.peer_health_mut(host).lost_at = None;
     }
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     if watch.suspect_since.is_none() && watch.lost_at.is_none() {
         state.detector.pending.remove(host);
     }
@@ -465,7 +485,7 @@
 
 fn note_dead(state: &mut CoreState, host: &HostName) {
     let now = state.now;
-    let watch = state.detector.watch(host);
+    let watch = state.detector.peer_health_mut(host);
     watch.suspect_since = None;
     watch.confirmers.clear();
     watch.dead_since = Some(now);
@@ -482,7 +502,7 @@
         .filter(|host| !detector.listed.contains(*host))
         .filter(|host| {
             let since = detector
-                .watches
+                .peer_health
                 .get(*host)
                 .and_then(|watch| watch.dead_since);
             since.is_some_and(|since| now.since(since) >= limit)
@@ -491,10 +511,10 @@
         .collect();
     for host in old {
         state.members.remove(&host);
-        state.detector.watches.remove(&host);
+        state.detector.peer_health.remove(&host);
         state.detector.dead.remove(&host);
         state.detector.pending.remove(&host);
-        if state.detector.wanted.remove(&host).is_some() {
+        if state.detector.kept_connections.remove(&host).is_some() {
             state.act(CoreAction::Disconnect { host });
         }
     }
--- a/src/core/systems/ownership/telling.rs
+++ b/src/core/systems/ownership/telling.rs
@@ -29,8 +29,8 @@
         let lowered = member.target < member.held
             && member.sent.is_none_or(|(target, _)| target > member.target);
         let moved = member.sent != Some((member.target, scarce));
-        let busy = member.waiting() > 0 || moved || member.report_seen > member.report_told;
-        let due = now.since(member.told_at) >= refresh && busy;
+        let busy = member.waiting() > 0 || moved || member.report_seen > member.report_ack_sent;
+        let due = now.since(member.last_sent_at) >= refresh && busy;
         if !(member.urgent || lowered && scarce || due) {
             continue;
         }
@@ -58,10 +58,10 @@
     time_of: impl Fn(TeamId) -> i64,
 ) -> SlotAllotment {
     member.allotment_sequence += 1;
-    member.told_at = now;
+    member.last_sent_at = now;
     member.urgent = false;
     member.sent = Some((member.target, scarce));
-    member.report_told = member.report_seen;
+    member.report_ack_sent = member.report_seen;
     let mut allotment = SlotAllotment {
         pool: pool_id.0,
         epoch,
@@ -75,7 +75,7 @@
         ..SlotAllotment::default()
     };
     for (endpoint, claim) in &member.slots {
-        if claim.told_in > member.allotment_acked {
+        if claim.first_sent_in > member.allotment_acked {
             allotment.endpoints.push(endpoint.0);
             allotment.granted.push(claim.granted);
         }
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -16,8 +16,8 @@
 use crate::core::systems::publication;
 use crate::core::tables::detector::PingRound;
 use crate::core::tables::detector::RelayedPing;
+use crate::core::tables::gossip_queue::retransmit_limit;
 use crate::core::tables::members::MemberState;
-use crate::core::tables::rumors::telling_limit;
 use crate::units::HostName;
 use crate::units::PoolId;
 use crate::units::TimeSpan;
@@ -118,8 +118,8 @@
     if is_small(state) {
         return;
     }
-    if state.detector.wanted_version != state.members.version() {
-        state.detector.wanted_version = state.members.version();
+    if state.detector.connections_version != state.members.version() {
+        state.detector.connections_version = state.members.version();
         let pools: Vec<PoolId> = state.entries.keys().copied().collect();
         let owners: Vec<HostName> = pools
             .iter()
@@ -134,7 +134,7 @@
     let now = state.now;
     let idle: Vec<HostName> = state
         .detector
-        .wanted
+        .kept_connections
         .iter()
         .filter(|(_, needed)| now.since(**needed) >= limit)
         .map(|(host, _)| host.clone())
@@ -145,9 +145,9 @@
             .values()
             .any(|pool| pool.owner.as_ref().is_some_and(|owner| owner.host == host));
         if owns {
-            state.detector.wanted.insert(host, now);
+            state.detector.kept_connections.insert(host, now);
         } else {
-            state.detector.wanted.remove(&host);
+            state.detector.kept_connections.remove(&host);
             state.act(CoreAction::Disconnect { host });
         }
     }
@@ -174,23 +174,23 @@
 
 fn check_round(state: &mut CoreState) {
     let now = state.now;
-    let patience = state.detector.patience();
+    let timeout_multiplier = state.detector.timeout_multiplier();
     let Some(round) = &state.detector.round else {
         return;
     };
     let waited = now.since(round.sent_at);
     let target = round.target.clone();
-    let answer_limit = TimeSpan::from_millis(state.config.probing.answer_ms * patience);
-    if !round.helped && waited >= answer_limit {
+    let answer_limit = TimeSpan::from_millis(state.config.probing.answer_ms * timeout_multiplier);
+    if !round.indirect_sent && waited >= answer_limit {
         ask_helpers(state, &target);
         if let Some(round) = &mut state.detector.round {
-            round.helped = true;
+            round.indirect_sent = true;
         }
         return;
     }
-    if waited >= TimeSpan(period(state).0 * patience) {
+    if waited >= TimeSpan(period(state).0 * timeout_multiplier) {
         state.detector.round = None;
-        state.detector.strain();
+        state.detector.raise_health_score();
         membership::suspect(state, &target);
     }
 }
@@ -221,14 +221,14 @@
             target,
             sequence,
             sent_at: state.now,
-            helped: false,
+            indirect_sent: false,
         });
     }
 }
 
 fn next_target(state: &mut CoreState) -> Option<HostName> {
     loop {
-        if let Some(host) = state.detector.turn.pop() {
+        if let Some(host) = state.detector.ping_order.pop() {
             let known = state.members.get(&host);
             // In a small fleet the dead are dialed all the time anyway.
             let skip = is_small(state) && known.is_some_and(|row| row.state == MemberState::Dead);
@@ -239,17 +239,17 @@
         }
         let own = state.identity.host.clone();
         let small = is_small(state);
-        let mut turn: Vec<HostName> = state
+        let mut ping_order: Vec<HostName> = state
             .members
             .iter()
             .filter(|(host, row)| **host != own && !(small && row.state == MemberState::Dead))
             .map(|(host, _)| host.clone())
             .collect();
-        if turn.is_empty() {
+        if ping_order.is_empty() {
             return None;
         }
-        turn.shuffle(&mut state.random);
-        state.detector.turn = turn;
+        ping_order.shuffle(&mut state.random);
+        state.detector.ping_order = ping_order;
     }
 }
 
@@ -294,7 +294,7 @@
         .is_some_and(|round| round.sequence == sequence)
     {
         state.detector.round = None;
-        state.detector.relax();
+        state.detector.lower_health_score();
     }
 }
 
@@ -332,8 +332,8 @@
 /// A ping for `host` with news; news that it is suspect or dead comes first.
 fn loaded(state: &mut CoreState, host: &HostName) -> GossipPing {
     let most = state.config.probing.news;
-    let limit = telling_limit(state.members.len(), state.config.probing.spread);
-    let mut names = state.detector.rumors.take(most, limit);
+    let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
+    let mut names = state.detector.gossip_queue.take(most, limit);
     let bad = state
         .members
         .get(host)
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -60,7 +60,7 @@
     if state.catalog.revision == ConfigRevision(0) {
         return ConfigKnowledge::Nothing;
     }
-    if sync.best_source(state.catalog.revision).is_some() {
+    if sync.newest_peer_revision(state.catalog.revision).is_some() {
         return ConfigKnowledge::Behind;
     }
     let certain = sync
@@ -112,7 +112,7 @@
     let watches = readers.contains(&state.identity.host);
     if state.publication_sync.watching != Some(watches) {
         state.publication_sync.watching = Some(watches);
-        state.act(CoreAction::WatchPlatform(watches));
+        state.act(CoreAction::WatchSource(watches));
     }
 }
 
@@ -136,7 +136,7 @@
     state.publication_text = text.clone();
     for pool in state.catalog.pools.keys() {
         state.entries.entry(*pool).or_default();
-        state.woken.insert(*pool);
+        state.touched_pools.insert(*pool);
     }
     probing::push(state);
     fetch_if_behind(state);
@@ -156,7 +156,7 @@
 }
 
 fn peer_closed(state: &mut CoreState, host: &HostName) {
-    state.publication_sync.told.remove(host);
+    state.publication_sync.peer_revisions.remove(host);
     let fetch = &state.publication_sync.fetch;
     if fetch.as_ref().is_some_and(|fetch| fetch.host == *host) {
         state.publication_sync.fetch = None;
@@ -166,7 +166,10 @@
 
 fn take_ping(state: &mut CoreState, from: &HostName, ping: &GossipPing) {
     let revision = ConfigRevision(ping.revision);
-    state.publication_sync.told.insert(from.clone(), revision);
+    state
+        .publication_sync
+        .peer_revisions
+        .insert(from.clone(), revision);
     if let Some(age) = ping.service_age.checked_sub(1) {
         let age = TimeSpan::from_millis(age.min(u64::from(u32::MAX)));
         let seen = Moment(state.now.0.saturating_sub(age.0));
@@ -183,13 +186,13 @@
         return;
     }
     let current = state.catalog.revision;
-    let Some((host, revision)) = state.publication_sync.best_source(current) else {
+    let Some((host, revision)) = state.publication_sync.newest_peer_revision(current) else {
         return;
     };
     state.publication_sync.fetch = Some(PublicationFetch {
         host: host.clone(),
         revision,
-        asked_at: state.now,
+        requested_at: state.now,
     });
     let request = PublicationRequest {
         revision: current.0,
@@ -203,12 +206,12 @@
     let Some(fetch) = &state.publication_sync.fetch else {
         return;
     };
-    if state.now.since(fetch.asked_at) < limit {
+    if state.now.since(fetch.requested_at) < limit {
         return;
     }
     let host = fetch.host.clone();
     state.publication_sync.fetch = None;
-    state.publication_sync.told.remove(&host);
+    state.publication_sync.peer_revisions.remove(&host);
     fetch_if_behind(state);
 }
 
@@ -238,10 +241,10 @@
     let wanted = revision > state.catalog.revision && !sync.refused.contains(&revision);
     if !wanted || offer.text.is_empty() {
         sync.fetch = None;
-        sync.told.remove(from);
+        sync.peer_revisions.remove(from);
         return;
     }
-    sync.told.insert(from.clone(), revision);
+    sync.peer_revisions.insert(from.clone(), revision);
     state.act(CoreAction::AdoptText {
         revision,
         text: offer.text.clone(),
@@ -260,10 +263,10 @@
     let late = sync
         .started
         .is_some_and(|started| state.now.since(started) >= limit);
-    let behind = sync.best_source(state.catalog.revision).is_some();
+    let behind = sync.newest_peer_revision(state.catalog.revision).is_some();
     let asked_all = sync.listed
         && state.members.iter().all(|(host, row)| {
-            let silent = *host != state.identity.host && !sync.told.contains_key(host);
+            let silent = *host != state.identity.host && !sync.peer_revisions.contains_key(host);
             !(silent && (row.connected || row.incarnation.is_none()))
         });
     state.publication_sync.ready = late || (asked_all && !behind);
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -22,7 +22,7 @@
 use crate::core::systems::admission;
 use crate::core::systems::attempts;
 use crate::core::systems::limits;
-use crate::core::tables::crashes::CrashProof;
+use crate::core::tables::crashes::CrashEvidence;
 use crate::core::tables::endpoints::LoadWatcher;
 use crate::core::tables::requests::RequestStage;
 use crate::core::tables::requests::RunningAttempt;
@@ -95,7 +95,7 @@
 
 fn cleared(state: &mut CoreState, fingerprint: RequestFingerprint) {
     if state.crashes.clear(fingerprint) {
-        state.crashes.untold_innocents.insert(fingerprint);
+        state.crashes.unannounced_clearances.insert(fingerprint);
     }
 }
 
@@ -108,7 +108,7 @@
         suspect(state, number, &[fingerprint].into());
     } else {
         state.crashes.note_loss(endpoint, fingerprint, now);
-        state.crashes.untold_losses.insert(fingerprint);
+        state.crashes.unannounced_losses.insert(fingerprint);
         set_apart(state, &[fingerprint].into());
         limits::watch_load(state, endpoint, LoadWatcher::CrashCheck, true);
     }
@@ -119,7 +119,7 @@
     let life = life_of(state, endpoint);
     let known = state.crashes.find_record(endpoint, life, now, window);
     if known.is_some() || state.crashes.has_losses(endpoint) {
-        crashed(state, endpoint, life, CrashProof::Seen);
+        crashed(state, endpoint, life, CrashEvidence::Confirmed);
     }
 }
 
@@ -141,9 +141,9 @@
     let before = life_of(state, endpoint);
     limits::watch_load(state, endpoint, LoadWatcher::FirstLife, false);
     if before == 0 && state.crashes.has_losses(endpoint) {
-        crashed(state, endpoint, 0, CrashProof::Lacking);
+        crashed(state, endpoint, 0, CrashEvidence::Unconfirmed);
     } else if before != 0 && before != life {
-        crashed(state, endpoint, before, CrashProof::Seen);
+        crashed(state, endpoint, before, CrashEvidence::Confirmed);
     } else if before == life {
         // The endpoint lives on, so the link was at fault. A report that was under way when the
         // endpoint crashed would say the same; hence the grace.
@@ -155,22 +155,27 @@
 }
 
 /// An endpoint's life has ended, or may have: all that was lost there lately is suspect.
-fn crashed(state: &mut CoreState, endpoint: EndpointId, life: u64, proof: CrashProof) {
-    let number = open_record(state, endpoint, life, proof);
+fn crashed(state: &mut CoreState, endpoint: EndpointId, life: u64, evidence: CrashEvidence) {
+    let number = open_record(state, endpoint, life, evidence);
     suspect_losses(state, endpoint, number);
 }
 
-fn open_record(state: &mut CoreState, endpoint: EndpointId, life: u64, proof: CrashProof) -> u64 {
+fn open_record(
+    state: &mut CoreState,
+    endpoint: EndpointId,
+    life: u64,
+    evidence: CrashEvidence,
+) -> u64 {
     let (now, window) = (state.now, evidence_window(state));
     let known = state.crashes.find_record(endpoint, life, now, window);
-    let number = known.unwrap_or_else(|| state.crashes.add_record(endpoint, life, proof, now));
+    let number = known.unwrap_or_else(|| state.crashes.add_record(endpoint, life, evidence, now));
     if let Some(record) = state.crashes.record_mut(number) {
         record.seen_at = now;
         record.life = record.life.max(life);
     }
-    if proof == CrashProof::Seen {
+    if evidence == CrashEvidence::Confirmed {
         let config = &state.config.quarantine;
-        for fingerprint in state.crashes.prove(number, now, config) {
+        for fingerprint in state.crashes.confirm(number, now, config) {
             refuse_everywhere(state, fingerprint);
         }
     }
@@ -187,7 +192,7 @@
 fn suspect(state: &mut CoreState, number: u64, fingerprints: &BTreeSet<RequestFingerprint>) {
     if let Some(record) = state.crashes.record_mut(number) {
         let news = fingerprints.difference(&record.suspects);
-        record.untold.extend(news.copied());
+        record.unannounced.extend(news.copied());
     }
     add_suspects(state, number, fingerprints);
 }
@@ -204,7 +209,7 @@
 }
 
 fn refuse_everywhere(state: &mut CoreState, fingerprint: RequestFingerprint) {
-    state.crashes.untold_refusals.insert(fingerprint);
+    state.crashes.unannounced_refusals.insert(fingerprint);
     refuse_waiting(state, fingerprint);
 }
 
@@ -272,7 +277,7 @@
         .requests
         .get(request)
         .map(|entry| entry.facts.fingerprint)
-        .is_some_and(|print| state.crashes.is_suspect(print) || is_in_doubt(state, print));
+        .is_some_and(|print| state.crashes.is_suspect(print) || has_unexplained_loss(state, print));
     if suspect {
         state.trials.isolated.insert(request, state.now);
     }
@@ -281,13 +286,13 @@
 
 /// True while a lost copy of the request may turn out to have crashed its endpoint: another
 /// copy started now could crash the next one.
-fn is_in_doubt(state: &CoreState, fingerprint: RequestFingerprint) -> bool {
+fn has_unexplained_loss(state: &CoreState, fingerprint: RequestFingerprint) -> bool {
     let oldest = Moment(state.now.0.saturating_sub(check_window(state).0));
-    state.crashes.is_in_doubt(fingerprint, oldest)
+    state.crashes.has_unexplained_loss(fingerprint, oldest)
 }
 
 fn forget_old(state: &mut CoreState) {
-    let before = state.crashes.lossy_endpoints();
+    let before = state.crashes.endpoints_with_losses();
     let now = state.now;
     state.crashes.shrink(now, &state.config.quarantine);
     let span = check_window(state);
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::core::state::CoreState;
-use crate::core::tables::crashes::CrashProof;
+use crate::core::tables::crashes::CrashEvidence;
 use crate::units::EndpointId;
 use crate::units::HostName;
 use crate::units::RequestFingerprint;
@@ -22,9 +22,9 @@
 pub fn tell_peers(state: &mut CoreState) {
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
-        refused: numbers(std::mem::take(&mut state.crashes.untold_refusals)),
-        innocent: numbers(std::mem::take(&mut state.crashes.untold_innocents)),
-        lost: take_some(&mut state.crashes.untold_losses),
+        refused: numbers(std::mem::take(&mut state.crashes.unannounced_refusals)),
+        innocent: numbers(std::mem::take(&mut state.crashes.unannounced_clearances)),
+        lost: take_some(&mut state.crashes.unannounced_losses),
         ..QuarantineNotice::default()
     };
     if others != QuarantineNotice::default() {
@@ -41,12 +41,12 @@
     state
         .crashes
         .records_mut()
-        .filter(|record| !record.untold.is_empty())
+        .filter(|record| !record.unannounced.is_empty())
         .map(|record| QuarantineNotice {
             endpoint: record.endpoint.0,
             crash: record.life,
-            unproven: record.proof == CrashProof::Lacking,
-            fingerprints: numbers(std::mem::take(&mut record.untold)),
+            unproven: record.evidence == CrashEvidence::Unconfirmed,
+            fingerprints: numbers(std::mem::take(&mut record.unannounced)),
             ..QuarantineNotice::default()
         })
         .collect()
@@ -108,12 +108,12 @@
         return;
     }
     let endpoint = EndpointId(notice.endpoint);
-    let proof = if notice.unproven {
-        CrashProof::Lacking
+    let evidence = if notice.unproven {
+        CrashEvidence::Unconfirmed
     } else {
-        CrashProof::Seen
+        CrashEvidence::Confirmed
     };
-    let number = super::open_record(state, endpoint, notice.crash, proof);
+    let number = super::open_record(state, endpoint, notice.crash, evidence);
     super::add_suspects(state, number, suspects);
     super::suspect_losses(state, endpoint, number);
 }
@@ -121,7 +121,7 @@
 /// Copies of a request that another router lost are held until it is known why.
 fn take_losses(state: &mut CoreState, lost: &BTreeSet<RequestFingerprint>) {
     for fingerprint in lost {
-        state.crashes.note_told_loss(*fingerprint, state.now);
+        state.crashes.record_remote_loss(*fingerprint, state.now);
     }
     super::set_apart(state, lost);
 }
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -8,8 +8,8 @@
 use crate::core::systems::dispatch;
 use crate::core::tables::entry_pool::NextRequest;
 use crate::core::tables::requests::RequestStage;
+use crate::core::tables::trials::LeaseState;
 use crate::core::tables::trials::RunningTrial;
-use crate::core::tables::trials::TrialStanding;
 use crate::units::EndpointId;
 use crate::units::HostName;
 use crate::units::PoolId;
@@ -76,17 +76,17 @@
     }
     let endpoint = place_for(state, pool_id, fingerprint)?;
     let is_known = knows_life(state, request, endpoint);
-    if !is_known || super::is_in_doubt(state, fingerprint) {
+    if !is_known || super::has_unexplained_loss(state, fingerprint) {
         return None;
     }
     if state.trials.is_taken(endpoint) || state.trials.runs(fingerprint) {
         return None;
     }
     let span = super::check_window(state);
-    match state.trials.standing(fingerprint, state.now, span) {
-        TrialStanding::Waits => None,
-        TrialStanding::Asks => Some(fingerprint),
-        TrialStanding::Lent => {
+    match state.trials.lease_state(fingerprint, state.now, span) {
+        LeaseState::Requested => None,
+        LeaseState::MustRequest => Some(fingerprint),
+        LeaseState::Granted => {
             state.trials.isolated.remove(&request);
             let trial = RunningTrial {
                 request,
@@ -94,7 +94,7 @@
             };
             state.trials.start(endpoint, trial);
             dispatch::start(state, pool_id, NextRequest { request, team }, endpoint);
-            state.woken.insert(pool_id);
+            state.touched_pools.insert(pool_id);
             None
         }
     }
@@ -166,12 +166,12 @@
     }
     let mut answer = QuarantineNotice::default();
     for fingerprint in notice.wanted.iter().copied().map(RequestFingerprint) {
-        let is_held = super::is_in_doubt(state, fingerprint)
+        let is_held = super::has_unexplained_loss(state, fingerprint)
             || state
                 .crashes
                 .refused_until(fingerprint, state.now)
                 .is_some();
-        if !is_held && state.trials.lend(fingerprint, from, state.now, span) {
+        if !is_held && state.trials.grant_lease(fingerprint, from, state.now, span) {
             answer.lent.push(fingerprint.0);
         } else {
             answer.withheld.push(fingerprint.0);
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -25,9 +25,9 @@
     if matches!(event, CoreEvent::Tick) {
         refill(state);
         let pools: Vec<PoolId> = state.entries.keys().copied().collect();
-        state.woken.extend(pools);
+        state.touched_pools.extend(pools);
     }
-    for pool in std::mem::take(&mut state.woken) {
+    for pool in std::mem::take(&mut state.touched_pools) {
         follow_owner(state, pool);
         report_if_due(state, pool);
     }
@@ -86,9 +86,9 @@
     pool.allotment_seen = 0;
     pool.report_acked = 0;
     for usage in pool.teams.values_mut() {
-        usage.told = 0;
+        usage.owner_time = 0;
         usage.quota = None;
-        usage.told_charged = usage.charged;
+        usage.owner_charged = usage.charged;
         usage.sent_charges.clear();
     }
     pool.urgent = true;
@@ -101,7 +101,7 @@
     let Some(pool) = state.entries.get_mut(&pool_id) else {
         return;
     };
-    let wants = pool.wants && pool.waiting > 0 && pool.open.is_empty();
+    let wants = pool.has_new_demand && pool.waiting > 0 && pool.open.is_empty();
     let urgent = (pool.urgent || wants) && state.report_budget.is_open();
     let passed = now.since(pool.reported_at);
     let due = match (urgent, pool.changed) {
@@ -129,7 +129,7 @@
     pool.report_sequence += 1;
     pool.reported_at = now;
     pool.urgent = false;
-    pool.wants = false;
+    pool.has_new_demand = false;
     pool.changed = false;
     let mut report = DemandReport {
         pool: pool_id.0,
@@ -158,7 +158,7 @@
 fn add_teams(pool: &mut EntryPool, report: &mut DemandReport) {
     let (sequence, acked) = (pool.report_sequence, pool.report_acked);
     for (team, usage) in &mut pool.teams {
-        if usage.told_in <= acked && acked > 0 {
+        if usage.first_sent_in <= acked && acked > 0 {
             continue;
         }
         let charged = usage.charged / CHARGE_STEP;
@@ -176,7 +176,7 @@
 fn add_slots(pool: &EntryPool, report: &mut DemandReport) {
     let acked = pool.report_acked;
     for (endpoint, hold) in &pool.slots {
-        if hold.told_in <= acked && acked > 0 {
+        if hold.first_sent_in <= acked && acked > 0 {
             continue;
         }
         report.endpoints.push(endpoint.0);
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -1,4 +1,4 @@
-//! What this router has seen of others' life: contacts, suspicions, the ping under way.
+//! Failure detection state: last contacts, suspicions and the ping in progress.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,81 +7,82 @@
 use crate::units::Moment;
 use crate::units::RouterIncarnation;
 
+use super::gossip_queue::GossipQueue;
 use super::members::MemberState;
-use super::rumors::RumorQueue;
 
-/// What was seen of one router.
+/// Failure detection state of one router.
 #[derive(Debug, Default)]
-pub struct PeerWatch {
-    /// Last direct sign of life.
-    pub heard_at: Option<Moment>,
-    /// Since when it is suspected.
+pub struct PeerHealth {
+    /// When this router last received a message or handshake from it directly.
+    pub last_contact_at: Option<Moment>,
+    /// When the current suspicion began.
     pub suspect_since: Option<Moment>,
-    /// Who else suspects it.
+    /// Other routers that reported the same suspicion.
     pub confirmers: BTreeSet<HostName>,
-    /// Since when it can't be reached from here.
+    /// Since when this router lacks a connection to it that it wants to keep; cleared once the
+    /// member is marked as not reachable.
     pub lost_at: Option<Moment>,
-    /// Since when it is dead.
+    /// When it was declared dead.
     pub dead_since: Option<Moment>,
 }
 
-/// The ping under way.
+/// A ping that awaits its answer.
 #[derive(Debug)]
 pub struct PingRound {
-    /// The router that must answer.
+    /// The router that was pinged.
     pub target: HostName,
-    /// Ties the answer to it.
+    /// Sequence number that matches the answer to the ping.
     pub sequence: u32,
-    /// When it was sent.
+    /// When the ping was sent.
     pub sent_at: Moment,
-    /// True once others were asked to ping the target too.
-    pub helped: bool,
+    /// True once other routers were asked to ping the target too.
+    pub indirect_sent: bool,
 }
 
-/// A ping on behalf of another router.
+/// An indirect ping, sent on behalf of another router.
 #[derive(Debug)]
 pub struct RelayedPing {
-    /// Who asked.
+    /// The router that asked for it.
     pub asker: HostName,
-    /// The asker's sequence.
+    /// The asker's sequence number, to be used in the reply.
     pub sequence: u32,
-    /// When it is forgotten.
+    /// When it is discarded.
     pub expires: Moment,
 }
 
-/// Contacts, suspicions and pings.
+/// State of the failure detector and of the connections to other routers.
 #[derive(Debug)]
 pub struct DetectorTable {
-    /// One row a router.
-    pub watches: BTreeMap<HostName, PeerWatch>,
-    /// Routers whose suspicion or loss runs towards a limit.
+    /// Failure detection state per router.
+    pub peer_health: BTreeMap<HostName, PeerHealth>,
+    /// Routers with a running suspicion or reachability timeout.
     pub pending: BTreeSet<HostName>,
     /// Dead routers.
     pub dead: BTreeSet<HostName>,
-    /// Connections that this router keeps, and when each was last needed.
-    pub wanted: BTreeMap<HostName, Moment>,
-    /// Routers that connected before any news named their address.
-    pub strangers: BTreeMap<HostName, RouterIncarnation>,
-    /// Routers still to be pinged in this turn, in random order.
-    pub turn: Vec<HostName>,
-    /// The ping under way.
+    /// Routers to which this one keeps a connection open, and when each was last needed.
+    pub kept_connections: BTreeMap<HostName, Moment>,
+    /// Routers that connected before their address was known from the host list or gossip.
+    pub unknown_peers: BTreeMap<HostName, RouterIncarnation>,
+    /// Routers still to be pinged in the current pass over all routers, in random order.
+    pub ping_order: Vec<HostName>,
+    /// The ping that awaits its answer.
     pub round: Option<PingRound>,
     /// When the next ping is due.
     pub next_ping: Moment,
-    /// Sequence of the last ping.
+    /// Sequence number of the last ping.
     pub sequence: u32,
-    /// Pings on behalf of others, by this router's sequence.
+    /// Pings on behalf of other routers, by this router's sequence number.
     pub relays: BTreeMap<u32, RelayedPing>,
-    /// News of members.
-    pub rumors: RumorQueue<HostName>,
-    /// Lifeguard's local health: 0 if this router's own pings are answered in time.
-    pub strain: u32,
-    /// When the last tick came.
+    /// Membership updates to gossip.
+    pub gossip_queue: GossipQueue<HostName>,
+    /// Local health score as in Lifeguard: 0 while this router's own pings are answered in time.
+    pub health_score: u32,
+    /// Time of the last tick.
     pub last_tick: Moment,
-    /// What this router last told of itself.
-    pub told_state: MemberState,
-    /// Member version that connections were last chosen for.
-    pub wanted_version: u64,
+    /// The state of this router that it last announced.
+    pub announced_state: MemberState,
+    /// Version of the member table for which `kept_connections` was last updated.
+    pub connections_version: u64,
     /// Routers on the last host list.
     pub listed: BTreeSet<HostName>,
 }
@@ -89,54 +90,54 @@
 impl Default for DetectorTable {
     fn default() -> Self {
         Self {
-            watches: BTreeMap::new(),
+            peer_health: BTreeMap::new(),
             pending: BTreeSet::new(),
             dead: BTreeSet::new(),
-            wanted: BTreeMap::new(),
-            strangers: BTreeMap::new(),
-            turn: Vec::new(),
+            kept_connections: BTreeMap::new(),
+            unknown_peers: BTreeMap::new(),
+            ping_order: Vec::new(),
             round: None,
             next_ping: Moment(0),
             sequence: 0,
             relays: BTreeMap::new(),
-            rumors: RumorQueue::default(),
-            strain: 0,
+            gossip_queue: GossipQueue::default(),
+            health_score: 0,
             last_tick: Moment(0),
-            told_state: MemberState::Alive,
-            wanted_version: 0,
+            announced_state: MemberState::Alive,
+            connections_version: 0,
             listed: BTreeSet::new(),
         }
     }
 }
 
-/// Most that Lifeguard's local health stretches time limits by.
-const STRAIN_MOST: u32 = 4;
+/// Highest local health score. Timeouts are multiplied by the score plus one.
+const MAX_HEALTH_SCORE: u32 = 4;
 
 impl DetectorTable {
-    /// The row of a router, made if new.
-    pub fn watch(&mut self, host: &HostName) -> &mut PeerWatch {
-        self.watches.entry(host.clone()).or_default()
+    /// The row of a router, created if missing.
+    pub fn peer_health_mut(&mut self, host: &HostName) -> &mut PeerHealth {
+        self.peer_health.entry(host.clone()).or_default()
     }
 
-    /// A number for a new ping.
+    /// Returns a sequence number for a new ping.
     pub fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
     }
 
-    /// A sign that this router itself is slow or cut off.
-    pub fn strain(&mut self) {
-        self.strain = (self.strain + 1).min(STRAIN_MOST);
+    /// Raises the health score after an indication that this router itself is slow or isolated.
+    pub fn raise_health_score(&mut self) {
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// A sign that this router is well.
-    pub fn relax(&mut self) {
-        self.strain = self.strain.saturating_sub(1);
+    /// Lowers the health score after a ping was answered in time.
+    pub fn lower_health_score(&mut self) {
+        self.health_score = self.health_score.saturating_sub(1);
     }
 
-    /// Time limits are multiplied by this.
+    /// The factor by which timeouts are multiplied.
     #[must_use]
-    pub fn patience(&self) -> u64 {
-        u64::from(self.strain) + 1
+    pub fn timeout_multiplier(&self) -> u64 {
+        u64::from(self.health_score) + 1
     }
 }
--- a/src/core/tables/team_shelf.rs
+++ b/src/core/tables/team_eviction.rs
@@ -1,14 +1,14 @@
-//! Things kept for teams within a common bound. The team that keeps the most gives way first,
-//! so that a flood pushes out its own things only.
+//! Eviction order for items that all teams store within a common bound. Items of the team that
+//! uses the most are evicted first, so that a flood by one team evicts only its own items.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 use crate::units::TeamId;
 
-/// Numbered things with a weight each, per team.
+/// Numbered items per team, each with a weight.
 #[derive(Debug, Default)]
-pub struct TeamShelf {
+pub struct TeamEvictionIndex {
     items: BTreeMap<TeamId, BTreeMap<u64, u64>>,
     totals: BTreeMap<TeamId, u64>,
     heaviest: BTreeSet<(u64, TeamId)>,
@@ -16,8 +16,8 @@
     count: usize,
 }
 
-impl TeamShelf {
-    /// Adds a thing, or changes its weight.
+impl TeamEvictionIndex {
+    /// Adds an item, or changes its weight.
     pub fn put(&mut self, team: TeamId, number: u64, weight: u64) {
         self.take(team, number);
         self.items.entry(team).or_default().insert(number, weight);
@@ -25,7 +25,7 @@
         self.count += 1;
     }
 
-    /// Takes a thing out; true if it was there.
+    /// Removes an item; returns true if it was present.
     pub fn take(&mut self, team: TeamId, number: u64) -> bool {
         let Some(items) = self.items.get_mut(&team) else {
             return false;
@@ -41,21 +41,21 @@
         true
     }
 
-    /// The oldest thing (least number) of the team of the greatest weight.
+    /// The item to evict next: the oldest (lowest number) of the team with the greatest weight.
     #[must_use]
-    pub fn first_to_go(&self) -> Option<(TeamId, u64)> {
+    pub fn eviction_candidate(&self) -> Option<(TeamId, u64)> {
         let (_, team) = self.heaviest.last()?;
         let (number, _) = self.items.get(team)?.first_key_value()?;
         Some((*team, *number))
     }
 
-    /// Weight of all things.
+    /// Total weight of all items.
     #[must_use]
     pub fn weight(&self) -> u64 {
         self.weight
     }
 
-    /// Number of all things.
+    /// Number of items.
     #[must_use]
     pub fn count(&self) -> usize {
         self.count
@@ -89,15 +89,15 @@
     use super::*;
 
     #[test]
-    fn the_team_that_keeps_most_gives_way_first() {
-        let mut shelf = TeamShelf::default();
-        shelf.put(TeamId(1), 1, 10);
-        shelf.put(TeamId(2), 2, 6);
-        shelf.put(TeamId(2), 3, 6);
-        assert_eq!(shelf.first_to_go(), Some((TeamId(2), 2)));
-        assert!(shelf.take(TeamId(2), 2));
-        assert!(!shelf.take(TeamId(2), 2));
-        assert_eq!(shelf.first_to_go(), Some((TeamId(1), 1)));
-        assert_eq!((shelf.weight(), shelf.count()), (16, 2));
+    fn the_team_with_the_greatest_weight_is_evicted_first() {
+        let mut index = TeamEvictionIndex::default();
+        index.put(TeamId(1), 1, 10);
+        index.put(TeamId(2), 2, 6);
+        index.put(TeamId(2), 3, 6);
+        assert_eq!(index.eviction_candidate(), Some((TeamId(2), 2)));
+        assert!(index.take(TeamId(2), 2));
+        assert!(!index.take(TeamId(2), 2));
+        assert_eq!(index.eviction_candidate(), Some((TeamId(1), 1)));
+        assert_eq!((index.weight(), index.count()), (16, 2));
     }
 }
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -1,9 +1,9 @@
-//! Runs of suspects apart from the common order, of which the fleet makes one at a time for each
-//! request.
+//! Isolated runs of suspects, outside the teams' queues. The fleet runs at most one copy of a
+//! request at a time, which is enforced by leases.
 //!
-//! One router, the home of a request's fingerprint, lends the right to run a copy to one router
-//! after the other. A lease that isn't renewed ends by itself, so a holder that dies keeps nobody
-//! waiting for long; a home that is silent keeps nobody waiting longer than that either.
+//! One router, the home of a request's fingerprint, grants the lease to one router at a time. A
+//! lease that isn't renewed expires, so a holder that dies blocks the others only for that long. A
+//! home that doesn't answer blocks them no longer than that either.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,75 +15,76 @@
 use crate::units::RequestId;
 use crate::units::TimeSpan;
 
-/// A lease is asked for, and renewed, so many times in its span: one lost message does not end it.
-const ASKS_PER_LEASE: u64 = 3;
+/// How often a lease is requested or renewed within its duration, so that one lost message does not
+/// end it.
+const REQUESTS_PER_LEASE: u64 = 3;
 
-/// Whether a copy may run here now.
+/// Whether this router may run a copy of a request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TrialStanding {
-    /// This router holds the lease, or its home is silent.
-    Lent,
-    /// The home has to be asked.
-    Asks,
-    /// The home was asked a moment ago.
-    Waits,
+pub enum LeaseState {
+    /// Yes: this router holds the lease, or the home does not answer.
+    Granted,
+    /// Not yet: a request for the lease must be sent to the home.
+    MustRequest,
+    /// Not yet: the lease was requested a short time ago.
+    Requested,
 }
 
-/// A copy that runs here.
+/// A copy that runs in isolation at this router.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningTrial {
     /// The request.
     pub request: RequestId,
-    /// What its copies are recognised by.
+    /// The fingerprint that all copies of the request share.
     pub fingerprint: RequestFingerprint,
 }
 
 #[derive(Debug)]
-struct GivenLease {
+struct GrantedLease {
     holder: HostName,
     until: Moment,
 }
 
 #[derive(Debug)]
-struct WantedLease {
-    first_asked: Moment,
-    asked_at: Moment,
-    heard_at: Option<Moment>,
+struct RequestedLease {
+    first_requested_at: Moment,
+    requested_at: Moment,
+    answered_at: Option<Moment>,
     until: Option<Moment>,
 }
 
-/// What waits to run apart at this router, what runs so, and leases as their home and as one
-/// who asks.
+/// Suspects that wait or run in isolation at this router, the leases that it grants as a home, and
+/// the leases that it holds or requests.
 #[derive(Debug, Default)]
 pub struct TrialTable {
-    /// Requests that wait for an endpoint of their own, and since when.
+    /// Requests that wait for an isolated run, and since when.
     pub isolated: BTreeMap<RequestId, Moment>,
     running: BTreeMap<EndpointId, RunningTrial>,
     ended: BTreeSet<RequestFingerprint>,
-    given: BTreeMap<RequestFingerprint, GivenLease>,
-    wanted: BTreeMap<RequestFingerprint, WantedLease>,
+    granted: BTreeMap<RequestFingerprint, GrantedLease>,
+    requested: BTreeMap<RequestFingerprint, RequestedLease>,
 }
 
 impl TrialTable {
-    /// Remembers a copy that runs from now on.
+    /// Records a copy that starts to run.
     pub fn start(&mut self, endpoint: EndpointId, trial: RunningTrial) {
         self.running.insert(endpoint, trial);
     }
 
-    /// Copies that run, or were not seen to end yet.
+    /// Copies that run, or whose end has not been recorded yet.
     pub fn running(&self) -> impl Iterator<Item = (EndpointId, RunningTrial)> {
         self.running
             .iter()
             .map(|(endpoint, trial)| (*endpoint, *trial))
     }
 
-    /// True if a copy of some request runs on an endpoint.
+    /// True if a copy of any request runs in isolation on the endpoint.
     #[must_use]
     pub fn is_taken(&self, endpoint: EndpointId) -> bool {
         self.running.contains_key(&endpoint)
     }
 
-    /// True if a copy of this request runs here.
+    /// True if a copy of this request runs in isolation at this router.
     #[must_use]
     pub fn runs(&self, fingerprint: RequestFingerprint) -> bool {
         self.running
@@ -91,115 +92,117 @@
             .any(|trial| trial.fingerprint == fingerprint)
     }
 
-    /// Takes note that the copy on an endpoint ended.
+    /// Records the end of the copy on an endpoint.
     pub fn end(&mut self, endpoint: EndpointId) {
         if let Some(trial) = self.running.remove(&endpoint) {
-            self.wanted.remove(&trial.fingerprint);
+            self.requested.remove(&trial.fingerprint);
             self.ended.insert(trial.fingerprint);
         }
     }
 
-    /// Takes the requests whose copies ended and whose homes were not told of it.
+    /// Takes the requests whose copies ended and whose homes were not notified yet.
     pub fn take_ended(&mut self) -> BTreeSet<RequestFingerprint> {
         std::mem::take(&mut self.ended)
     }
 
-    /// How a request stands to its lease of `span`; one that asks counts as having asked.
-    pub fn standing(
+    /// Whether a copy of a request may run under a lease of duration `span`. If the result is
+    /// `MustRequest`, the lease counts as requested now.
+    pub fn lease_state(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Moment,
         span: TimeSpan,
-    ) -> TrialStanding {
-        let asks = !self.wanted.contains_key(&fingerprint);
-        let lease = self.wanted.entry(fingerprint).or_insert(WantedLease {
-            first_asked: now,
-            asked_at: now,
-            heard_at: None,
+    ) -> LeaseState {
+        let is_new = !self.requested.contains_key(&fingerprint);
+        let lease = self.requested.entry(fingerprint).or_insert(RequestedLease {
+            first_requested_at: now,
+            requested_at: now,
+            answered_at: None,
             until: None,
         });
-        let heard_at = lease.heard_at.unwrap_or(lease.first_asked);
-        let is_silent = now.since(heard_at) >= span;
+        let answered_at = lease.answered_at.unwrap_or(lease.first_requested_at);
+        let is_silent = now.since(answered_at) >= span;
         if is_silent || lease.until.is_some_and(|until| until > now) {
-            return TrialStanding::Lent;
+            return LeaseState::Granted;
         }
-        if asks || lease.is_due(now, span) {
-            lease.asked_at = now;
-            return TrialStanding::Asks;
+        if is_new || lease.is_due(now, span) {
+            lease.requested_at = now;
+            return LeaseState::MustRequest;
         }
-        TrialStanding::Waits
+        LeaseState::Requested
     }
 
-    /// Requests whose copies run here and whose leases have to be renewed now.
+    /// Requests whose copies run here and whose leases must be renewed now; these count as
+    /// renewed.
     pub fn renewals(&mut self, now: Moment, span: TimeSpan) -> Vec<RequestFingerprint> {
         let running: BTreeSet<RequestFingerprint> = self
             .running
             .values()
             .map(|trial| trial.fingerprint)
             .collect();
-        self.wanted
+        self.requested
             .iter_mut()
             .filter(|(fingerprint, lease)| running.contains(fingerprint) && lease.is_due(now, span))
             .map(|(fingerprint, lease)| {
-                lease.asked_at = now;
+                lease.requested_at = now;
                 *fingerprint
             })
             .collect()
     }
 
-    /// Takes in the home's answer. The lease counts from when it was asked for, and so ends here
-    /// no later than at the home.
+    /// Records the home's answer. The lease starts at the time of the request for it, so that it
+    /// expires here no later than at the home.
     pub fn answered(
         &mut self,
         fingerprint: RequestFingerprint,
-        lent: bool,
+        is_granted: bool,
         now: Moment,
         span: TimeSpan,
     ) {
-        if let Some(lease) = self.wanted.get_mut(&fingerprint) {
-            lease.heard_at = Some(now);
-            lease.until = lent.then_some(lease.asked_at + span);
+        if let Some(lease) = self.requested.get_mut(&fingerprint) {
+            lease.answered_at = Some(now);
+            lease.until = is_granted.then_some(lease.requested_at + span);
         }
     }
 
-    /// As the home, lends the right to run a copy; false while another router holds it.
-    pub fn lend(
+    /// As the home, grants or renews a lease; false while another router holds it.
+    pub fn grant_lease(
         &mut self,
         fingerprint: RequestFingerprint,
         holder: &HostName,
         now: Moment,
         span: TimeSpan,
     ) -> bool {
-        let held = self.given.get(&fingerprint);
+        let held = self.granted.get(&fingerprint);
         if held.is_some_and(|lease| lease.holder != *holder && lease.until > now) {
             return false;
         }
-        let lease = GivenLease {
+        let lease = GrantedLease {
             holder: holder.clone(),
             until: now + span,
         };
-        self.given.insert(fingerprint, lease);
+        self.granted.insert(fingerprint, lease);
         true
     }
 
-    /// As the home, takes a lease back.
+    /// As the home, ends the lease of a holder.
     pub fn give_back(&mut self, fingerprint: RequestFingerprint, holder: &HostName) {
-        let held = self.given.get(&fingerprint);
+        let held = self.granted.get(&fingerprint);
         if held.is_some_and(|lease| lease.holder == *holder) {
-            self.given.remove(&fingerprint);
+            self.granted.remove(&fingerprint);
         }
     }
 
-    /// Forgets leases that ended.
+    /// Removes expired leases and requests for leases.
     pub fn shrink(&mut self, now: Moment, span: TimeSpan) {
-        self.given.retain(|_, lease| lease.until > now);
-        self.wanted
-            .retain(|_, lease| now.since(lease.asked_at) <= span);
+        self.granted.retain(|_, lease| lease.until > now);
+        self.requested
+            .retain(|_, lease| now.since(lease.requested_at) <= span);
     }
 }
 
-impl WantedLease {
+impl RequestedLease {
     fn is_due(&self, now: Moment, span: TimeSpan) -> bool {
-        now.since(self.asked_at).0 >= span.0 / ASKS_PER_LEASE
+        now.since(self.requested_at).0 >= span.0 / REQUESTS_PER_LEASE
     }
 }
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -199,12 +199,12 @@
             Step::Part => {
                 self.budget.parts -= 1;
                 self.parted = true;
-                self.fleet.part(0, 1);
+                self.fleet.cut_link(0, 1);
                 self.settle();
             }
             Step::Mend => {
                 self.parted = false;
-                self.fleet.mend(0, 1);
+                self.fleet.restore_link(0, 1);
                 self.settle();
             }
             Step::Wait => {
@@ -226,10 +226,10 @@
         if by_caller {
             self.latest = Some((router, self.next_request));
         }
-        if let (Some(ticket), Some(life)) = (ticket, self.fleet.life(router)) {
+        if let (Some(ticket), Some(life)) = (ticket, self.fleet.incarnation_of(router)) {
             self.tickets.insert((life, self.next_request), ticket);
         }
-        self.fleet.tell(router, CoreEvent::Arrived(facts));
+        self.fleet.handle_event(router, CoreEvent::Arrived(facts));
         self.carry_out();
     }
 
@@ -237,7 +237,7 @@
         self.budget.leaves -= 1;
         if let Some((router, request)) = self.latest.take() {
             let left = CoreEvent::CallerLeft(RequestId(request));
-            self.fleet.tell(router, left);
+            self.fleet.handle_event(router, left);
         }
     }
 
@@ -254,7 +254,7 @@
     }
 
     fn tell_end(&mut self, flight: Flight, outcome: AttemptOutcome) {
-        if self.fleet.life(flight.router) != Some(flight.life) {
+        if self.fleet.incarnation_of(flight.router) != Some(flight.life) {
             return;
         }
         if outcome == AttemptOutcome::Whole {
@@ -262,10 +262,10 @@
                 request: RequestId(flight.request),
                 bytes: Some(ByteSize(100)),
             };
-            self.fleet.tell(flight.router, kept);
+            self.fleet.handle_event(flight.router, kept);
         }
         let end = ended(flight.request, flight.attempt, outcome);
-        self.fleet.tell(flight.router, end);
+        self.fleet.handle_event(flight.router, end);
     }
 
     fn answer(&mut self, place: usize, copies: u32) {
@@ -303,7 +303,7 @@
     }
 
     fn act(&mut self, router: usize, action: &CoreAction) {
-        let Some(life) = self.fleet.life(router) else {
+        let Some(life) = self.fleet.incarnation_of(router) else {
             return;
         };
         match action {
--- a/tests/earlier_lives.rs
+++ b/tests/earlier_lives.rs
@@ -1,4 +1,4 @@
-//! Messages that a router sent to the life of another one that has ended since.
+//! Late messages that were sent to an earlier incarnation of a restarted router.
 
 mod cores;
 
@@ -28,26 +28,27 @@
     &fleet.core(router).state().entries[&pool()]
 }
 
-/// Slots held, allotments seen and reports acknowledged.
+/// Slots held, and the sequence numbers of the last allotment seen and the last report
+/// acknowledged.
 fn counts(fleet: &CoreFleet, router: usize) -> (u32, u64, u64) {
     let pool = entry_pool(fleet, router);
     (pool.held, pool.allotment_seen, pool.report_acked)
 }
 
-/// Guards against slots that nobody uses for good: a router restarts, an allotment that was under way to
-/// its earlier life reaches the new one, whose counts have the same term, and the owner is never told
-/// that those slots came back.
+/// Guards against leaked slots: a router restarts, and an allotment for its earlier incarnation
+/// reaches the new one, whose slot counts have the same term. If the new one accepted it, the owner
+/// would never learn that these slots are free, and no router would use them again.
 #[test]
-fn an_allotment_for_an_earlier_life_of_a_router_is_dropped() {
+fn an_allotment_for_an_earlier_incarnation_of_a_router_is_dropped() {
     let mut fleet = CoreFleet::new(2, catalog(2, SLOTS));
     let (owner, owner_name) = owner_of(&fleet);
     let entry = 1 - owner;
-    let earlier = fleet.life(entry).unwrap();
+    let earlier = fleet.incarnation_of(entry).unwrap();
     fleet.stop(entry);
     fleet.start(entry);
     fleet.advance(100);
     let before = counts(&fleet, entry);
-    let owner_life = fleet.life(owner).unwrap();
+    let owner_life = fleet.incarnation_of(owner).unwrap();
     let late = SlotAllotment {
         pool: pool().0,
         epoch: epoch_of(owner_life),
@@ -65,6 +66,6 @@
         incarnation: owner_life,
         message: PeerMessage::new(PeerBody::Allotment(late)),
     };
-    fleet.tell(entry, arrives);
+    fleet.handle_event(entry, arrives);
     assert_eq!(counts(&fleet, entry), before);
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -22,19 +22,19 @@
 fn list_leaving(fleet: &mut CoreFleet, router: usize, rows: &[(EndpointId, u64)]) {
     let leaving = rows.to_vec();
     let routers = Vec::new();
-    fleet.tell(router, CoreEvent::HostsListed { routers, leaving });
+    fleet.handle_event(router, CoreEvent::HostsListed { routers, leaving });
 }
 
 fn list_live(fleet: &mut CoreFleet, router: usize, rows: &[(EndpointId, u64)]) {
     let live = rows.to_vec();
-    fleet.tell(router, CoreEvent::EndpointsListed { live });
+    fleet.handle_event(router, CoreEvent::EndpointsListed { live });
 }
 
 /// Sends a request to each router and returns the endpoints that were given work.
 fn used(fleet: &mut CoreFleet, first: u64) -> Vec<EndpointId> {
     for router in 0..8 {
         let request = first + router as u64;
-        fleet.tell(router, CoreEvent::Arrived(facts(request)));
+        fleet.handle_event(router, CoreEvent::Arrived(facts(request)));
     }
     fleet.advance(1_000);
     let mut used = Vec::new();
@@ -118,7 +118,7 @@
     let mut fleet = fleet();
     for left in 0..2 {
         for right in 2..8 {
-            fleet.part(left, right);
+            fleet.cut_link(left, right);
         }
     }
     fleet.advance(10_000);
@@ -134,7 +134,7 @@
     assert!((0..2).all(|router| !closed(&fleet, router, 2)));
     for left in 0..2 {
         for right in 2..8 {
-            fleet.mend(left, right);
+            fleet.restore_link(left, right);
         }
     }
     fleet.advance(BOUND_MS);
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -100,7 +100,7 @@
 #[test]
 fn a_single_cut_link_kills_nobody() {
     let mut fleet = fleet();
-    fleet.part(2, 5);
+    fleet.cut_link(2, 5);
     fleet.advance(10_000);
     for viewer in (0..8).filter(|viewer| ![2, 5].contains(viewer)) {
         assert_eq!(live_count(&fleet, viewer), 8);
@@ -108,7 +108,7 @@
     assert_eq!(state_of(&fleet, 2, 5), MemberState::Alive);
     assert!(!fleet.core(2).state().members.is_live(&host(5)));
     assert!(!fleet.core(5).state().members.is_live(&host(2)));
-    fleet.mend(2, 5);
+    fleet.restore_link(2, 5);
     fleet.advance(1_000);
     assert_eq!(live_count(&fleet, 2), 8);
 }
@@ -122,7 +122,7 @@
     for round in 0..2 {
         for left in 0..3 {
             for right in 3..8 {
-                fleet.part(left, right);
+                fleet.cut_link(left, right);
             }
         }
         fleet.advance(60_000);
@@ -132,7 +132,7 @@
         assert_eq!(owners(&fleet, 3..8).len(), 1);
         for left in 0..3 {
             for right in 3..8 {
-                fleet.mend(left, right);
+                fleet.restore_link(left, right);
             }
         }
         fleet.advance(3_000);
@@ -148,7 +148,7 @@
 #[test]
 fn a_restarted_router_is_a_new_member_whatever_is_said_of_its_old_life() {
     let mut fleet = fleet();
-    let old = fleet.life(3).unwrap();
+    let old = fleet.incarnation_of(3).unwrap();
     fleet.stop(3);
     fleet.advance(2_000);
     fleet.start(3);
@@ -165,11 +165,11 @@
         }],
         ..GossipPing::default()
     }));
-    let incarnation = fleet.life(1).unwrap();
+    let incarnation = fleet.incarnation_of(1).unwrap();
     for viewer in [0, 2, 3, 4] {
         let message = late.clone();
         let from = host(1);
-        fleet.tell(
+        fleet.handle_event(
             viewer,
             CoreEvent::Message {
                 from,
@@ -182,7 +182,10 @@
     for viewer in 0..8 {
         assert_eq!(live_count(&fleet, viewer), 8);
         let members = &fleet.core(viewer).state().members;
-        assert_eq!(members.get(&host(3)).unwrap().incarnation, fleet.life(3));
+        assert_eq!(
+            members.get(&host(3)).unwrap().incarnation,
+            fleet.incarnation_of(3)
+        );
     }
 }
 
@@ -191,19 +194,19 @@
 #[test]
 fn a_router_that_slept_does_not_bury_the_others() {
     let mut fleet = fleet();
-    fleet.part(0, 7);
+    fleet.cut_link(0, 7);
     fleet.advance(20);
     let asleep = fleet.cores[0].take().unwrap();
     fleet.advance(30_000);
     fleet.cores[0] = Some(asleep);
     let before = fleet.core(0).state().members.version();
-    fleet.tell(0, CoreEvent::Tick);
+    fleet.handle_event(0, CoreEvent::Tick);
     for subject in 1..8 {
         assert!(state_of(&fleet, 0, subject) < MemberState::Dead);
     }
     assert_eq!(fleet.core(0).state().members.version(), before);
     for peer in 1..8 {
-        fleet.mend(0, peer);
+        fleet.restore_link(0, peer);
     }
     fleet.advance(3_000);
     for viewer in 0..8 {
@@ -229,7 +232,7 @@
     ];
     for viewer in 0..8 {
         let (routers, leaving) = (routers.clone(), Vec::new());
-        fleet.tell(viewer, CoreEvent::HostsListed { routers, leaving });
+        fleet.handle_event(viewer, CoreEvent::HostsListed { routers, leaving });
     }
     fleet.advance(30_000);
     for viewer in 0..8 {
@@ -245,11 +248,11 @@
 #[test]
 fn a_leaving_router_stays_leaving_for_its_whole_life() {
     let mut fleet = fleet();
-    fleet.tell(4, CoreEvent::DrainAsked);
+    fleet.handle_event(4, CoreEvent::DrainAsked);
     fleet.advance(1_000);
-    fleet.part(4, 0);
+    fleet.cut_link(4, 0);
     fleet.advance(10);
-    fleet.mend(4, 0);
+    fleet.restore_link(4, 0);
     fleet.advance(5_000);
     for viewer in (0..8).filter(|viewer| *viewer != 4) {
         assert_eq!(state_of(&fleet, viewer, 4), MemberState::Leaving);
@@ -318,10 +321,10 @@
         let ping = GossipPing { step, sequence, target, news, ..GossipPing::default() };
         let event = CoreEvent::Message {
             from: host(1),
-            incarnation: fleet.life(1).unwrap(),
+            incarnation: fleet.incarnation_of(1).unwrap(),
             message: PeerMessage::new(PeerBody::Gossip(ping)),
         };
-        fleet.tell(0, event);
+        fleet.handle_event(0, event);
         fleet.advance(500);
         let members = &fleet.core(0).state().members;
         prop_assert_eq!(members.is_live(&host(0)), true);
--- a/tests/slot_counters.rs
+++ b/tests/slot_counters.rs
@@ -84,21 +84,21 @@
             })
             .collect();
         let leaving = Vec::new();
-        self.tell(router, CoreEvent::HostsListed { routers, leaving });
+        self.handle_event(router, CoreEvent::HostsListed { routers, leaving });
         for other in (0..ROUTERS).filter(|other| *other != router) {
-            let incarnation = life(other);
+            let incarnation = incarnation_of(other);
             let opened = CoreEvent::PeerOpened {
                 host: host(other),
                 incarnation,
             };
-            self.tell(router, opened);
+            self.handle_event(router, opened);
         }
         let catalog = Arc::new(catalog(1, SLOTS));
         let text = Bytes::new();
-        self.tell(router, CoreEvent::Published { catalog, text });
+        self.handle_event(router, CoreEvent::Published { catalog, text });
     }
 
-    fn tell(&mut self, router: usize, event: CoreEvent) {
+    fn handle_event(&mut self, router: usize, event: CoreEvent) {
         let mut queue = VecDeque::from([(router, event)]);
         while let Some((router, event)) = queue.pop_front() {
             for action in self.cores[router].handle(Moment(self.now), event) {
@@ -151,10 +151,10 @@
         if (self.now / STEP_US).is_multiple_of(7)
             && let Some((from, to, message)) = self.delayed.pop_front()
         {
-            self.tell(to, arrival(from, message));
+            self.handle_event(to, arrival(from, message));
         }
         for router in 0..ROUTERS {
-            self.tell(router, CoreEvent::Tick);
+            self.handle_event(router, CoreEvent::Tick);
         }
     }
 
@@ -164,18 +164,18 @@
         };
         let (request, router, attempt) = (*request, *router, *attempt);
         self.running.remove(&request);
-        self.tell(router, ended(request, attempt, AttemptOutcome::Whole));
+        self.handle_event(router, ended(request, attempt, AttemptOutcome::Whole));
     }
 }
 
-fn life(router: usize) -> RouterIncarnation {
+fn incarnation_of(router: usize) -> RouterIncarnation {
     RouterIncarnation(500 + router as u64)
 }
 
 fn arrival(from: usize, message: PeerMessage) -> CoreEvent {
     CoreEvent::Message {
         from: host(from),
-        incarnation: life(from),
+        incarnation: incarnation_of(from),
         message,
     }
 }
@@ -183,7 +183,7 @@
 fn new_core(router: usize) -> RouterCore {
     let identity = RouterIdentity {
         host: host(router),
-        incarnation: life(router),
+        incarnation: incarnation_of(router),
         domain: "domain-0".parse().unwrap(),
         address: "127.0.0.1:9".into(),
     };
@@ -218,14 +218,14 @@
         .run(&(fates(), steps), |(fates, steps)| {
             let mut rig = SlotRig::new(fates);
             for (request, (router, place)) in (1_u64..).zip(steps) {
-                rig.tell(router, CoreEvent::Arrived(facts(request)));
+                rig.handle_event(router, CoreEvent::Arrived(facts(request)));
                 rig.finish(place);
                 rig.step();
                 prop_assert!(rig.running.len() <= SLOTS as usize);
             }
             rig.fates.clear();
             for request in 10_000..10_040 {
-                rig.tell(0, CoreEvent::Arrived(facts(request)));
+                rig.handle_event(0, CoreEvent::Arrived(facts(request)));
             }
             for _ in 0..1_000 {
                 rig.step();
