--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -1,4 +1,4 @@
-//! New requests: bounded queues, deadlines, callers that leave.
+//! Admission of new requests: bounded queues, deadlines, callers that disconnect.
 
 use crate::catalog::UrgencyClass;
 use crate::core::action::CoreAction;
@@ -20,7 +20,7 @@
 use crate::units::RequestId;
 use crate::units::TimeSpan;
 
-/// Takes in arrivals, callers that leave, and deadlines.
+/// Handles arrivals, callers that disconnect, and expired deadlines.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::Arrived(facts) => arrived(state, facts),
@@ -30,12 +30,12 @@
     }
 }
 
-/// Why a request can't be taken in, and when its caller should come back.
+/// Why a request can't be admitted, and when its caller should retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EarlyRefusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Wait before the caller should retry.
     pub retry_after: TimeSpan,
 }
 
@@ -76,7 +76,7 @@
         .map_or(UrgencyClass::Batch, |kind| kind.urgency)
 }
 
-/// Why a request could not be taken in now, if so.
+/// Returns why a request can't be admitted now, or `None` if it can.
 #[must_use]
 pub fn reason_to_refuse(state: &CoreState, facts: &RequestFacts) -> Option<EarlyRefusal> {
     let soon = TimeSpan::from_millis(state.config.admission.retry_after_ms);
@@ -96,8 +96,8 @@
         let later = until.since(state.now);
         return refusal(RefusalReason::Quarantined, later);
     }
-    // A flood fills only its own team's queue: the limit is per team. The limit over all teams
-    // bounds memory when very many teams flood at once.
+    // The queue limit is per team, so that a burst of one team fills only that team's queue. The
+    // limit over all teams bounds memory when many teams send bursts at once.
     let waiting = pool
         .teams
         .get(&facts.team)
@@ -107,8 +107,8 @@
     if full || crowded {
         return refusal(RefusalReason::QueueFull, soon);
     }
-    // A request that can't be answered in time would wait for nothing and, once started, take
-    // a slot from one that can. Its caller is told at once, and when to come back.
+    // A request that can't finish before its deadline would wait in vain and, once started, take
+    // a slot from one that can. It is refused at once, with the time after which to retry.
     let needed = limits::time_to_end(state, facts, urgency_of(state, facts));
     let left = facts.deadline.since(state.now);
     if needed > left {
@@ -123,7 +123,7 @@
     put_in_queue(state, request, false);
 }
 
-/// Puts a request that comes back from an attempt at the front of its team's queue.
+/// Puts a request whose attempt failed or could not start at the front of its team's queue.
 pub fn enqueue_first(state: &mut CoreState, request: RequestId) {
     put_in_queue(state, request, true);
 }
@@ -203,8 +203,8 @@
         let Some(entry) = state.requests.get(request) else {
             continue;
         };
-        // A running attempt is left to finish: cutting an answer that a caller still reads
-        // would break the promise that no answer is cut.
+        // A running attempt may finish after its deadline: the router guarantees not to cut off
+        // an answer that the caller is still reading.
         if matches!(entry.stage, RequestStage::Running { .. }) {
             continue;
         }
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts: charges as the answer streams, ends, retries within budgets.
+//! Lifecycle of attempts: charging as the answer streams, ends, and retries within budgets.
 
 use rand::RngExt;
 
@@ -24,10 +24,11 @@
 use crate::units::TeamId;
 use crate::units::TimeSpan;
 
-/// Longest rest of an endpoint after failures, as a doubling of the first backoff.
+/// Limit of exponential backoff, for endpoints and for retries: the number of times that the base
+/// backoff is doubled.
 const MOST_DOUBLINGS: u32 = 6;
 
-/// Takes in progress and ends of attempts.
+/// Handles progress and ends of attempts, and expired backoffs.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::Progress {
@@ -68,7 +69,7 @@
     settle(state, request, units(service));
 }
 
-/// Sets what the running attempt of a request has been charged.
+/// Sets the total charge of a request's running attempt and charges its team the difference.
 fn settle(state: &mut CoreState, request: RequestId, service: i64) {
     let Some(entry) = state.requests.get_mut(request) else {
         return;
@@ -122,7 +123,7 @@
     }
 }
 
-/// Frees the slot of a request whose attempt ended or was cancelled.
+/// Frees the slot that a request's ended or cancelled attempt used.
 pub fn release(state: &mut CoreState, request: RequestId) {
     let Some(entry) = state.requests.get_mut(request) else {
         return;
@@ -155,13 +156,13 @@
     };
     let now = state.now;
     let row = state.endpoints.row(endpoint);
-    // An endpoint that refuses connections would otherwise draw all traffic, since it frees its
-    // slots at once; seen as a burst of failures. It rests, twice as long each time.
+    // An endpoint that refuses connections frees its slots at once, so without a backoff it would
+    // attract all traffic and cause a burst of failures. The backoff doubles with each failure.
     row.rest_until = now + TimeSpan(rest.0 << row.failures.min(MOST_DOUBLINGS));
     row.failures += 1;
 }
 
-/// What may be said of a request's execution if it ended now.
+/// Returns the outcome to report for a request that ends without an answer now.
 #[must_use]
 pub fn outcome_so_far(entry: &RequestEntry) -> RunOutcome {
     if entry.may_have_run {
@@ -183,8 +184,8 @@
         entry.passed_on = entry.passed_on.max(offset);
     }
     let resumable = entry.passed_on == 0 || entry.facts.resumable;
-    // An unrepeatable request whose bytes may have reached an endpoint is never tried again: a
-    // second execution is the doubled tag that the users forbid.
+    // An unrepeatable request whose bytes may have reached an endpoint is never retried, since a
+    // retry could execute it twice.
     let allowed = (proved_not_run && !entry.may_have_run) || entry.is_repeatable();
     let tries_left = entry.attempts < state.config.attempts.max_attempts;
     let so_far = outcome_so_far(entry);
@@ -230,7 +231,7 @@
     }
 }
 
-/// Last moment at which the first byte of an attempt may be written.
+/// Returns the last moment at which the first byte of an attempt may be written.
 #[must_use]
 pub fn write_limit(state: &CoreState, deadline: Moment) -> Moment {
     let span = TimeSpan::from_millis(state.config.dispatch.write_within_ms);
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -1,5 +1,5 @@
-//! Picking who runs next: the waiting team of least virtual time, on a slot that this router
-//! holds. Nothing is asked of another router on the way.
+//! Picks the next request to run: from the waiting team with the least virtual time, on a slot
+//! that this router already holds. Dispatching a request needs no message to another router.
 
 use crate::core::action::CoreAction;
 use crate::core::event::CoreEvent;
@@ -22,13 +22,13 @@
 use crate::wire::PeerBody;
 use crate::wire::allotment::SlotAllotment;
 
-/// Virtual time in one step of the `lead` and `clock` fields of an allotment.
+/// Virtual time per unit of the `lead` and `clock` fields of an allotment.
 pub const LEAD_STEP: i64 = 10_000;
 
-/// A router with a backlog keeps one slot above its target for this many slots of the target.
+/// Divisor of the target that gives how many slots a router with a backlog may hold above it.
 const EXCESS_PART: u32 = 8;
 
-/// Takes in allotments, then runs what can run in every pool that something happened to.
+/// Applies allotments, then dispatches waiting requests in every pool that changed.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     if let CoreEvent::Message {
         from,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Puts a team at its place among those that wait.
+/// Updates a team's rank among the waiting teams of a pool.
 pub fn rank_team(state: &mut CoreState, pool_id: PoolId, team: TeamId) {
     let share = state.catalog.share_of(team);
     let credit = i64::try_from(state.config.dispatch.express_units).unwrap_or(i64::MAX);
@@ -63,8 +63,8 @@
     allotment: &SlotAllotment,
 ) {
     let pool_id = PoolId(allotment.pool);
-    // Its grants are slots that the owner has forgotten by now, and its acknowledgements would keep
-    // this life's reports back.
+    // The owner no longer counts slots granted to an earlier incarnation of this router, and the
+    // acknowledgements would suppress reports of this incarnation.
     let is_for_earlier_life = allotment.entry != epoch_of(state.identity.incarnation);
     if is_for_earlier_life {
         return;
@@ -72,8 +72,8 @@
     let Some(pool) = state.entries.get_mut(&pool_id) else {
         return;
     };
-    // An allotment of an earlier owner or epoch that comes late would bring back slots that the
-    // new owner has given to others. It is known by its host and epoch and dropped.
+    // A delayed allotment of an earlier owner or epoch would bring back slots that the new owner
+    // has granted to others, so allotments whose host, epoch or term differ are dropped.
     let current = pool
         .owner
         .as_ref()
@@ -168,8 +168,8 @@
     Some(NextRequest { request, team })
 }
 
-/// The endpoint that ran this prefix last if it has a free slot, else the one with the most
-/// free slots; not the one that the last attempt failed on while there is another.
+/// Picks the endpoint that last ran this prefix if it has a free slot, else the one with the most
+/// free slots. Avoids the endpoint of the request's last attempt while there is another.
 fn pick_endpoint(state: &CoreState, pool_id: PoolId, next: NextRequest) -> Option<EndpointId> {
     let pool = state.entries.get(&pool_id)?;
     let entry = state.requests.get(next.request)?;
@@ -198,7 +198,7 @@
     Some(first)
 }
 
-/// Starts a request on an endpoint, as a new attempt.
+/// Starts a new attempt of a request on an endpoint.
 pub fn start(state: &mut CoreState, pool_id: PoolId, next: NextRequest, endpoint: EndpointId) {
     let NextRequest { request, team } = next;
     let now = state.now;
@@ -235,10 +235,10 @@
     });
 }
 
-/// Gives back free slots above the target, before anything is started on them. Without this a
-/// router with a backlog would start new requests on its slots for ever, and a lower target or a
-/// lower limit would never come into force. While requests wait here a little more than the
-/// target is kept, so that a target that moves by one to and fro costs no messages.
+/// Returns free slots above the target to the owner before requests are started on them.
+/// Otherwise a router with a backlog would reuse its slots forever, and a lower target or limit
+/// would never take effect. While requests wait here, the router keeps slightly more than the
+/// target, so that a target that alternates between two values causes no messages.
 fn give_back_surplus(state: &mut CoreState, pool_id: PoolId) {
     give_back_while(state, pool_id, |pool| {
         let kept = if pool.waiting > 0 {
@@ -250,7 +250,7 @@
     });
 }
 
-/// Gives back every free slot while others wait for lack of slots and nothing waits here.
+/// Returns all free slots to the owner while other routers lack slots and nothing waits here.
 fn give_back_idle(state: &mut CoreState, pool_id: PoolId) {
     give_back_while(state, pool_id, |pool| pool.scarce && pool.waiting == 0);
 }
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -1,8 +1,9 @@
-//! A router that drains: no new work, what waits goes to peers, what runs finishes.
+//! Draining a router: it takes no new work, forwards waiting requests to peers and finishes
+//! running ones.
 //!
-//! The router takes itself for leaving, which the membership gossip spreads, so that it owns no
-//! pool and gets nothing forwarded. A request with a ticket of this router life stays and runs
-//! here: no other router may run it. A peer that was given one would have to offer a new ticket.
+//! The router marks itself as leaving, which membership gossip spreads, so that it owns no pool and
+//! gets no forwarded requests. A request with a ticket that this incarnation of the router issued
+//! stays and runs here, since no other router may run it: a peer would have to offer a new ticket.
 
 use crate::core::action::CoreAction;
 use crate::core::action::RefusalReason;
@@ -20,7 +21,8 @@
 use crate::units::RequestId;
 use crate::units::TimeSpan;
 
-/// Begins to drain when asked; then hands over, gives slots back and watches for the end.
+/// Starts a drain on request; while draining, hands requests over, returns slots and detects the
+/// end of the drain.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     if matches!(event, CoreEvent::DrainAsked) && !state.draining {
         state.draining = true;
@@ -41,8 +43,8 @@
     tell_if_done(state);
 }
 
-/// The drain is over when nothing is left here and the owners know that the slots are back, or
-/// have had the time to hear of it.
+/// Ends the drain once no request is left and all returned slots have been reported to their
+/// owners, or two reporting intervals have passed.
 fn tell_if_done(state: &mut CoreState) {
     let empty = state.requests.is_empty() && state.tickets.minter_waits.is_empty();
     if !empty || state.drained {
@@ -61,8 +63,9 @@
     }
 }
 
-/// Sends a request that arrives during a drain to a peer, or refuses it. False if this router
-/// has to look at it itself, because its ticket decides where it runs.
+/// Forwards a request that arrives during a drain to a peer, or refuses it. Returns false if this
+/// router must handle the request: it is not draining, or the request's ticket decides where it
+/// runs.
 pub fn turn_away(state: &mut CoreState, facts: &RequestFacts) -> bool {
     if !state.draining || matches!(facts.repeat, RepeatRule::Unrepeatable(Some(_))) {
         return false;
@@ -76,7 +79,7 @@
     true
 }
 
-/// Refuses a request that no table holds, because of the drain.
+/// Refuses a request that is in no table because this router is draining.
 pub fn refuse(state: &mut CoreState, request: RequestId) {
     let retry_after = TimeSpan::from_millis(state.config.admission.retry_after_ms);
     state.act(CoreAction::Refuse {
@@ -87,7 +90,7 @@
     });
 }
 
-/// Owners hear of the drain with the next reports, which are due at once.
+/// Makes reports urgent for all pools, since reports announce the drain to the owners.
 fn tell_owners(state: &mut CoreState) {
     for (pool_id, pool) in &mut state.entries {
         pool.urgent = true;
@@ -95,8 +98,8 @@
     }
 }
 
-/// Hands every waiting request that another router may run to a peer. Without a peer it goes on
-/// waiting here and runs here.
+/// Forwards every waiting request that another router may run to a peer. Without a connected peer
+/// the requests stay queued and run here.
 fn hand_over(state: &mut CoreState) {
     let waiting: Vec<RequestId> = state
         .requests
@@ -114,9 +117,9 @@
     }
 }
 
-/// True if another router may run the request. One that was forwarded here stays, or two
-/// draining routers could pass it to and fro. One whose answer has begun stays, since only this
-/// router knows how much of it the caller has.
+/// Returns true if the request may be forwarded to another router. A request that was forwarded
+/// here stays, since two draining routers could otherwise forward it back and forth. A request
+/// whose answer has begun stays, since only this router knows how much the caller has received.
 fn can_move(entry: &RequestEntry) -> bool {
     let waits = matches!(
         entry.stage,
@@ -125,7 +128,7 @@
     waits && entry.is_repeatable() && !entry.facts.forwarded && entry.passed_on == 0
 }
 
-/// Peers take turns by request id, so that the handover spreads over all of them.
+/// Picks a connected live peer by request id, so that handed-over requests spread over all peers.
 fn pick_peer(state: &CoreState, request: RequestId) -> Option<HostName> {
     let peers: Vec<&HostName> = state
         .members
@@ -141,7 +144,7 @@
     peers.get(turn).map(|host| (*host).clone())
 }
 
-/// Slots that nothing here can use any more go back to their owners at once.
+/// Returns free slots of pools without waiting requests to their owners at once.
 fn give_back_idle(state: &mut CoreState) {
     let idle: Vec<PoolId> = state
         .entries
--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -1,8 +1,8 @@
-//! Endpoints that leave: no new work once anybody has said so.
+//! Endpoints that are leaving: no new work once any router knows of it.
 //!
-//! An endpoint's generation comes from the host list. Leaving holds for a generation for good:
-//! a list that lags, or peers that were told later, can't put it back; only a later generation
-//! can. Whoever learns of it tells a few peers at once, and pings carry it to the rest.
+//! An endpoint's generation comes from the host list. A generation that is leaving stays so: a
+//! stale list or a peer with older knowledge can't undo it, only a later generation can. A router
+//! that learns of it pushes it to a few peers at once, and pings spread it to the rest.
 
 use crate::core::event::CoreEvent;
 use crate::core::state::CoreState;
@@ -13,7 +13,7 @@
 use crate::wire::PeerBody;
 use crate::wire::gossip::LeavingNews;
 
-/// Takes in what the host list, the publication and peers say of endpoints.
+/// Applies the state of endpoints from the host list, the publication and gossip of peers.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::HostsListed { leaving, .. } => {
@@ -43,7 +43,7 @@
     }
 }
 
-/// News of leaving endpoints for one ping.
+/// Returns the news of leaving endpoints to send with one ping.
 pub fn take_news(state: &mut CoreState) -> Vec<LeavingNews> {
     let limit = telling_limit(state.members.len(), state.config.probing.spread);
     let ids = state.leaving_rumors.take(state.config.leaving.news, limit);
@@ -52,7 +52,7 @@
         .collect()
 }
 
-/// All leaving endpoints, for a router that just connected.
+/// Returns the leaving endpoints, up to the configured limit, for a router that just connected.
 #[must_use]
 pub fn all_news(state: &CoreState) -> Vec<LeavingNews> {
     let rows = state.endpoints.iter().filter(|(_, row)| row.leaving);
@@ -69,11 +69,11 @@
     })
 }
 
-/// Returns whether that is news.
+/// Marks a generation of an endpoint as leaving. Returns true if that was not known before.
 fn note_leaving(state: &mut CoreState, endpoint: EndpointId, generation: u64) -> bool {
     let row = state.endpoints.row(endpoint);
-    // A list that lags names an endpoint that was since replaced under the same name; seen as a
-    // new endpoint that never gets work. Its generation is lower and says nothing of this one.
+    // A stale list may name an endpoint that has since been replaced under the same name; applying
+    // it would keep work from the new endpoint forever. A lower generation is therefore ignored.
     if generation < row.generation || (generation == row.generation && row.leaving) {
         return false;
     }
@@ -84,8 +84,8 @@
     true
 }
 
-/// A later generation is another endpoint. The same generation never comes back, whatever a
-/// list says that lags or contradicts itself.
+/// Marks an endpoint as live if the generation is later than the known one. The same generation
+/// never becomes live again, since a list may be stale or contradict itself.
 fn note_live(state: &mut CoreState, endpoint: EndpointId, generation: u64) {
     let row = state.endpoints.row(endpoint);
     if generation > row.generation {
@@ -100,7 +100,8 @@
     }
 }
 
-/// A publication may call an endpoint leaving too; publications have an order of their own.
+/// Applies leaving marks of the publication. They are kept apart from those of the host list
+/// because publications are ordered by revision, not by endpoint generation.
 fn follow_catalog(state: &mut CoreState) {
     let catalog = state.catalog.clone();
     for (endpoint, entry) in &catalog.endpoints {
@@ -115,7 +116,8 @@
     }
 }
 
-/// Free slots of an endpoint that gets no new work would count as held here for nothing.
+/// Returns the free slots of an endpoint that gets no new work, which would otherwise count as held
+/// by this router.
 fn give_back(state: &mut CoreState, endpoint: EndpointId) {
     let pools: Vec<PoolId> = state
         .entries
--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -1,6 +1,6 @@
-//! How much an endpoint is given: the published slots, less while it shows pressure or runs
-//! requests that this side of the fleet did not send; and who is refused early because the
-//! answer could not come in time.
+//! Limits on concurrent requests per endpoint: the published slots, or fewer while the endpoint
+//! shows pressure or runs requests that this side of a partition did not send. Also estimates how
+//! long a request would take, by which requests that can't finish in time are refused early.
 
 use std::collections::BTreeSet;
 
@@ -21,7 +21,7 @@
 use crate::units::TimeSpan;
 use crate::wire::demand::DemandReport;
 
-/// Takes in load reports and first bytes; moves limits at intervals.
+/// Handles load reports and first bytes, and adjusts limits at intervals.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::EndpointLoad { .. } => take_load(state, event),
@@ -63,14 +63,14 @@
     let limit = state.slot_limits.limits.entry(*endpoint).or_default();
     let present = running + waiting;
     limit.note_foreign(present.saturating_sub(ours), now);
-    // During a partition two owners give the endpoint up to twice its slots, and it holds
-    // requests back for that alone; subtracting foreign load cures it within seconds. Lowering
-    // the limit as well would leave the endpoint idle long after. So what is held back counts
-    // only while no more than the published slots are asked of it.
+    // During a partition two owners may give the endpoint up to twice its slots, so that it queues
+    // requests. Subtracting foreign load corrects that within seconds; lowering the limit as well
+    // would leave the endpoint underused long after. Queued requests therefore count as pressure
+    // only while the endpoint has no more requests than published slots.
     limit.held_back |= *waiting > 0 && present <= published;
 }
 
-/// Tallies whether the first byte came in time, and sees to it that the owner hears of a turn.
+/// Counts whether the first byte of an attempt came within its latency goal.
 fn first_byte(state: &mut CoreState, request: RequestId, attempt: AttemptNumber) {
     let Some(entry) = state.requests.get(request) else {
         return;
@@ -83,7 +83,8 @@
     note_answer(state, pool_id, endpoint, late);
 }
 
-/// Tallies one answer: late, or in time. A refusal for lack of room counts as late.
+/// Counts one answer as late or in time; a refusal for lack of capacity counts as late. Schedules a
+/// report to the owner when the endpoint crosses the threshold for late answers.
 pub fn note_answer(state: &mut CoreState, pool_id: PoolId, endpoint: EndpointId, late: bool) {
     let tally = state.slot_limits.tallies.entry(endpoint).or_default();
     tally.note(late);
@@ -98,7 +99,7 @@
     }
 }
 
-/// Within what span the first byte of a request's answer is in time.
+/// Returns the latency goal for the first byte of a request's answer.
 fn goal_of(state: &CoreState, facts: &RequestFacts) -> TimeSpan {
     let first = TimeSpan::from_millis(state.config.limits.first_byte_ms);
     let kind = state
@@ -121,7 +122,7 @@
     }
 }
 
-/// Takes in what an entry router says of late answers. Only for reports in sequence.
+/// Records late answers that an entry router reports. Call only for reports in sequence.
 pub fn take_pressure(state: &mut CoreState, from: &HostName, report: &DemandReport) {
     let most = state.config.limits.slow_per_mille;
     for (endpoint, pressure) in report.endpoints.iter().zip(&report.pressure) {
@@ -158,7 +159,7 @@
         .collect()
 }
 
-/// Owners read the load of their endpoints; nobody else does without need.
+/// Watches the load of all endpoints of owned pools, and stops watching those no longer owned.
 fn watch_owned(state: &mut CoreState, endpoints: &BTreeSet<EndpointId>) {
     let before: Vec<EndpointId> = state
         .endpoints
@@ -177,7 +178,7 @@
     }
 }
 
-/// Starts or stops reading an endpoint's load for one of the systems that need it.
+/// Starts or stops watching an endpoint's load on behalf of one watcher.
 pub fn watch_load(state: &mut CoreState, endpoint: EndpointId, watcher: LoadWatcher, on: bool) {
     let watchers = &mut state.endpoints.row(endpoint).watchers;
     let before = !watchers.is_empty();
@@ -195,7 +196,7 @@
     }
 }
 
-/// A router that is gone can't take back what it said of late answers.
+/// Drops late-answer reports of routers that are gone, since they can't withdraw them.
 fn forget_gone_routers(state: &mut CoreState, endpoint: EndpointId) {
     let Some(limit) = state.slot_limits.limits.get_mut(&endpoint) else {
         return;
@@ -204,9 +205,9 @@
     limit.late_at.retain(|host| members.is_live(host));
 }
 
-/// Down by a part of itself under pressure, up by a part of the published slots without: the
-/// way down is fast, and from the least it is back at the published slots after
-/// `100 / step_up_percent` moves at most.
+/// Adjusts an endpoint's limit: multiplicative decrease under pressure, additive increase by a
+/// fraction of the published slots otherwise. From the minimum, the limit is back at the published
+/// slots after at most `100 / step_up_percent` steps.
 fn move_limit(state: &mut CoreState, endpoint: EndpointId) {
     let Some(row) = state.catalog.endpoints.get(&endpoint) else {
         return;
@@ -220,8 +221,8 @@
     let held_back = std::mem::take(&mut limit.held_back);
     let late = !limit.late_at.is_empty();
     let allowed = limit.allowed.unwrap_or(published);
-    // Late answers alone may come from long prompts, which fewer slots would not cure, so they
-    // lower the limit to a part only.
+    // Late answers alone may be due to long prompts, which fewer slots would not fix, so they lower
+    // the limit only to a higher minimum.
     let least = if held_back {
         part(config.least_percent)
     } else {
@@ -236,10 +237,10 @@
     limit.allowed = (next < published).then_some(next);
 }
 
-/// The slots of an endpoint that its owner may share out now.
+/// Returns the slots of an endpoint that its owner may allot now.
 ///
 /// During a partition both sides have an owner for the endpoint. Each subtracts what the other
-/// side runs, down to half of the slots, so that both settle at half and neither starves.
+/// side runs, down to half of the slots, so that both converge to half and neither starves.
 #[must_use]
 pub fn allowed_slots(state: &CoreState, endpoint: EndpointId, published: u32) -> u32 {
     let Some(limit) = state.slot_limits.limits.get(&endpoint) else {
@@ -262,7 +263,8 @@
     (allowed.floor().max(0.0) as u32).clamp(1.min(published), published)
 }
 
-/// How long a new request would take from now to its end; zero if nothing is ahead of it.
+/// Estimates the time from now to the end of a new request, scaled by `estimate_percent`; zero if
+/// no request is ahead of it in its team's queue.
 #[must_use]
 pub fn time_to_end(state: &CoreState, facts: &RequestFacts, urgency: UrgencyClass) -> TimeSpan {
     let pool = state.entries.get(&facts.pool);
--- a/src/core/systems/mod.rs
+++ b/src/core/systems/mod.rs
@@ -1,5 +1,6 @@
-//! The systems of the decision core. Each is one file with one job and one settings file of
-//! the same name under `configs/`. Every event goes through all of them in [`CoreSystem::ORDER`].
+//! The systems of the decision core. Each has one responsibility, its own module and, if it has
+//! settings, a file of the same name under `configs/`. Every event passes through all systems in
+//! [`CoreSystem::ORDER`].
 
 pub mod admission;
 pub mod attempts;
@@ -19,41 +20,42 @@
 use super::event::CoreEvent;
 use super::state::CoreState;
 
-/// All systems.
+/// A system of the decision core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CoreSystem {
-    /// Who the routers are.
+    /// Tracks which routers are in the fleet and whether they are alive.
     Membership,
-    /// Pinging other routers and passing news on.
+    /// Pings other routers and spreads gossip.
     Probing,
-    /// Which publication is in force.
+    /// Keeps the newest known publication in force.
     Publication,
-    /// No new work for endpoints that leave.
+    /// Stops new work for endpoints that are leaving.
     Leaving,
-    /// At most one execution of unrepeatable requests.
+    /// Ensures that unrepeatable requests are executed at most once.
     Tickets,
-    /// New requests, bounded queues, deadlines.
+    /// Admits new requests to bounded queues and enforces deadlines.
     Admission,
-    /// Requests that crash endpoints. Before the systems that act on the same ends and reports.
+    /// Quarantines requests that crash endpoints. Runs before the systems that act on the same ends
+    /// of attempts and load reports.
     Quarantine,
-    /// What becomes of attempts: progress, ends, retries.
+    /// Handles progress, ends and retries of attempts.
     Attempts,
-    /// Handing over and finishing before the router ends.
+    /// Hands over or finishes all requests before the router shuts down.
     Draining,
-    /// How much endpoints are given.
+    /// Limits how many requests each endpoint runs concurrently.
     Limits,
-    /// Sharing out the slots of owned pools.
+    /// Allots the slots of the pools that this router owns.
     Ownership,
-    /// Which models endpoints serve.
+    /// Decides which models endpoints serve.
     Orders,
-    /// Taking in allotments and picking who runs next.
+    /// Applies allotments and picks the next request to run.
     Dispatch,
-    /// Telling owners of demand and returned slots.
+    /// Reports demand and returned slots to pool owners.
     Reporting,
 }
 
 impl CoreSystem {
-    /// The order in which an event passes the systems.
+    /// The order in which an event passes through the systems.
     pub const ORDER: [Self; 14] = [
         Self::Membership,
         Self::Probing,
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -1,8 +1,9 @@
-//! Pinging other routers in turn, and passing news on with each ping and answer.
+//! Failure detection and gossip: pings other routers in turn and attaches news to each ping and
+//! answer.
 //!
-//! Each period one router is pinged, in an order that is shuffled anew for each turn, so that
-//! every router is pinged once a turn and the load of a router does not grow with the fleet. If
-//! it does not answer, a few others are asked to ping it before it is suspected.
+//! Each period one router is pinged. The order is shuffled for each round over all routers, so that
+//! every router is pinged once per round and the load on a router does not grow with the fleet. If
+//! a router does not answer, a few others are asked to ping it before it is suspected.
 
 use rand::seq::SliceRandom;
 
@@ -25,17 +26,17 @@
 use crate::wire::gossip::GossipPing;
 use crate::wire::gossip::MemberNews;
 
-/// A ping that wants an answer.
+/// Step of a ping that expects an answer.
 const PING: u32 = 0;
-/// An answer, or news that nobody asked for (sequence 0).
+/// Step of an answer, or of unsolicited news (sequence 0).
 const ANSWER: u32 = 1;
-/// A request to ping another router.
+/// Step of a request to ping another router (indirect ping).
 const HELP: u32 = 2;
 
-/// Members in a greeting at most.
+/// Maximum number of other members in a greeting.
 const GREETING_MEMBERS: usize = 32;
 
-/// Answers pings and sends the ones that are due.
+/// Handles pings and answers, and sends pings that are due.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::Message { from, message, .. } => {
@@ -54,7 +55,8 @@
     }
 }
 
-/// Tells a router that just connected who this one is and, if `whole`, all that a newcomer needs.
+/// Sends a router that just connected news of this one and, if `whole`, of other members and all
+/// leaving endpoints, as a newly started router needs.
 pub fn greet(state: &mut CoreState, host: &HostName, whole: bool) {
     let mut ping = loaded(state, host);
     ping.step = ANSWER;
@@ -72,7 +74,7 @@
     state.send(host, PeerBody::Gossip(ping));
 }
 
-/// Tells a router a piece of news about itself, so that it can refute.
+/// Sends a router a piece of news about itself, so that it can refute it.
 pub fn tell(state: &mut CoreState, host: &HostName, news: MemberNews) {
     let ping = GossipPing {
         step: ANSWER,
@@ -82,7 +84,7 @@
     state.send(host, PeerBody::Gossip(ping));
 }
 
-/// Passes news on to a few routers at once, without waiting for the next ping.
+/// Pushes pending news to a few routers at once, without waiting for the next ping.
 pub fn push(state: &mut CoreState) {
     let count = state.config.probing.fanout;
     for host in pick_connected(state, count, None) {
@@ -94,7 +96,7 @@
     }
 }
 
-/// Asks a few routers to ping one that this router doesn't reach.
+/// Asks a few routers to ping one that this router can't reach (indirect ping).
 pub fn ask_helpers(state: &mut CoreState, target: &HostName) {
     let sequence = match &state.detector.round {
         Some(round) if round.target == *target => round.sequence,
@@ -112,8 +114,8 @@
     }
 }
 
-/// In a large fleet, keeps connections to the owners of pools and closes those that nobody
-/// needed for a while. In a small one, all stay.
+/// In a large fleet, keeps connections to the owners of pools and closes connections that have been
+/// idle for the configured time. In a small fleet, all connections stay open.
 pub fn keep_connections(state: &mut CoreState) {
     if is_small(state) {
         return;
@@ -215,7 +217,7 @@
         };
         state.send(&target, PeerBody::Gossip(ping));
     }
-    // A dead router is dialed, in case it is back, but owes no answer.
+    // A dead router is dialed in case it is back, but it is not expected to answer.
     if !dead {
         state.detector.round = Some(PingRound {
             target,
@@ -230,7 +232,7 @@
     loop {
         if let Some(host) = state.detector.turn.pop() {
             let known = state.members.get(&host);
-            // In a small fleet the dead are dialed all the time anyway.
+            // In a small fleet, dead routers are redialed continuously anyway.
             let skip = is_small(state) && known.is_some_and(|row| row.state == MemberState::Dead);
             if known.is_some() && !skip {
                 return Some(host);
@@ -253,7 +255,7 @@
     }
 }
 
-/// A handshake answers the ping for whose sake it was made.
+/// Ends the ping round to a router whose connection just opened: the handshake counts as answer.
 fn opened(state: &mut CoreState, host: &HostName) {
     if state
         .detector
@@ -329,7 +331,7 @@
     }
 }
 
-/// A ping for `host` with news; news that it is suspect or dead comes first.
+/// Builds a ping for `host` with news. If `host` is suspect or dead here, that news comes first.
 fn loaded(state: &mut CoreState, host: &HostName) -> GossipPing {
     let most = state.config.probing.news;
     let limit = telling_limit(state.members.len(), state.config.probing.spread);
@@ -352,7 +354,7 @@
     }
 }
 
-/// Connected live routers in random order.
+/// Picks up to `count` connected routers other than `but`, in random order.
 fn pick_connected(state: &mut CoreState, count: usize, but: Option<&HostName>) -> Vec<HostName> {
     let own = state.identity.host.clone();
     let mut hosts: Vec<HostName> = state
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -1,7 +1,8 @@
-//! Which publication is in force: never an older one than before, and the newest that anybody has.
+//! Keeps the newest publication that any router has in force, and never goes back to an older one.
 //!
-//! Few routers watch the source's service: in each failure domain the two live ones of highest
-//! rendezvous rank. Revisions ride on pings; a router that hears of a higher one asks that peer.
+//! Only a few routers watch the service that provides publications: by default, in each failure
+//! domain, the two live routers of highest rendezvous rank. Pings carry the sender's revision; a
+//! router that learns of a higher one fetches the publication from that peer.
 
 use std::sync::Arc;
 
@@ -24,10 +25,11 @@
 use crate::wire::publication::PublicationOffer;
 use crate::wire::publication::PublicationRequest;
 
-/// Seed of the hash that ranks a domain's readers.
+/// Seed of the hash by which the routers of a domain are ranked as readers.
 const READER_SEED: u64 = 0x7265_6164;
 
-/// Takes in publications and revisions; asks for newer ones; decides who watches the service.
+/// Handles publications and peers' revisions, fetches newer publications, decides whether this
+/// router watches the service, and updates readiness.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     let now = state.now;
     state.publication_sync.started.get_or_insert(now);
@@ -52,7 +54,7 @@
     become_ready(state);
 }
 
-/// What this router knows of the newest publication, for status and logs.
+/// Returns how certain this router is to have the newest publication, for status and logs.
 #[must_use]
 pub fn knowledge(state: &CoreState) -> ConfigKnowledge {
     let sync = &state.publication_sync;
@@ -73,8 +75,9 @@
     }
 }
 
-/// Milliseconds since the service last answered anyone, plus one; 0 if it never did. Rides on
-/// pings, so that routers that don't read know how old their knowledge is.
+/// Returns the milliseconds since the service last answered any router, as far as this one knows,
+/// plus one; 0 if it never did. Pings carry it, so that routers that don't watch the service know
+/// how old their information is.
 #[must_use]
 pub fn service_age(state: &CoreState) -> u64 {
     state
@@ -83,7 +86,8 @@
         .map_or(0, |seen| state.now.since(seen).as_millis() + 1)
 }
 
-/// The routers that watch the service for a domain.
+/// Returns the routers that watch the service for a domain: its `count` live routers of highest
+/// rendezvous rank.
 #[must_use]
 pub fn readers_of(members: &MemberTable, domain: &DomainName, count: usize) -> Vec<HostName> {
     let seed = xxh3_64_with_seed(domain.as_str().as_bytes(), READER_SEED);
@@ -127,8 +131,8 @@
     {
         state.publication_sync.fetch = None;
     }
-    // A lagging reader of the sources may hand out an old revision after a newer one; seen as
-    // shares that jump back. Revisions only grow, so refusing a lower one is always right.
+    // A lagging source may deliver an old revision after a newer one, which would revert shares.
+    // Revisions only increase, so ignoring one that is not higher is always safe.
     if catalog.revision <= state.catalog.revision {
         return;
     }
@@ -142,7 +146,7 @@
     fetch_if_behind(state);
 }
 
-/// A bad publication is refused whole; the last good one stays in force.
+/// Marks an invalid publication as refused as a whole; the last valid one stays in force.
 fn refused(state: &mut CoreState, revision: ConfigRevision) {
     state.publication_sync.refuse(revision);
     let fetch = &state.publication_sync.fetch;
@@ -176,8 +180,8 @@
     fetch_if_behind(state);
 }
 
-/// Asks one peer for its newer publication, unless a question is under way: publications are
-/// large, and a fleet that all asked everybody would choke on one change.
+/// Requests a newer publication from one peer, unless a request is pending. Publications are large:
+/// if every router requested them from every peer, one change would overload the links.
 fn fetch_if_behind(state: &mut CoreState) {
     if state.publication_sync.fetch.is_some() {
         return;
@@ -197,7 +201,8 @@
     state.send(&host, PeerBody::PublicationWanted(request));
 }
 
-/// A peer that does not answer in time is asked no more until it tells its revision again.
+/// Gives up a fetch that timed out. That peer is not asked again until it announces its revision
+/// again.
 fn retry_fetch(state: &mut CoreState) {
     let limit = TimeSpan::from_millis(state.config.publication.fetch_ms);
     let Some(fetch) = &state.publication_sync.fetch else {
@@ -229,8 +234,8 @@
 fn take_offer(state: &mut CoreState, from: &HostName, offer: &PublicationOffer) {
     let revision = ConfigRevision(offer.revision);
     let sync = &mut state.publication_sync;
-    // Only an answer to the question under way is taken: a peer can't push texts that nobody
-    // asked for, and a doubled answer is not parsed twice.
+    // Only the answer to a pending fetch is accepted, so that a peer can't push unsolicited
+    // publications and a duplicate answer is not parsed twice.
     let Some(fetch) = sync.fetch.as_mut().filter(|fetch| fetch.host == *from) else {
         return;
     };
@@ -248,9 +253,10 @@
     });
 }
 
-/// A router that restarts with nothing may read an old revision from a lagging service. It is
-/// ready only when every router that it knows of told its revision and none is higher, or when
-/// the deadline passed.
+/// Marks this router as ready once the host list has been read and every other router that is
+/// connected or was never seen has announced its revision, none of them higher, or once the
+/// deadline has passed. Without this, a router that restarts without state could serve with an old
+/// revision from a lagging service.
 fn become_ready(state: &mut CoreState) {
     if state.publication_sync.ready || state.catalog.revision == ConfigRevision(0) {
         return;
@@ -277,7 +283,7 @@
     use crate::core::tables::members::MemberState;
     use crate::units::RouterIncarnation;
 
-    /// Seconds that the service holds a watch open by default.
+    /// Default duration of a watch on the service, in seconds.
     const WATCH_S: usize = 30;
 
     fn members(routers: usize, domains: usize) -> MemberTable {
@@ -316,8 +322,8 @@
         assert_eq!(reader_count(8, 3), 6);
         assert_eq!(reader_count(8, 4), 8);
         assert_eq!(reader_count(1_300, 21), 42);
-        // A waiting watch counts as one read and ends after 30 s, and each of 8,800 changes a day
-        // ends every watch once more: 5.7 reads/s at the large size, of 2,000.
+        // A long-poll watch counts as one read and ends after 30 s, and each of 8,800 changes a day
+        // ends every watch once more: 5.7 reads/s for the large fleet, where 2,000 are allowed.
         let reads_per_day = |readers: usize| readers * (86_400 / WATCH_S + 8_800);
         assert!(reads_per_day(reader_count(8, 4)) < 2 * 86_400);
         assert!(reads_per_day(reader_count(1_300, 21)) < 6 * 86_400);
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -1,4 +1,4 @@
-//! Telling pool owners of demand and returned slots.
+//! Reports demand and returned slots to pool owners.
 
 use prost::Message;
 
@@ -17,10 +17,10 @@
 use crate::wire::PeerBody;
 use crate::wire::demand::DemandReport;
 
-/// Service units in one step of the `charged` field of a report.
+/// Service units per unit of the `charged` field of a report.
 pub const CHARGE_STEP: i64 = 16;
 
-/// Sends the reports that are due, on every event for the pools that something happened to.
+/// Sends due reports, on every event for the pools that changed and on every tick for all pools.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     if matches!(event, CoreEvent::Tick) {
         refill(state);
@@ -38,9 +38,9 @@
     state.report_budget.fill(state.now, rate);
 }
 
-/// Turns to the pool's owner of the moment. A new owner starts with what runs here: free slots
-/// of the old owner's grants are dropped, so that two owners never add up to more than the
-/// running attempts.
+/// Switches to the pool's current owner. With a new owner, only the slots of running attempts are
+/// kept: free slots that the old owner granted are dropped, so that the grants of two owners never
+/// add up to more than the running attempts.
 fn follow_owner(state: &mut CoreState, pool_id: PoolId) {
     let version = state.members.version();
     let Some(pool) = state.entries.get_mut(&pool_id) else {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Begins to count slots anew with an owner.
+/// Restarts slot accounting with an owner, with only the slots of running attempts carried over.
 pub fn begin_epoch(pool: &mut EntryPool, link: OwnerLink) {
     pool.owner = Some(link);
     pool.term += 1;
@@ -144,7 +144,7 @@
     report
 }
 
-/// Adds how late first bytes were, for the endpoints that the report names.
+/// Adds the proportion of late first bytes, per mille, for each endpoint in the report.
 fn add_pressure(limits: &SlotLimits, report: &mut DemandReport) {
     report.pressure = report
         .endpoints
@@ -154,7 +154,7 @@
         .collect();
 }
 
-/// Adds the teams whose numbers the owner has not acknowledged.
+/// Adds the teams whose current numbers the owner has not acknowledged.
 fn add_teams(pool: &mut EntryPool, report: &mut DemandReport) {
     let (sequence, acked) = (pool.report_sequence, pool.report_acked);
     for (team, usage) in &mut pool.teams {
@@ -172,7 +172,7 @@
     }
 }
 
-/// Adds the endpoints whose returned slots the owner has not acknowledged.
+/// Adds the endpoints whose current slot counts the owner has not acknowledged.
 fn add_slots(pool: &EntryPool, report: &mut DemandReport) {
     let acked = pool.report_acked;
     for (endpoint, hold) in &pool.slots {
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,11 +1,11 @@
-//! Every order of events that can happen to one unrepeatable request with two routers, one
-//! endpoint and two resends, driven through the real decision cores.
+//! Exhaustive search over all orders of events that can happen to one unrepeatable request with two
+//! routers, one endpoint and two resends, driven through the real decision cores.
 //!
-//! A stylist logs a mixing. Her tablet asks for a ticket, sends the log with it, gives up and
-//! sends it again, up to twice, through either router. Meanwhile requests and answers are
-//! delivered, lost or doubled, routers crash and come back with nothing in memory, a process
-//! pauses between deciding and writing, and the routers lose each other. Whatever the order: the
-//! mixing is logged at most once, and what she is told is true.
+//! The caller gets a ticket, sends the request with it, times out and resends it up to twice,
+//! through either router. Meanwhile messages are delivered, lost or duplicated, routers crash and
+//! restart without state, a process pauses between deciding and writing, and the routers are
+//! partitioned from each other. In every order the request runs at most once, and the outcome that
+//! the caller gets is true.
 
 mod cores;
 
@@ -29,43 +29,43 @@
 use self::cores::host;
 use self::cores::unrepeatable;
 
-/// Calls with a ticket: the first and two resends.
+/// Calls with a ticket: the first one and two resends.
 const SENDS: u32 = 3;
 
-/// Microseconds between ticks: few, since every branch is played from the start.
+/// Microseconds between ticks. Coarse, because every branch is replayed from the start.
 const COARSE_TICK_US: u64 = 100_000;
 
-/// States that the search may visit at most; it fails if it needs more, so that it is always
-/// complete.
+/// Maximum number of states that the search may visit. It fails if it needs more, so that a search
+/// that passes is complete.
 const MOST_STATES: usize = 60_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
     /// The caller calls through a router, with its ticket if it has one.
     Send(usize),
-    /// The caller gives up its latest call.
+    /// The caller abandons its latest call.
     Leave,
     /// A router writes an attempt that its core decided, after a pause of any length.
     Write(usize),
-    /// A router woke too late to write it.
+    /// A router resumes too late to write the attempt.
     WriteTooLate(usize),
-    /// The endpoint runs it.
+    /// The endpoint runs the attempt.
     Run(usize),
-    /// The link breaks before the endpoint has it.
+    /// The connection breaks before the endpoint receives the request.
     LoseRequest(usize),
     /// The answer arrives, once or twice.
     Answer(usize, u32),
-    /// The link breaks after the endpoint ran it.
+    /// The connection breaks after the endpoint ran the attempt.
     LoseAnswer(usize),
     /// A forwarded call arrives, once or twice.
     Forwarded(usize, u32),
     /// A forwarded call is lost.
     LoseForwarded(usize),
-    /// A router crashes and comes back with nothing in memory.
+    /// A router crashes and restarts without state.
     Crash(usize),
-    /// The routers lose each other.
+    /// The link between the routers breaks.
     Part,
-    /// They find each other again.
+    /// The link between the routers is restored.
     Mend,
     /// Time passes.
     Wait,
@@ -78,7 +78,7 @@
     Ran,
 }
 
-/// An attempt on its way to the endpoint or back.
+/// An attempt in flight to the endpoint or back.
 #[derive(Debug, Clone, Copy)]
 struct Flight {
     life: RouterIncarnation,
@@ -89,7 +89,7 @@
     stage: Stage,
 }
 
-/// What may still happen.
+/// How many events of each kind may still happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Budget {
     sends: u32,
@@ -247,7 +247,7 @@
         *self.runs.entry(flight.ticket).or_default() += 1;
     }
 
-    /// Ends an attempt. A router that has crashed since does not hear of it.
+    /// Ends an attempt. A router that has crashed since gets no event for it.
     fn end(&mut self, place: usize, outcome: AttemptOutcome) {
         let flight = self.flights.remove(place);
         self.tell_end(flight, outcome);
@@ -274,7 +274,8 @@
         (0..copies).for_each(|_| self.tell_end(flight, AttemptOutcome::Whole));
     }
 
-    /// What was only decided dies with the process; what was written goes on its way.
+    /// Crashes and restarts a router. Attempts that were only decided are lost; written ones stay
+    /// in flight.
     fn crash(&mut self, router: usize) {
         self.budget.crashes -= 1;
         self.flights
@@ -350,7 +351,7 @@
             }
             RunOutcome::NotRun => {
                 self.told_not_run(life, request);
-                // The caller believes it and starts anew, with another ticket.
+                // The caller relies on this and starts over with another ticket.
                 if self.latest == Some((router, request)) {
                     self.ticket = None;
                 }
@@ -378,7 +379,7 @@
         assert!(!false_not_run, "told \"not run\" but it ran: {path:?}");
     }
 
-    /// All that decides what can happen from here on; times and traffic counts are left out.
+    /// Hashes all that determines which events can follow; times and traffic counts are left out.
     fn digest(&self) -> u64 {
         let mut parts = vec![
             format!("{:?}{:?}{:?}", self.budget, self.parted, self.latest),
@@ -402,7 +403,7 @@
     }
 }
 
-/// Searches depth first. Cores can't be copied, so each branch is played again from the start.
+/// Depth-first search. Cores can't be cloned, so each branch is replayed from the start.
 struct Search {
     budget: Budget,
     seen: BTreeSet<u64>,
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -1,4 +1,4 @@
-//! Draining a router: nothing is cut, nothing is lost, nothing runs twice.
+//! Draining a router: no answer is cut off, no request is lost or runs twice.
 
 mod cores;
 
@@ -26,9 +26,8 @@
 
 #[test]
 fn waiting_requests_move_and_running_ones_finish() {
-    // An operator replaces a host while a review runs on it and another waits. The review that
-    // runs ends whole there, the waiting one is served by the other router, then the host is
-    // free to go.
+    // An operator drains a host on which one request runs and another waits. The running one must
+    // finish there and the waiting one be forwarded to the other router before the drain ends.
     let mut fleet = CoreFleet::new(2, catalog(1, 1));
     fleet.tell(0, CoreEvent::Arrived(facts(1)));
     fleet.advance(200);
@@ -49,9 +48,9 @@
 
 #[test]
 fn a_ticketed_request_stays_with_its_minter_to_the_end() {
-    // A mixing log waits at a router that is told to drain. Were it handed over, the peer would
-    // have to run a ticket that it did not mint, and a resend could run it again here. So it is
-    // served here first, and a resend by way of the peer still finds it.
+    // A request with a ticket waits at a router that starts to drain. If it were handed over, the
+    // peer would run a ticket that it did not mint, and a resend could run the request again here.
+    // It must run here, and a resend through the peer must still find it.
     let mut fleet = CoreFleet::new(2, catalog(1, 1));
     fleet.tell(0, CoreEvent::Arrived(facts(1)));
     fleet.advance(200);
@@ -106,8 +105,8 @@
 
 #[test]
 fn the_last_router_serves_what_waits_before_it_ends() {
-    // All hosts of a site are shut down, one after the other. The last has nobody to hand its
-    // waiting requests to: they run there, and only then is it drained.
+    // All hosts are shut down one after the other. The last router has no peer for its waiting
+    // requests: they must run there before the drain ends.
     let mut fleet = CoreFleet::new(1, catalog(1, 1));
     fleet.tell(0, CoreEvent::Arrived(facts(1)));
     fleet.tell(0, CoreEvent::Arrived(facts(2)));
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Endpoints that leave get no new work, whoever knows of it and whatever a late list says.
+//! Endpoints that are leaving get no new work, whichever router learns of it first and whatever a
+//! stale list contains.
 
 mod cores;
 
@@ -12,7 +13,7 @@
 use self::cores::endpoint;
 use self::cores::facts;
 
-/// Milliseconds after which no router gives a leaving endpoint new work: the stated bound.
+/// Milliseconds within which all routers must stop giving a leaving endpoint new work.
 const BOUND_MS: u64 = 2_000;
 
 fn fleet() -> CoreFleet {
@@ -30,7 +31,7 @@
     fleet.tell(router, CoreEvent::EndpointsListed { live });
 }
 
-/// Sends a request to each router and returns the endpoints that were given work.
+/// Sends a request to each router and returns the endpoints to which requests were dispatched.
 fn used(fleet: &mut CoreFleet, first: u64) -> Vec<EndpointId> {
     for router in 0..8 {
         let request = first + router as u64;
@@ -45,8 +46,8 @@
     used
 }
 
-// An engine's host is being taken away. One router's host list says so at once; the others' lags
-// for minutes. The engine must get no new work from any of them after the bound.
+// An endpoint's host is being removed. The host list of one router shows it at once, while those of
+// the others are stale for minutes. No router may give the endpoint new work after the bound.
 #[test]
 fn one_router_that_knows_is_enough() {
     for teller in 0..8 {
@@ -59,7 +60,8 @@
     }
 }
 
-// The same while a third of the links is cut, so that what is told at once gets lost.
+// The same while 8 of the 28 links are cut, so that part of the immediate pushes is lost and pings
+// must spread the news.
 #[test]
 fn lost_messages_are_made_up_for_by_pings() {
     let mut fleet = fleet();
@@ -86,8 +88,8 @@
     }
 }
 
-// The host list contradicts itself: the engine is leaving, then live again, then leaving, always
-// the same generation. Once leaving, it stays so; only a later generation is another engine.
+// The host list contradicts itself: one generation of an endpoint is leaving, then live, then
+// leaving again. It must stay leaving; only a later generation is a new endpoint.
 #[test]
 fn a_contradicting_list_cannot_put_it_back_but_a_later_generation_can() {
     let mut fleet = fleet();
@@ -110,9 +112,9 @@
     assert!(used(&mut fleet, 101).contains(&endpoint(1)));
 }
 
-// The network parts and the minority side can't read the host list, but one of its routers read
-// it just before. All of that side must know. A side on which nobody knows learns of it when the
-// parts join, within the bound.
+// During a network partition the minority side can't read the host list, but one of its routers
+// read it just before. All routers of that side must learn what it knows. The other side must learn
+// of it within the bound after the partition heals.
 #[test]
 fn the_minority_side_of_a_partition_knows_what_one_of_it_knows() {
     let mut fleet = fleet();
@@ -141,8 +143,8 @@
     assert!((0..8).all(|router| closed(&fleet, router, 1) && closed(&fleet, router, 2)));
 }
 
-// A router restarts with nothing in memory while its host list lags. Its peers tell it what
-// leaves as soon as they connect.
+// A router restarts without state while its host list is stale. Its peers must send it the leaving
+// endpoints as soon as they connect.
 #[test]
 fn a_restarted_router_is_told_at_once() {
     let mut fleet = fleet();
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of endpoints, early refusal, retry budgets, and the way back after an overload.
+//! Slot limits of endpoints, early refusal, retry budgets, and recovery from overload.
 
 mod cores;
 
@@ -41,8 +41,8 @@
 
 #[test]
 fn pressure_lowers_a_limit_and_it_comes_back() {
-    // An engine gets long prompts, holds requests back inside and first tokens come late. The
-    // owner must give it less until it has room again, then all of its published slots.
+    // An endpoint queues requests internally, as with long prompts, so that first tokens are late.
+    // The owner must lower its limit, then restore all published slots once the pressure is gone.
     let mut fleet = CoreFleet::new(1, catalog(1, 16));
     for _ in 0..8 {
         fleet.tell(0, load(endpoint(1), 11, 5));
@@ -56,8 +56,8 @@
 
 #[test]
 fn two_sides_of_a_partition_share_an_endpoint() {
-    // The fleet is cut in two and both halves reach the same engine. Each has an owner that
-    // would give out all slots: the engine would run twice its limit and every answer be late.
+    // A partition splits the fleet and both sides reach the same endpoint. If the owner on each
+    // side allotted all slots, the endpoint would get twice its limit and every answer be late.
     let mut fleet = CoreFleet::new(2, catalog(1, 12));
     fleet.part(0, 1);
     let mut sides = [BTreeSet::new(), BTreeSet::new()];
@@ -67,7 +67,7 @@
     for _ in 0..20 {
         turn_over(&mut fleet, &mut sides, 2);
     }
-    // Half each, and the one slot that a router may keep above its target.
+    // Half of the slots each, plus the one slot that a router may keep above its target.
     assert!(sides.iter().all(|running| (6..=7).contains(&running.len())));
     for _ in 0..8 {
         turn_over(&mut fleet, &mut sides, 1);
@@ -75,8 +75,8 @@
     assert_eq!(sides[0].len(), 12);
 }
 
-/// Ends what runs on each side, starts what follows on the first `active` sides, and reports the
-/// load of both to both.
+/// Completes the running requests of each side, records what is dispatched next on the first
+/// `active` sides, and reports the total load to both sides.
 fn turn_over(fleet: &mut CoreFleet, sides: &mut [BTreeSet<u64>; 2], active: usize) {
     for (router, running) in sides.iter_mut().enumerate() {
         for request in std::mem::take(running) {
@@ -96,7 +96,7 @@
     }
 }
 
-/// What an overload did.
+/// Counts of an overload run.
 #[derive(Debug, Default)]
 struct OverloadTally {
     first_attempts: u32,
@@ -110,11 +110,11 @@
 const SLOTS: u32 = 4;
 const RUN_MS: u64 = 100;
 const PATIENCE_MS: u64 = 2_000;
-/// Requests a second that the endpoint can run.
+/// Requests per second that the endpoint can run.
 const CAPACITY: u64 = SLOTS as u64 * 1_000 / RUN_MS;
 
-/// An endpoint that runs up to `room` requests and refuses more, under a load in percent of its
-/// capacity that changes with time.
+/// Simulates an endpoint that runs up to `room` requests at once and refuses more, under a load
+/// that is given in percent of its capacity.
 struct OverloadRun {
     fleet: CoreFleet,
     room: usize,
@@ -226,8 +226,8 @@
 
 #[test]
 fn overload_is_refused_early_and_truly_and_the_rest_is_in_time() {
-    // Every clinic asks at once. Without early refusal each request waits until its caller has
-    // given up, is run all the same, and nobody gets an answer in time.
+    // The load exceeds the capacity. Without early refusal, requests wait until their callers have
+    // timed out and run nevertheless, so that no answer is in time.
     for percent in [200, 1_000] {
         let mut run = OverloadRun::new(SLOTS as usize);
         run.run(20_000, percent);
@@ -241,8 +241,8 @@
 
 #[test]
 fn retries_amplify_by_at_most_a_tenth_and_the_saved_ones() {
-    // An engine refuses half of what its published slots allow. Each refusal is retried, and
-    // without a budget the retries would be the greater part of its load.
+    // An endpoint accepts only half of its published slots. Each refusal is retried, and without a
+    // retry budget most of its load would be retries.
     let config = verbenaturn::configs::attempts::AttemptsConfig::default();
     for percent in [200, 1_000] {
         let mut run = OverloadRun::new(SLOTS as usize / 2);
@@ -259,11 +259,11 @@
 
 #[test]
 fn the_way_back_takes_no_longer_than_the_queue() {
-    // The rush is over, but queues are full of requests that are nearly too late. If the router
-    // went on with those, every new request would be too late as well, for ever.
+    // The overload is over, but queues are full of requests that are close to their deadlines. If
+    // the router kept serving those first, every new request would be late too, indefinitely.
     let mut run = OverloadRun::new(SLOTS as usize);
     run.run(20_000, 1_000);
-    // At half load the queue of at most PATIENCE_MS of work is gone after twice that.
+    // At half load, a queue of at most PATIENCE_MS of work is empty after twice that time.
     run.run(2 * PATIENCE_MS, 50);
     run.tally = OverloadTally::default();
     run.run(5_000, 50);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries of attempts that found no endpoint.
+//! Retries of failed attempts.
 
 mod cores;
 
@@ -16,8 +16,8 @@
 
 #[test]
 fn an_endpoint_that_stays_away_is_told_at_once_and_truly() {
-    // The only endpoint of a pool refuses connections. The caller is told within a second that
-    // its request did not run and when to come back; it is not held until its deadline.
+    // The only endpoint of a pool refuses connections. Within a second the request must be refused
+    // as not run, with a time after which to retry, rather than held until its deadline.
     let mut fleet = CoreFleet::new(1, catalog(1, 4));
     fleet.advance(500);
     fleet.tell(0, CoreEvent::Arrived(facts(1)));
@@ -43,8 +43,9 @@
 
 #[test]
 fn attempts_that_reached_an_endpoint_are_bounded() {
-    // An endpoint accepts connections and loses every answer. A repeatable request is tried
-    // three times and then refused as unknown: more tries would multiply the load.
+    // An endpoint accepts connections but loses every answer. A repeatable request must be tried
+    // three times and then refused with an unknown outcome, since more tries would multiply the
+    // load.
     let mut fleet = CoreFleet::new(1, catalog(1, 4));
     fleet.advance(500);
     fleet.tell(0, CoreEvent::Arrived(facts(1)));
