--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -217,7 +217,7 @@
         };
         state.send(&target, PeerBody::Gossip(ping));
     }
-    // A dead router is dialed in case it is back, but it is not expected to answer.
+    // A dead router is dialed in case it is back, without expecting an answer.
     if !dead {
         state.detector.round = Some(PingRound {
             target,
@@ -354,7 +354,7 @@
     }
 }
 
-/// Picks up to `count` connected routers other than `but`, in random order.
+/// Picks up to `count` connected routers, without the one in `but`, in random order.
 fn pick_connected(state: &mut CoreState, count: usize, but: Option<&HostName>) -> Vec<HostName> {
     let own = state.identity.host.clone();
     let mut hosts: Vec<HostName> = state
