--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -40,7 +40,7 @@
 }
 
 fn arrived(state: &mut CoreState, facts: &RequestFacts) {
-    if draining::turn_away(state, facts) {
+    if draining::redirect_or_refuse(state, facts) {
         return;
     }
     if tickets::present(state, facts) == TicketVerdict::Settled {
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -66,7 +66,7 @@
 /// Forwards a request that arrives during a drain to a peer, or refuses it. Returns false if this
 /// router must handle the request: it is not draining, or the request's ticket decides where it
 /// runs.
-pub fn turn_away(state: &mut CoreState, facts: &RequestFacts) -> bool {
+pub fn redirect_or_refuse(state: &mut CoreState, facts: &RequestFacts) -> bool {
     if !state.draining || matches!(facts.repeat, RepeatRule::Unrepeatable(Some(_))) {
         return false;
     }
