--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -40,12 +40,12 @@
         hand_over(state);
     }
     give_back_idle(state);
-    tell_if_done(state);
+    finish_drain_if_done(state);
 }
 
 /// Ends the drain once no request is left and all returned slots have been reported to their
 /// owners, or two reporting intervals have passed.
-fn tell_if_done(state: &mut CoreState) {
+fn finish_drain_if_done(state: &mut CoreState) {
     let empty = state.requests.is_empty() && state.tickets.minter_waits.is_empty();
     if !empty || state.drained {
         state.drain_quiet_since = None;
