--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -31,7 +31,7 @@
             .members
             .change(&host, |entry| entry.state = MemberState::Leaving);
         hand_over(state);
-        tell_owners(state);
+        mark_reports_urgent(state);
     }
     if !state.draining {
         return;
@@ -91,7 +91,7 @@
 }
 
 /// Makes reports urgent for all pools, since reports announce the drain to the owners.
-fn tell_owners(state: &mut CoreState) {
+fn mark_reports_urgent(state: &mut CoreState) {
     for (pool_id, pool) in &mut state.entries {
         pool.urgent = true;
         state.woken.insert(*pool_id);
