--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -52,12 +52,12 @@
         return;
     }
     let since = *state.drain_quiet_since.get_or_insert(state.now);
-    let told = state
+    let is_reported = state
         .entries
         .values()
         .all(|pool| pool.held == 0 && !pool.changed);
     let patience = TimeSpan::from_millis(2 * state.config.reporting.interval_ms);
-    if told || state.now.since(since) >= patience {
+    if is_reported || state.now.since(since) >= patience {
         state.drained = true;
         state.act(CoreAction::Drained);
     }
