--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -56,8 +56,8 @@
         .entries
         .values()
         .all(|pool| pool.held == 0 && !pool.changed);
-    let patience = TimeSpan::from_millis(2 * state.config.reporting.interval_ms);
-    if is_reported || state.now.since(since) >= patience {
+    let report_wait = TimeSpan::from_millis(2 * state.config.reporting.interval_ms);
+    if is_reported || state.now.since(since) >= report_wait {
         state.drained = true;
         state.act(CoreAction::Drained);
     }
