--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -38,7 +38,7 @@
                 spread(state, fresh);
             }
         }
-        CoreEvent::Published { .. } => follow_catalog(state),
+        CoreEvent::Published { .. } => apply_published_leaving(state),
         _ => {}
     }
 }
@@ -102,7 +102,7 @@
 
 /// Applies leaving marks of the publication. They are kept apart from those of the host list
 /// because publications are ordered by revision, not by endpoint generation.
-fn follow_catalog(state: &mut CoreState) {
+fn apply_published_leaving(state: &mut CoreState) {
     let catalog = state.catalog.clone();
     for (endpoint, entry) in &catalog.endpoints {
         let known = state.endpoints.get(*endpoint);
