--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -246,7 +246,7 @@
     let Some(limit) = state.slot_limits.limits.get(&endpoint) else {
         return published;
     };
-    let own = allowed_alone(limit, published);
+    let own = allowed_without_foreign(limit, published);
     let fresh = TimeSpan::from_millis(state.config.limits.load_fresh_ms);
     let known = limit
         .foreign_at()
@@ -256,7 +256,7 @@
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn allowed_alone(limit: &SlotLimit, published: u32) -> u32 {
+fn allowed_without_foreign(limit: &SlotLimit, published: u32) -> u32 {
     let Some(allowed) = limit.allowed else {
         return published;
     };
