--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -26,7 +26,7 @@
     match event {
         CoreEvent::EndpointLoad { .. } => take_load(state, event),
         CoreEvent::FirstByte { request, attempt } => first_byte(state, *request, *attempt),
-        CoreEvent::Tick => move_if_due(state),
+        CoreEvent::Tick => adjust_if_due(state),
         _ => {}
     }
 }
@@ -136,7 +136,7 @@
     }
 }
 
-fn move_if_due(state: &mut CoreState) {
+fn adjust_if_due(state: &mut CoreState) {
     let wait = TimeSpan::from_millis(state.config.limits.adjust_ms);
     if state.now.since(state.slot_limits.moved_at) < wait {
         return;
