--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -146,7 +146,7 @@
     watch_owned(state, &endpoints);
     for endpoint in endpoints {
         forget_gone_routers(state, endpoint);
-        move_limit(state, endpoint);
+        adjust_limit(state, endpoint);
     }
 }
 
@@ -208,7 +208,7 @@
 /// Adjusts an endpoint's limit: multiplicative decrease under pressure, additive increase by a
 /// fraction of the published slots otherwise. From the minimum, the limit is back at the published
 /// slots after at most `100 / step_up_percent` steps.
-fn move_limit(state: &mut CoreState, endpoint: EndpointId) {
+fn adjust_limit(state: &mut CoreState, endpoint: EndpointId) {
     let Some(row) = state.catalog.endpoints.get(&endpoint) else {
         return;
     };
