--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -145,7 +145,7 @@
     let endpoints = owned_endpoints(state);
     watch_owned(state, &endpoints);
     for endpoint in endpoints {
-        forget_gone_routers(state, endpoint);
+        drop_departed_routers(state, endpoint);
         adjust_limit(state, endpoint);
     }
 }
@@ -197,7 +197,7 @@
 }
 
 /// Drops late-answer reports of routers that are gone, since they can't withdraw them.
-fn forget_gone_routers(state: &mut CoreState, endpoint: EndpointId) {
+fn drop_departed_routers(state: &mut CoreState, endpoint: EndpointId) {
     let Some(limit) = state.slot_limits.limits.get_mut(&endpoint) else {
         return;
     };
