--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -78,7 +78,7 @@
     let Some(RunningAttempt { endpoint, since }) = entry.running(attempt) else {
         return;
     };
-    let (pool_id, goal) = (entry.facts.pool, goal_of(state, &entry.facts));
+    let (pool_id, goal) = (entry.facts.pool, first_byte_goal(state, &entry.facts));
     let late = state.now.since(since) > goal;
     note_answer(state, pool_id, endpoint, late);
 }
@@ -100,7 +100,7 @@
 }
 
 /// Returns the latency goal for the first byte of a request's answer.
-fn goal_of(state: &CoreState, facts: &RequestFacts) -> TimeSpan {
+fn first_byte_goal(state: &CoreState, facts: &RequestFacts) -> TimeSpan {
     let first = TimeSpan::from_millis(state.config.limits.first_byte_ms);
     let kind = state
         .catalog
