--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -26,7 +26,7 @@
 
 /// Limit of exponential backoff, for endpoints and for retries: the number of times that the base
 /// backoff is doubled.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// Handles progress and ends of attempts, and expired backoffs.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
@@ -158,7 +158,7 @@
     let row = state.endpoints.row(endpoint);
     // An endpoint that refuses connections frees its slots at once, so without a backoff it would
     // attract all traffic and cause a burst of failures. The backoff doubles with each failure.
-    row.rest_until = now + TimeSpan(rest.0 << row.failures.min(MOST_DOUBLINGS));
+    row.rest_until = now + TimeSpan(rest.0 << row.failures.min(MAX_BACKOFF_DOUBLINGS));
     row.failures += 1;
 }
 
@@ -204,7 +204,7 @@
 
 fn back_off(state: &mut CoreState, request: RequestId, retries: u32) {
     let base = TimeSpan::from_millis(state.config.attempts.backoff_ms);
-    let longest = (base.0 << retries.min(MOST_DOUBLINGS)).max(1);
+    let longest = (base.0 << retries.min(MAX_BACKOFF_DOUBLINGS)).max(1);
     let wait = TimeSpan(state.random.random_range(longest / 2..=longest));
     let until = state.now + wait;
     if let Some(entry) = state.requests.get_mut(request) {
