--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -66,11 +66,11 @@
     if units(service) <= entry.charged {
         return;
     }
-    settle(state, request, units(service));
+    set_charge(state, request, units(service));
 }
 
 /// Sets the total charge of a request's running attempt and charges its team the difference.
-fn settle(state: &mut CoreState, request: RequestId, service: i64) {
+fn set_charge(state: &mut CoreState, request: RequestId, service: i64) {
     let Some(entry) = state.requests.get_mut(request) else {
         return;
     };
@@ -101,7 +101,7 @@
     };
     let team = entry.facts.team;
     let pool_id = entry.facts.pool;
-    settle(state, request, units(service));
+    set_charge(state, request, units(service));
     release(state, request);
     note_endpoint(state, endpoint, outcome);
     if outcome == AttemptOutcome::Refused {
