--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -103,7 +103,7 @@
     let pool_id = entry.facts.pool;
     set_charge(state, request, units(service));
     release(state, request);
-    note_endpoint(state, endpoint, outcome);
+    update_endpoint_backoff(state, endpoint, outcome);
     if outcome == AttemptOutcome::Refused {
         limits::note_answer(state, pool_id, endpoint, true);
     }
@@ -146,7 +146,7 @@
     state.woken.insert(pool_id);
 }
 
-fn note_endpoint(state: &mut CoreState, endpoint: EndpointId, outcome: AttemptOutcome) {
+fn update_endpoint_backoff(state: &mut CoreState, endpoint: EndpointId, outcome: AttemptOutcome) {
     let rest = match outcome {
         AttemptOutcome::Whole | AttemptOutcome::Cancelled => {
             state.endpoints.row(endpoint).failures = 0;
