--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -147,7 +147,7 @@
 }
 
 fn update_endpoint_backoff(state: &mut CoreState, endpoint: EndpointId, outcome: AttemptOutcome) {
-    let rest = match outcome {
+    let first_backoff = match outcome {
         AttemptOutcome::Whole | AttemptOutcome::Cancelled => {
             state.endpoints.row(endpoint).failures = 0;
             return;
@@ -158,7 +158,7 @@
     let row = state.endpoints.row(endpoint);
     // An endpoint that refuses connections frees its slots at once, so without a backoff it would
     // attract all traffic and cause a burst of failures. The backoff doubles with each failure.
-    row.rest_until = now + TimeSpan(rest.0 << row.failures.min(MAX_BACKOFF_DOUBLINGS));
+    row.rest_until = now + TimeSpan(first_backoff.0 << row.failures.min(MAX_BACKOFF_DOUBLINGS));
     row.failures += 1;
 }
 
