--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -26,7 +26,7 @@
 pub const LEAD_STEP: i64 = 10_000;
 
 /// Divisor of the target that gives how many slots a router with a backlog may hold above it.
-const EXCESS_PART: u32 = 8;
+const EXCESS_DIVISOR: u32 = 8;
 
 /// Applies allotments, then dispatches waiting requests in every pool that changed.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
@@ -242,7 +242,7 @@
 fn give_back_surplus(state: &mut CoreState, pool_id: PoolId) {
     give_back_while(state, pool_id, |pool| {
         let kept = if pool.waiting > 0 {
-            pool.target + pool.target / EXCESS_PART
+            pool.target + pool.target / EXCESS_DIVISOR
         } else {
             pool.target
         };
