--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -42,7 +42,7 @@
     for pool in state.woken.clone() {
         give_back_surplus(state, pool);
         give_back_surplus(state, pool);
-        run_waiting(state, pool);
+        dispatch_waiting(state, pool);
         give_back_idle(state, pool);
     }
 }
@@ -138,7 +138,7 @@
         .saturating_mul(LEAD_STEP)
 }
 
-fn run_waiting(state: &mut CoreState, pool_id: PoolId) {
+fn dispatch_waiting(state: &mut CoreState, pool_id: PoolId) {
     loop {
         let Some(pool) = state.entries.get(&pool_id) else {
             return;
