--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -31,7 +31,7 @@
 /// Step of an answer, or of unsolicited news (sequence 0).
 const ANSWER: u32 = 1;
 /// Step of a request to ping another router (indirect ping).
-const HELP: u32 = 2;
+const PING_REQUEST: u32 = 2;
 
 /// Maximum number of other members in a greeting.
 const GREETING_MEMBERS: usize = 32;
@@ -44,7 +44,7 @@
                 match ping.step {
                     PING => answer(state, from, ping.sequence),
                     ANSWER => take_answer(state, from, ping.sequence),
-                    HELP => help(state, from, ping),
+                    PING_REQUEST => help(state, from, ping),
                     _ => {}
                 }
             }
@@ -105,7 +105,7 @@
     let count = state.config.probing.helpers;
     for helper in pick_connected(state, count, Some(target)) {
         let ping = GossipPing {
-            step: HELP,
+            step: PING_REQUEST,
             sequence,
             target: target.to_string(),
             ..loaded(state, &helper)
