--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -44,7 +44,7 @@
                 match ping.step {
                     PING => answer(state, from, ping.sequence),
                     ANSWER => take_answer(state, from, ping.sequence),
-                    PING_REQUEST => help(state, from, ping),
+                    PING_REQUEST => relay_ping(state, from, ping),
                     _ => {}
                 }
             }
@@ -300,7 +300,7 @@
     }
 }
 
-fn help(state: &mut CoreState, from: &HostName, request: &GossipPing) {
+fn relay_ping(state: &mut CoreState, from: &HostName, request: &GossipPing) {
     let Ok(target) = request.target.parse::<HostName>() else {
         return;
     };
