--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -58,7 +58,7 @@
 /// Sends a router that just connected news of this one and, if `whole`, of other members and all
 /// leaving endpoints, as a newly started router needs.
 pub fn greet(state: &mut CoreState, host: &HostName, whole: bool) {
-    let mut ping = loaded(state, host);
+    let mut ping = ping_with_news(state, host);
     ping.step = ANSWER;
     let own = state.identity.host.clone();
     let mut names = vec![own.clone()];
@@ -90,7 +90,7 @@
     for host in pick_connected(state, count, None) {
         let ping = GossipPing {
             step: ANSWER,
-            ..loaded(state, &host)
+            ..ping_with_news(state, &host)
         };
         state.send(&host, PeerBody::Gossip(ping));
     }
@@ -108,7 +108,7 @@
             step: PING_REQUEST,
             sequence,
             target: target.to_string(),
-            ..loaded(state, &helper)
+            ..ping_with_news(state, &helper)
         };
         state.send(&helper, PeerBody::Gossip(ping));
     }
@@ -213,7 +213,7 @@
         let ping = GossipPing {
             step: PING,
             sequence,
-            ..loaded(state, &target)
+            ..ping_with_news(state, &target)
         };
         state.send(&target, PeerBody::Gossip(ping));
     }
@@ -271,7 +271,7 @@
     let ping = GossipPing {
         step: ANSWER,
         sequence,
-        ..loaded(state, from)
+        ..ping_with_news(state, from)
     };
     state.send(from, PeerBody::Gossip(ping));
 }
@@ -318,7 +318,7 @@
     let ping = GossipPing {
         step: PING,
         sequence,
-        ..loaded(state, &target)
+        ..ping_with_news(state, &target)
     };
     state.send(&target, PeerBody::Gossip(ping));
 }
@@ -332,7 +332,7 @@
 }
 
 /// Builds a ping for `host` with news. If `host` is suspect or dead here, that news comes first.
-fn loaded(state: &mut CoreState, host: &HostName) -> GossipPing {
+fn ping_with_news(state: &mut CoreState, host: &HostName) -> GossipPing {
     let most = state.config.probing.news;
     let limit = telling_limit(state.members.len(), state.config.probing.spread);
     let mut names = state.detector.rumors.take(most, limit);
