--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -79,7 +79,7 @@
     let ping = GossipPing {
         step: ANSWER,
         news: vec![news],
-        ..blank(state)
+        ..empty_ping(state)
     };
     state.send(host, PeerBody::Gossip(ping));
 }
@@ -285,7 +285,7 @@
             step: ANSWER,
             sequence: relay.sequence,
             target: from.to_string(),
-            ..blank(state)
+            ..empty_ping(state)
         };
         state.send(&relay.asker, PeerBody::Gossip(ping));
     }
@@ -323,7 +323,7 @@
     state.send(&target, PeerBody::Gossip(ping));
 }
 
-fn blank(state: &CoreState) -> GossipPing {
+fn empty_ping(state: &CoreState) -> GossipPing {
     GossipPing {
         revision: state.catalog.revision.0,
         service_age: publication::service_age(state),
@@ -350,7 +350,7 @@
             .iter()
             .filter_map(|name| news_of(state, name))
             .collect(),
-        ..blank(state)
+        ..empty_ping(state)
     }
 }
 
