--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -290,7 +290,7 @@
     if row.connected && told.state != MemberState::Leaving && is_fresh(state, &host) {
         let worse = told.state >= MemberState::Suspect;
         if worse {
-            probing::tell(state, &host, news.clone());
+            probing::send_for_refutation(state, &host, news.clone());
             return;
         }
     }
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -75,7 +75,7 @@
 }
 
 /// Sends a router a piece of news about itself, so that it can refute it.
-pub fn tell(state: &mut CoreState, host: &HostName, news: MemberNews) {
+pub fn send_for_refutation(state: &mut CoreState, host: &HostName, news: MemberNews) {
     let ping = GossipPing {
         step: ANSWER,
         news: vec![news],
