--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -34,7 +34,7 @@
 const PING_REQUEST: u32 = 2;
 
 /// Maximum number of other members in a greeting.
-const GREETING_MEMBERS: usize = 32;
+const MAX_GREETING_MEMBERS: usize = 32;
 
 /// Handles pings and answers, and sends pings that are due.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
@@ -65,7 +65,7 @@
     if whole {
         let others = state.members.iter().map(|(name, _)| name);
         let others = others.filter(|name| **name != own && *name != host);
-        names.extend(others.take(GREETING_MEMBERS).cloned());
+        names.extend(others.take(MAX_GREETING_MEMBERS).cloned());
         ping.news.clear();
         ping.leaving = leaving::all_news(state);
     }
