--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -354,13 +354,17 @@
     }
 }
 
-/// Picks up to `count` connected routers, without the one in `but`, in random order.
-fn pick_connected(state: &mut CoreState, count: usize, but: Option<&HostName>) -> Vec<HostName> {
+/// Picks up to `count` connected routers, without the one in `excluded`, in random order.
+fn pick_connected(
+    state: &mut CoreState,
+    count: usize,
+    excluded: Option<&HostName>,
+) -> Vec<HostName> {
     let own = state.identity.host.clone();
     let mut hosts: Vec<HostName> = state
         .members
         .iter()
-        .filter(|(host, row)| row.connected && **host != own && Some(*host) != but)
+        .filter(|(host, row)| row.connected && **host != own && Some(*host) != excluded)
         .map(|(host, _)| host.clone())
         .collect();
     hosts.shuffle(&mut state.random);
