--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -55,14 +55,14 @@
     }
 }
 
-/// Sends a router that just connected news of this one and, if `whole`, of other members and all
+/// Sends a router that just connected news of this one and, if `include_others`, of other members and all
 /// leaving endpoints, as a newly started router needs.
-pub fn greet(state: &mut CoreState, host: &HostName, whole: bool) {
+pub fn greet(state: &mut CoreState, host: &HostName, include_others: bool) {
     let mut ping = ping_with_news(state, host);
     ping.step = ANSWER;
     let own = state.identity.host.clone();
     let mut names = vec![own.clone()];
-    if whole {
+    if include_others {
         let others = state.members.iter().map(|(name, _)| name);
         let others = others.filter(|name| **name != own && *name != host);
         names.extend(others.take(MAX_GREETING_MEMBERS).cloned());
