--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -69,8 +69,8 @@
         ping.news.clear();
         ping.leaving = leaving::all_news(state);
     }
-    let told = names.iter().filter_map(|name| news_of(state, name));
-    ping.news.extend(told);
+    let member_news = names.iter().filter_map(|name| news_of(state, name));
+    ping.news.extend(member_news);
     state.send(host, PeerBody::Gossip(ping));
 }
 
