--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -51,7 +51,7 @@
         }
         _ => {}
     }
-    become_ready(state);
+    update_readiness(state);
 }
 
 /// Returns how certain this router is to have the newest publication, for status and logs.
@@ -257,7 +257,7 @@
 /// connected or was never seen has announced its revision, none of them higher, or once the
 /// deadline has passed. Without this, a router that restarts without state could serve with an old
 /// revision from a lagging service.
-fn become_ready(state: &mut CoreState) {
+fn update_readiness(state: &mut CoreState) {
     if state.publication_sync.ready || state.catalog.revision == ConfigRevision(0) {
         return;
     }
