--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -28,7 +28,7 @@
         state.woken.extend(pools);
     }
     for pool in std::mem::take(&mut state.woken) {
-        follow_owner(state, pool);
+        update_owner(state, pool);
         report_if_due(state, pool);
     }
 }
@@ -41,7 +41,7 @@
 /// Switches to the pool's current owner. With a new owner, only the slots of running attempts are
 /// kept: free slots that the old owner granted are dropped, so that the grants of two owners never
 /// add up to more than the running attempts.
-fn follow_owner(state: &mut CoreState, pool_id: PoolId) {
+fn update_owner(state: &mut CoreState, pool_id: PoolId) {
     let version = state.members.version();
     let Some(pool) = state.entries.get_mut(&pool_id) else {
         return;
