--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -182,12 +182,12 @@
     let Some(entry) = state.requests.get(request) else {
         return;
     };
-    let (repeat, place) = (entry.facts.repeat, entry.stage);
-    let sent = entry.may_have_run || matches!(place, RequestStage::Running { .. });
+    let (repeat, current_stage) = (entry.facts.repeat, entry.stage);
+    let sent = entry.may_have_run || matches!(current_stage, RequestStage::Running { .. });
     if tickets::outlives_caller(state, repeat, sent) {
         return;
     }
-    match place {
+    match current_stage {
         RequestStage::New | RequestStage::Backoff(_) => {}
         RequestStage::Waiting => dequeue(state, request),
         RequestStage::Running { attempt, .. } => {
