--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -109,7 +109,7 @@
 
 const SLOTS: u32 = 4;
 const RUN_MS: u64 = 100;
-const PATIENCE_MS: u64 = 2_000;
+const CALLER_TIMEOUT_MS: u64 = 2_000;
 /// Requests per second that the endpoint can run.
 const CAPACITY: u64 = SLOTS as u64 * 1_000 / RUN_MS;
 
@@ -156,7 +156,7 @@
     fn arrive(&mut self) {
         self.next_request += 1;
         let mut facts = facts(self.next_request);
-        facts.deadline = self.fleet.now + TimeSpan::from_millis(PATIENCE_MS);
+        facts.deadline = self.fleet.now + TimeSpan::from_millis(CALLER_TIMEOUT_MS);
         self.arrived.insert(self.next_request, self.fleet.now);
         self.fleet.tell(0, CoreEvent::Arrived(facts));
         self.start();
@@ -217,7 +217,7 @@
         for (request, attempt) in done {
             self.running.remove(&request);
             let spent = now.since(self.arrived[&request]).as_millis();
-            self.tally.whole_in_time += u32::from(spent <= PATIENCE_MS);
+            self.tally.whole_in_time += u32::from(spent <= CALLER_TIMEOUT_MS);
             self.fleet
                 .tell(0, ended(request, attempt, AttemptOutcome::Whole));
         }
@@ -263,8 +263,8 @@
     // the router kept serving those first, every new request would be late too, indefinitely.
     let mut run = OverloadRun::new(SLOTS as usize);
     run.run(20_000, 1_000);
-    // At half load, a queue of at most PATIENCE_MS of work is empty after twice that time.
-    run.run(2 * PATIENCE_MS, 50);
+    // At half load, a queue of at most CALLER_TIMEOUT_MS of work is empty after twice that time.
+    run.run(2 * CALLER_TIMEOUT_MS, 50);
     run.tally = OverloadTally::default();
     run.run(5_000, 50);
     let tally = &run.tally;
