--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -65,19 +65,19 @@
         fleet.tell(request % 2, CoreEvent::Arrived(facts(request as u64)));
     }
     for _ in 0..20 {
-        turn_over(&mut fleet, &mut sides, 2);
+        run_round(&mut fleet, &mut sides, 2);
     }
     // Half of the slots each, plus the one slot that a router may keep above its target.
     assert!(sides.iter().all(|running| (6..=7).contains(&running.len())));
     for _ in 0..8 {
-        turn_over(&mut fleet, &mut sides, 1);
+        run_round(&mut fleet, &mut sides, 1);
     }
     assert_eq!(sides[0].len(), 12);
 }
 
 /// Completes the running requests of each side, records what is dispatched next on the first
 /// `active` sides, and reports the total load to both sides.
-fn turn_over(fleet: &mut CoreFleet, sides: &mut [BTreeSet<u64>; 2], active: usize) {
+fn run_round(fleet: &mut CoreFleet, sides: &mut [BTreeSet<u64>; 2], active: usize) {
     for (router, running) in sides.iter_mut().enumerate() {
         for request in std::mem::take(running) {
             fleet.tell(router, ended(request, 1, AttemptOutcome::Whole));
