--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -113,11 +113,11 @@
 /// Requests per second that the endpoint can run.
 const CAPACITY: u64 = SLOTS as u64 * 1_000 / RUN_MS;
 
-/// Simulates an endpoint that runs up to `room` requests at once and refuses more, under a load
+/// Simulates an endpoint that runs up to `max_running` requests at once and refuses more, under a load
 /// that is given in percent of its capacity.
 struct OverloadRun {
     fleet: CoreFleet,
-    room: usize,
+    max_running: usize,
     next_request: u64,
     due: u64,
     running: BTreeMap<u64, (Moment, u32)>,
@@ -127,10 +127,10 @@
 }
 
 impl OverloadRun {
-    fn new(room: usize) -> Self {
+    fn new(max_running: usize) -> Self {
         Self {
             fleet: CoreFleet::new(1, catalog(1, SLOTS)),
-            room,
+            max_running,
             next_request: 0,
             due: 0,
             running: BTreeMap::new(),
@@ -185,7 +185,7 @@
                     let wait = self.fleet.now.since(self.arrived[&request.0]);
                     self.tally.longest_wait_at_end = wait.as_millis();
                 }
-                if self.running.len() >= self.room {
+                if self.running.len() >= self.max_running {
                     let refused = ended(request.0, attempt.0, AttemptOutcome::Refused);
                     self.fleet.tell(0, refused);
                 } else {
