--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -276,9 +276,9 @@
 fn a_request_that_can_not_be_in_time_is_refused_at_once() {
     let mut run = OverloadRun::new(SLOTS as usize);
     run.run(5_000, 300);
-    let mut hopeless = facts(90_000);
-    hopeless.deadline = run.fleet.now + TimeSpan::from_millis(50);
-    let actions = run.fleet.ask(0, CoreEvent::Arrived(hopeless));
+    let mut too_late = facts(90_000);
+    too_late.deadline = run.fleet.now + TimeSpan::from_millis(50);
+    let actions = run.fleet.ask(0, CoreEvent::Arrived(too_late));
     let refused = actions.iter().any(|action| {
         matches!(
             action,
