--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn pressure_lowers_a_limit_and_it_comes_back() {
+fn pressure_lowers_a_limit_that_then_recovers() {
     // An endpoint queues requests internally, as with long prompts, so that first tokens are late.
     // The owner must lower its limit, then restore all published slots once the pressure is gone.
     let mut fleet = CoreFleet::new(1, catalog(1, 16));
