--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn overload_is_refused_early_and_truly_and_the_rest_is_in_time() {
+fn overload_is_refused_early_as_not_run_and_the_rest_is_in_time() {
     // The load exceeds the capacity. Without early refusal, requests wait until their callers have
     // timed out and run nevertheless, so that no answer is in time.
     for percent in [200, 1_000] {
