--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn retries_amplify_by_at_most_a_tenth_and_the_saved_ones() {
+fn retries_add_at_most_a_tenth_and_the_saved_burst() {
     // An endpoint accepts only half of its published slots. Each refusal is retried, and without a
     // retry budget most of its load would be retries.
     let config = verbenaturn::configs::attempts::AttemptsConfig::default();
