--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn the_way_back_takes_no_longer_than_the_queue() {
+fn recovery_takes_no_longer_than_draining_the_queue() {
     // The overload is over, but queues are full of requests that are close to their deadlines. If
     // the router kept serving those first, every new request would be late too, indefinitely.
     let mut run = OverloadRun::new(SLOTS as usize);
