--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_request_that_can_not_be_in_time_is_refused_at_once() {
+fn a_request_that_can_not_meet_its_deadline_is_refused_at_once() {
     let mut run = OverloadRun::new(SLOTS as usize);
     run.run(5_000, 300);
     let mut too_late = facts(90_000);
