--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -15,7 +15,7 @@
 use self::cores::facts;
 
 #[test]
-fn an_endpoint_that_stays_away_is_told_at_once_and_truly() {
+fn requests_to_an_unreachable_endpoint_are_refused_early_as_not_run() {
     // The only endpoint of a pool refuses connections. Within a second the request must be refused
     // as not run, with a time after which to retry, rather than held until its deadline.
     let mut fleet = CoreFleet::new(1, catalog(1, 4));
