--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn attempts_that_reached_an_endpoint_are_bounded() {
+fn attempts_that_may_have_run_are_bounded() {
     // An endpoint accepts connections but loses every answer. A repeatable request must be tried
     // three times and then refused with an unknown outcome, since more tries would multiply the
     // load.
