--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn arrivals_during_a_drain_go_to_a_peer_or_are_truly_refused() {
+fn arrivals_during_a_drain_are_forwarded_or_refused_as_not_run() {
     let mut fleet = CoreFleet::new(2, catalog(1, 1));
     fleet.tell(0, CoreEvent::DrainAsked);
     fleet.advance(600);
