--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn the_last_router_serves_what_waits_before_it_ends() {
+fn the_last_router_serves_its_waiting_requests_before_it_ends() {
     // All hosts are shut down one after the other. The last router has no peer for its waiting
     // requests: they must run there before the drain ends.
     let mut fleet = CoreFleet::new(1, catalog(1, 1));
