--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -50,9 +50,9 @@
 // the others are stale for minutes. No router may give the endpoint new work after the bound.
 #[test]
 fn one_router_that_knows_is_enough() {
-    for teller in 0..8 {
+    for informed_router in 0..8 {
         let mut fleet = fleet();
-        list_leaving(&mut fleet, teller, &[(endpoint(1), 3)]);
+        list_leaving(&mut fleet, informed_router, &[(endpoint(1), 3)]);
         fleet.advance(BOUND_MS);
         let used = used(&mut fleet, 1);
         assert_eq!(used.len(), 8);
