--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -63,7 +63,7 @@
 // The same while 8 of the 28 links are cut, so that part of the immediate pushes is lost and pings
 // must spread the news.
 #[test]
-fn lost_messages_are_made_up_for_by_pings() {
+fn pings_spread_news_that_pushes_lost() {
     let mut fleet = fleet();
     for (left, right) in [
         (0, 1),
