--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -91,7 +91,7 @@
 // The host list contradicts itself: one generation of an endpoint is leaving, then live, then
 // leaving again. It must stay leaving; only a later generation is a new endpoint.
 #[test]
-fn a_contradicting_list_cannot_put_it_back_but_a_later_generation_can() {
+fn a_contradicting_list_can_not_undo_leaving_but_a_later_generation_can() {
     let mut fleet = fleet();
     list_leaving(&mut fleet, 0, &[(endpoint(1), 3)]);
     for router in 0..8 {
