--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -146,7 +146,7 @@
 // A router restarts without state while its host list is stale. Its peers must send it the leaving
 // endpoints as soon as they connect.
 #[test]
-fn a_restarted_router_is_told_at_once() {
+fn a_restarted_router_learns_of_leaving_endpoints_at_once() {
     let mut fleet = fleet();
     list_leaving(&mut fleet, 0, &[(endpoint(1), 3)]);
     fleet.advance(60_000);
