--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -80,7 +80,7 @@
 
 /// An attempt in flight to the endpoint or back.
 #[derive(Debug, Clone, Copy)]
-struct Flight {
+struct InFlightAttempt {
     life: RouterIncarnation,
     router: usize,
     request: u64,
@@ -108,7 +108,7 @@
     latest: Option<(usize, u64)>,
     ticket: Option<TicketName>,
     tickets: BTreeMap<(RouterIncarnation, u64), TicketName>,
-    flights: Vec<Flight>,
+    flights: Vec<InFlightAttempt>,
     forwards: Vec<(usize, TicketName)>,
     runs: BTreeMap<TicketName, u32>,
     not_run: BTreeSet<TicketName>,
@@ -253,7 +253,7 @@
         self.tell_end(flight, outcome);
     }
 
-    fn tell_end(&mut self, flight: Flight, outcome: AttemptOutcome) {
+    fn tell_end(&mut self, flight: InFlightAttempt, outcome: AttemptOutcome) {
         if self.fleet.life(flight.router) != Some(flight.life) {
             return;
         }
@@ -310,7 +310,7 @@
         match action {
             CoreAction::Dispatch {
                 request, attempt, ..
-            } => self.flights.push(Flight {
+            } => self.flights.push(InFlightAttempt {
                 life,
                 router,
                 request: request.0,
