--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -37,7 +37,7 @@
 
 /// Maximum number of states that the search may visit. It fails if it needs more, so that a search
 /// that passes is complete.
-const MOST_STATES: usize = 60_000;
+const MAX_STATES: usize = 60_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
@@ -437,7 +437,7 @@
         if !self.seen.insert(world.digest()) {
             return;
         }
-        assert!(self.seen.len() <= MOST_STATES, "the search is too large");
+        assert!(self.seen.len() <= MAX_STATES, "the search is too large");
         self.ran += usize::from(!world.runs.is_empty());
         let steps = world.steps();
         self.ends += usize::from(steps.is_empty());
