--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -452,7 +452,7 @@
     }
 }
 
-const NOTHING: Budget = Budget {
+const NO_FAULTS: Budget = Budget {
     sends: SENDS,
     leaves: 0,
     crashes: 0,
@@ -476,7 +476,7 @@
     explore(Budget {
         doubles: 1,
         waits: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
 
@@ -485,7 +485,7 @@
     explore(Budget {
         leaves: 1,
         waits: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
 
@@ -493,7 +493,7 @@
 fn crashes_at_every_step() {
     explore(Budget {
         crashes: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
 
@@ -501,7 +501,7 @@
 fn partitions_at_every_step() {
     explore(Budget {
         parts: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
 
@@ -511,6 +511,6 @@
         sends: 2,
         crashes: 1,
         parts: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
