--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -250,10 +250,10 @@
     /// Ends an attempt. A router that has crashed since gets no event for it.
     fn end(&mut self, place: usize, outcome: AttemptOutcome) {
         let flight = self.flights.remove(place);
-        self.tell_end(flight, outcome);
+        self.deliver_end(flight, outcome);
     }
 
-    fn tell_end(&mut self, flight: InFlightAttempt, outcome: AttemptOutcome) {
+    fn deliver_end(&mut self, flight: InFlightAttempt, outcome: AttemptOutcome) {
         if self.fleet.life(flight.router) != Some(flight.life) {
             return;
         }
@@ -271,7 +271,7 @@
     fn answer(&mut self, place: usize, copies: u32) {
         self.budget.doubles -= copies - 1;
         let flight = self.flights.remove(place);
-        (0..copies).for_each(|_| self.tell_end(flight, AttemptOutcome::Whole));
+        (0..copies).for_each(|_| self.deliver_end(flight, AttemptOutcome::Whole));
     }
 
     /// Crashes and restarts a router. Attempts that were only decided are lost; written ones stay
