--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -326,7 +326,7 @@
                 }
             }
             CoreAction::OfferTicket { request, ticket } => {
-                self.told_not_run(life, request.0);
+                self.record_not_run(life, request.0);
                 if self.latest == Some((router, request.0)) {
                     self.ticket = Some(*ticket);
                     self.latest = None;
@@ -350,7 +350,7 @@
                 assert_eq!(runs, Some(&1), "told that it ran");
             }
             RunOutcome::NotRun => {
-                self.told_not_run(life, request);
+                self.record_not_run(life, request);
                 // The caller relies on this and starts over with another ticket.
                 if self.latest == Some((router, request)) {
                     self.ticket = None;
@@ -363,7 +363,7 @@
         }
     }
 
-    fn told_not_run(&mut self, life: RouterIncarnation, request: u64) {
+    fn record_not_run(&mut self, life: RouterIncarnation, request: u64) {
         if let Some(ticket) = self.tickets.get(&(life, request)) {
             self.not_run.insert(*ticket);
         }
