--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -103,7 +103,7 @@
 struct World {
     fleet: CoreFleet,
     budget: Budget,
-    parted: bool,
+    partitioned: bool,
     next_request: u64,
     latest: Option<(usize, u64)>,
     ticket: Option<TicketName>,
@@ -119,7 +119,7 @@
         Self {
             fleet: CoreFleet::with_tick(2, catalog(1, 2), COARSE_TICK_US),
             budget,
-            parted: false,
+            partitioned: false,
             next_request: 0,
             latest: None,
             ticket: None,
@@ -162,7 +162,7 @@
         if budget.crashes > 0 {
             steps.extend(routers.map(Step::Crash));
         }
-        if self.parted {
+        if self.partitioned {
             steps.push(Step::Mend);
         } else if budget.parts > 0 {
             steps.push(Step::Part);
@@ -198,12 +198,12 @@
             Step::Crash(router) => self.crash(router),
             Step::Part => {
                 self.budget.parts -= 1;
-                self.parted = true;
+                self.partitioned = true;
                 self.fleet.part(0, 1);
                 self.settle();
             }
             Step::Mend => {
-                self.parted = false;
+                self.partitioned = false;
                 self.fleet.mend(0, 1);
                 self.settle();
             }
@@ -382,7 +382,7 @@
     /// Hashes all that determines which events can follow; times and traffic counts are left out.
     fn digest(&self) -> u64 {
         let mut parts = vec![
-            format!("{:?}{:?}{:?}", self.budget, self.parted, self.latest),
+            format!("{:?}{:?}{:?}", self.budget, self.partitioned, self.latest),
             format!("{:?}{:?}", self.ticket, self.forwards),
             format!("{:?}{:?}{:?}", self.runs, self.not_run, self.flights),
         ];
