--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -64,7 +64,7 @@
     /// A router crashes and restarts without state.
     Crash(usize),
     /// The link between the routers breaks.
-    Part,
+    Partition,
     /// The link between the routers is restored.
     Mend,
     /// Time passes.
@@ -165,7 +165,7 @@
         if self.partitioned {
             steps.push(Step::Mend);
         } else if budget.parts > 0 {
-            steps.push(Step::Part);
+            steps.push(Step::Partition);
         }
         if budget.waits > 0 {
             steps.push(Step::Wait);
@@ -196,7 +196,7 @@
                 self.forwards.remove(place);
             }
             Step::Crash(router) => self.crash(router),
-            Step::Part => {
+            Step::Partition => {
                 self.budget.parts -= 1;
                 self.partitioned = true;
                 self.fleet.part(0, 1);
