--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -66,7 +66,7 @@
     /// The link between the routers breaks.
     Partition,
     /// The link between the routers is restored.
-    Mend,
+    HealPartition,
     /// Time passes.
     Wait,
 }
@@ -163,7 +163,7 @@
             steps.extend(routers.map(Step::Crash));
         }
         if self.partitioned {
-            steps.push(Step::Mend);
+            steps.push(Step::HealPartition);
         } else if budget.parts > 0 {
             steps.push(Step::Partition);
         }
@@ -202,7 +202,7 @@
                 self.fleet.part(0, 1);
                 self.settle();
             }
-            Step::Mend => {
+            Step::HealPartition => {
                 self.partitioned = false;
                 self.fleet.mend(0, 1);
                 self.settle();
