--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -481,7 +481,7 @@
 }
 
 #[test]
-fn callers_that_leave_and_pauses() {
+fn callers_that_disconnect_and_pauses() {
     explore(Budget {
         leaves: 1,
         waits: 1,
