--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn lost_and_doubled_messages() {
+fn lost_and_duplicated_messages() {
     explore(Budget {
         doubles: 1,
         waits: 1,
