--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -334,17 +334,23 @@
             }
             CoreAction::Refuse {
                 request, outcome, ..
-            } => self.told(router, life, request.0, *outcome),
+            } => self.record_outcome(router, life, request.0, *outcome),
             CoreAction::Complete { request } => {
-                self.told(router, life, request.0, RunOutcome::Ran);
+                self.record_outcome(router, life, request.0, RunOutcome::Ran);
             }
             _ => {}
         }
     }
 
-    fn told(&mut self, router: usize, life: RouterIncarnation, request: u64, told: RunOutcome) {
+    fn record_outcome(
+        &mut self,
+        router: usize,
+        life: RouterIncarnation,
+        request: u64,
+        outcome: RunOutcome,
+    ) {
         let ticket = self.tickets.get(&(life, request)).copied();
-        match told {
+        match outcome {
             RunOutcome::Ran => {
                 let runs = ticket.and_then(|ticket| self.runs.get(&ticket));
                 assert_eq!(runs, Some(&1), "told that it ran");
