--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -238,7 +238,7 @@
 /// Returns free slots above the target to the owner before requests are started on them.
 /// Otherwise a router with a backlog would reuse its slots forever, and a lower target or limit
 /// would never take effect. While requests wait here, the router keeps slightly more than the
-/// target, so that a target that alternates between two values causes no messages.
+/// target, so that a target that alternates by one causes no messages.
 fn give_back_surplus(state: &mut CoreState, pool_id: PoolId) {
     give_back_while(state, pool_id, |pool| {
         let kept = if pool.waiting > 0 {
--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -63,10 +63,11 @@
     let limit = state.slot_limits.limits.entry(*endpoint).or_default();
     let present = running + waiting;
     limit.note_foreign(present.saturating_sub(ours), now);
-    // During a partition two owners may give the endpoint up to twice its slots, so that it queues
-    // requests. Subtracting foreign load corrects that within seconds; lowering the limit as well
-    // would leave the endpoint underused long after. Queued requests therefore count as pressure
-    // only while the endpoint has no more requests than published slots.
+    // During a partition two owners may give the endpoint up to twice its slots, and it queues
+    // requests for that reason alone. Subtracting foreign load corrects that within seconds;
+    // lowering the limit as well would leave the endpoint idle long after. Queued requests
+    // therefore count as pressure only while the endpoint has no more requests than published
+    // slots.
     limit.held_back |= *waiting > 0 && present <= published;
 }
 
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Sends a router that just connected news of this one and, if `include_others`, of other members and all
-/// leaving endpoints, as a newly started router needs.
+/// Sends a router that just connected news of this one and, if `include_others`, of other members
+/// and of leaving endpoints, as a newly started router needs.
 pub fn greet(state: &mut CoreState, host: &HostName, include_others: bool) {
     let mut ping = ping_with_news(state, host);
     ping.step = ANSWER;
@@ -114,8 +114,8 @@
     }
 }
 
-/// In a large fleet, keeps connections to the owners of pools and closes connections that have been
-/// idle for the configured time. In a small fleet, all connections stay open.
+/// In a large fleet, keeps connections to the owners of pools and closes connections that have not
+/// been needed for the configured time. In a small fleet, all connections stay open.
 pub fn keep_connections(state: &mut CoreState) {
     if is_small(state) {
         return;
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -54,7 +54,7 @@
     update_readiness(state);
 }
 
-/// Returns how certain this router is to have the newest publication, for status and logs.
+/// Returns how current this router's publication is known to be, for status and logs.
 #[must_use]
 pub fn knowledge(state: &CoreState) -> ConfigKnowledge {
     let sync = &state.publication_sync;
@@ -323,7 +323,7 @@
         assert_eq!(reader_count(8, 4), 8);
         assert_eq!(reader_count(1_300, 21), 42);
         // A long-poll watch counts as one read and ends after 30 s, and each of 8,800 changes a day
-        // ends every watch once more: 5.7 reads/s for the large fleet, where 2,000 are allowed.
+        // ends every watch once more: 5.7 reads/s for the large fleet, out of 2,000.
         let reads_per_day = |readers: usize| readers * (86_400 / WATCH_S + 8_800);
         assert!(reads_per_day(reader_count(8, 4)) < 2 * 86_400);
         assert!(reads_per_day(reader_count(1_300, 21)) < 6 * 86_400);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -113,8 +113,8 @@
 /// Requests per second that the endpoint can run.
 const CAPACITY: u64 = SLOTS as u64 * 1_000 / RUN_MS;
 
-/// Simulates an endpoint that runs up to `max_running` requests at once and refuses more, under a load
-/// that is given in percent of its capacity.
+/// Simulates an endpoint that runs up to `max_running` requests at once and refuses more, under a
+/// load that is given in percent of its capacity.
 struct OverloadRun {
     fleet: CoreFleet,
     max_running: usize,
