--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -65,8 +65,8 @@
     let pool_id = PoolId(allotment.pool);
     // The owner no longer counts slots granted to an earlier incarnation of this router, and the
     // acknowledgements would suppress reports of this incarnation.
-    let is_for_earlier_life = allotment.entry != epoch_of(state.identity.incarnation);
-    if is_for_earlier_life {
+    let is_for_earlier_incarnation = allotment.entry != epoch_of(state.identity.incarnation);
+    if is_for_earlier_incarnation {
         return;
     }
     let Some(pool) = state.entries.get_mut(&pool_id) else {
