--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -108,7 +108,7 @@
     latest: Option<(usize, u64)>,
     ticket: Option<TicketName>,
     tickets: BTreeMap<(RouterIncarnation, u64), TicketName>,
-    flights: Vec<InFlightAttempt>,
+    in_flight: Vec<InFlightAttempt>,
     forwards: Vec<(usize, TicketName)>,
     runs: BTreeMap<TicketName, u32>,
     not_run: BTreeSet<TicketName>,
@@ -124,7 +124,7 @@
             latest: None,
             ticket: None,
             tickets: BTreeMap::new(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             forwards: Vec::new(),
             runs: BTreeMap::new(),
             not_run: BTreeSet::new(),
@@ -141,7 +141,7 @@
         if budget.leaves > 0 && self.latest.is_some() {
             steps.push(Step::Leave);
         }
-        for (place, flight) in self.flights.iter().enumerate() {
+        for (place, flight) in self.in_flight.iter().enumerate() {
             match flight.stage {
                 Stage::Decided => steps.extend([Step::Write(place), Step::WriteTooLate(place)]),
                 Stage::Written => steps.extend([Step::Run(place), Step::LoseRequest(place)]),
@@ -180,7 +180,7 @@
                 self.call(router, self.ticket, true);
             }
             Step::Leave => self.leave(),
-            Step::Write(place) => self.flights[place].stage = Stage::Written,
+            Step::Write(place) => self.in_flight[place].stage = Stage::Written,
             Step::WriteTooLate(place) => self.end(place, AttemptOutcome::NotSent),
             Step::Run(place) => self.run(place),
             Step::LoseRequest(place) | Step::LoseAnswer(place) => {
@@ -242,14 +242,14 @@
     }
 
     fn run(&mut self, place: usize) {
-        let flight = &mut self.flights[place];
+        let flight = &mut self.in_flight[place];
         flight.stage = Stage::Ran;
         *self.runs.entry(flight.ticket).or_default() += 1;
     }
 
     /// Ends an attempt. A router that has crashed since gets no event for it.
     fn end(&mut self, place: usize, outcome: AttemptOutcome) {
-        let flight = self.flights.remove(place);
+        let flight = self.in_flight.remove(place);
         self.deliver_end(flight, outcome);
     }
 
@@ -270,7 +270,7 @@
 
     fn answer(&mut self, place: usize, copies: u32) {
         self.budget.doubles -= copies - 1;
-        let flight = self.flights.remove(place);
+        let flight = self.in_flight.remove(place);
         (0..copies).for_each(|_| self.deliver_end(flight, AttemptOutcome::Whole));
     }
 
@@ -278,7 +278,7 @@
     /// in flight.
     fn crash(&mut self, router: usize) {
         self.budget.crashes -= 1;
-        self.flights
+        self.in_flight
             .retain(|flight| flight.router != router || flight.stage != Stage::Decided);
         self.latest = self.latest.filter(|(at, _)| *at != router);
         self.fleet.stop(router);
@@ -310,7 +310,7 @@
         match action {
             CoreAction::Dispatch {
                 request, attempt, ..
-            } => self.flights.push(InFlightAttempt {
+            } => self.in_flight.push(InFlightAttempt {
                 life,
                 router,
                 request: request.0,
@@ -390,7 +390,7 @@
         let mut parts = vec![
             format!("{:?}{:?}{:?}", self.budget, self.partitioned, self.latest),
             format!("{:?}{:?}", self.ticket, self.forwards),
-            format!("{:?}{:?}{:?}", self.runs, self.not_run, self.flights),
+            format!("{:?}{:?}{:?}", self.runs, self.not_run, self.in_flight),
         ];
         for router in 0..2 {
             let state = self.fleet.core(router).state();
