--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -96,7 +96,7 @@
     leaves: u32,
     crashes: u32,
     parts: u32,
-    doubles: u32,
+    duplicates: u32,
     waits: u32,
 }
 
@@ -147,7 +147,7 @@
                 Stage::Written => steps.extend([Step::Run(place), Step::LoseRequest(place)]),
                 Stage::Ran => {
                     steps.extend([Step::Answer(place, 1), Step::LoseAnswer(place)]);
-                    if budget.doubles > 0 {
+                    if budget.duplicates > 0 {
                         steps.push(Step::Answer(place, 2));
                     }
                 }
@@ -155,7 +155,7 @@
         }
         for place in 0..self.forwards.len() {
             steps.extend([Step::Forwarded(place, 1), Step::LoseForwarded(place)]);
-            if budget.doubles > 0 {
+            if budget.duplicates > 0 {
                 steps.push(Step::Forwarded(place, 2));
             }
         }
@@ -189,7 +189,7 @@
             Step::Answer(place, copies) => self.answer(place, copies),
             Step::Forwarded(place, copies) => {
                 let (router, ticket) = self.forwards.remove(place);
-                self.budget.doubles -= copies - 1;
+                self.budget.duplicates -= copies - 1;
                 (0..copies).for_each(|_| self.call(router, Some(ticket), false));
             }
             Step::LoseForwarded(place) => {
@@ -269,7 +269,7 @@
     }
 
     fn answer(&mut self, place: usize, copies: u32) {
-        self.budget.doubles -= copies - 1;
+        self.budget.duplicates -= copies - 1;
         let flight = self.in_flight.remove(place);
         (0..copies).for_each(|_| self.deliver_end(flight, AttemptOutcome::Whole));
     }
@@ -463,7 +463,7 @@
     leaves: 0,
     crashes: 0,
     parts: 0,
-    doubles: 0,
+    duplicates: 0,
     waits: 0,
 };
 
@@ -480,7 +480,7 @@
 #[test]
 fn lost_and_duplicated_messages() {
     explore(Budget {
-        doubles: 1,
+        duplicates: 1,
         waits: 1,
         ..NO_FAULTS
     });
