--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts: charges as the answer streams, ends, retries within budgets.
+//! Lifecycle of attempts: charging as the answer streams, ends, and retries within budgets.
 
 use rand::RngExt;
 
@@ -24,10 +24,11 @@
 use crate::units::TeamId;
 use crate::units::TimeSpan;
 
-/// Longest rest of an endpoint after failures, as a doubling of the first backoff.
-const MOST_DOUBLINGS: u32 = 6;
+/// Limit of exponential backoff, for endpoints and for retries: the number of times that the base
+/// backoff is doubled.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// Takes in progress and ends of attempts.
+/// Handles progress and ends of attempts, and expired backoffs.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::Progress {
@@ -65,11 +66,11 @@
     if units(service) <= entry.charged {
         return;
     }
-    settle(state, request, units(service));
+    set_charge(state, request, units(service));
 }
 
-/// Sets what the running attempt of a request has been charged.
-fn settle(state: &mut CoreState, request: RequestId, service: i64) {
+/// Sets the total charge of a request's running attempt and charges its team the difference.
+fn set_charge(state: &mut CoreState, request: RequestId, service: i64) {
     let Some(entry) = state.requests.get_mut(request) else {
         return;
     };
@@ -100,9 +101,9 @@
     };
     let team = entry.facts.team;
     let pool_id = entry.facts.pool;
-    settle(state, request, units(service));
+    set_charge(state, request, units(service));
     release(state, request);
-    note_endpoint(state, endpoint, outcome);
+    update_endpoint_backoff(state, endpoint, outcome);
     if outcome == AttemptOutcome::Refused {
         limits::note_answer(state, pool_id, endpoint, true);
     }
@@ -122,7 +123,7 @@
     }
 }
 
-/// Frees the slot of a request whose attempt ended or was cancelled.
+/// Frees the slot that a request's ended or cancelled attempt used.
 pub fn release(state: &mut CoreState, request: RequestId) {
     let Some(entry) = state.requests.get_mut(request) else {
         return;
@@ -145,8 +146,8 @@
     state.touched_pools.insert(pool_id);
 }
 
-fn note_endpoint(state: &mut CoreState, endpoint: EndpointId, outcome: AttemptOutcome) {
-    let rest = match outcome {
+fn update_endpoint_backoff(state: &mut CoreState, endpoint: EndpointId, outcome: AttemptOutcome) {
+    let first_backoff = match outcome {
         AttemptOutcome::Whole | AttemptOutcome::Cancelled => {
             state.endpoints.row(endpoint).failures = 0;
             return;
@@ -155,13 +156,13 @@
     };
     let now = state.now;
     let row = state.endpoints.row(endpoint);
-    // An endpoint that refuses connections would otherwise draw all traffic, since it frees its
-    // slots at once; seen as a burst of failures. It rests, twice as long each time.
-    row.backoff_until = now + TimeSpan(rest.0 << row.failures.min(MOST_DOUBLINGS));
+    // An endpoint that refuses connections frees its slots at once, so without a backoff it would
+    // attract all traffic and cause a burst of failures. The backoff doubles with each failure.
+    row.backoff_until = now + TimeSpan(first_backoff.0 << row.failures.min(MAX_BACKOFF_DOUBLINGS));
     row.failures += 1;
 }
 
-/// What may be said of a request's execution if it ended now.
+/// Returns the outcome to report for a request that ends without an answer now.
 #[must_use]
 pub fn outcome_so_far(entry: &RequestEntry) -> RunOutcome {
     if entry.may_have_run {
@@ -183,8 +184,8 @@
         entry.passed_on = entry.passed_on.max(offset);
     }
     let resumable = entry.passed_on == 0 || entry.facts.resumable;
-    // An unrepeatable request whose bytes may have reached an endpoint is never tried again: a
-    // second execution is the doubled tag that the users forbid.
+    // An unrepeatable request whose bytes may have reached an endpoint is never retried: a second
+    // execution would violate the at-most-once guarantee.
     let allowed = (proved_not_run && !entry.may_have_run) || entry.is_repeatable();
     let tries_left = entry.attempts < state.config.attempts.max_attempts;
     let so_far = outcome_so_far(entry);
@@ -203,7 +204,7 @@
 
 fn back_off(state: &mut CoreState, request: RequestId, retries: u32) {
     let base = TimeSpan::from_millis(state.config.attempts.backoff_ms);
-    let longest = (base.0 << retries.min(MOST_DOUBLINGS)).max(1);
+    let longest = (base.0 << retries.min(MAX_BACKOFF_DOUBLINGS)).max(1);
     let wait = TimeSpan(state.random.random_range(longest / 2..=longest));
     let until = state.now + wait;
     if let Some(entry) = state.requests.get_mut(request) {
@@ -230,7 +231,7 @@
     }
 }
 
-/// Last moment at which the first byte of an attempt may be written.
+/// Returns the last moment at which the first byte of an attempt may be written.
 #[must_use]
 pub fn write_limit(state: &CoreState, deadline: Moment) -> Moment {
     let span = TimeSpan::from_millis(state.config.dispatch.write_within_ms);
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -1,8 +1,9 @@
-//! Pinging other routers in turn, and passing news on with each ping and answer.
+//! Failure detection and gossip: pings other routers in turn and attaches news to each ping and
+//! answer.
 //!
-//! Each period one router is pinged, in an order that is shuffled anew for each turn, so that
-//! every router is pinged once a turn and the load of a router does not grow with the fleet. If
-//! it does not answer, a few others are asked to ping it before it is suspected.
+//! Each period one router is pinged. The order is shuffled for each round over all routers, so that
+//! every router is pinged once per round and the load on a router does not grow with the fleet. If
+//! a router does not answer, a few others are asked to ping it before it is suspected.
 
 use rand::seq::SliceRandom;
 
@@ -25,17 +26,17 @@
 use crate::wire::gossip::GossipPing;
 use crate::wire::gossip::MemberNews;
 
-/// A ping that wants an answer.
+/// Step of a ping that expects an answer.
 const PING: u32 = 0;
-/// An answer, or news that nobody asked for (sequence 0).
+/// Step of an answer, or of unsolicited news (sequence 0).
 const ANSWER: u32 = 1;
-/// A request to ping another router.
-const HELP: u32 = 2;
+/// Step of a request to ping another router (indirect ping).
+const PING_REQUEST: u32 = 2;
 
-/// Members in a greeting at most.
-const GREETING_MEMBERS: usize = 32;
+/// Maximum number of other members in a greeting.
+const MAX_GREETING_MEMBERS: usize = 32;
 
-/// Answers pings and sends the ones that are due.
+/// Handles pings and answers, and sends pings that are due.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::Message { from, message, .. } => {
@@ -43,7 +44,7 @@
                 match ping.step {
                     PING => answer(state, from, ping.sequence),
                     ANSWER => take_answer(state, from, ping.sequence),
-                    HELP => help(state, from, ping),
+                    PING_REQUEST => relay_ping(state, from, ping),
                     _ => {}
                 }
             }
@@ -54,47 +55,48 @@
     }
 }
 
-/// Tells a router that just connected who this one is and, if `whole`, all that a newcomer needs.
-pub fn greet(state: &mut CoreState, host: &HostName, whole: bool) {
-    let mut ping = loaded(state, host);
+/// Sends a router that just connected news of this one and, if `include_others`, of other members
+/// and of leaving endpoints, as a newly started router needs.
+pub fn greet(state: &mut CoreState, host: &HostName, include_others: bool) {
+    let mut ping = ping_with_news(state, host);
     ping.step = ANSWER;
     let own = state.identity.host.clone();
     let mut names = vec![own.clone()];
-    if whole {
+    if include_others {
         let others = state.members.iter().map(|(name, _)| name);
         let others = others.filter(|name| **name != own && *name != host);
-        names.extend(others.take(GREETING_MEMBERS).cloned());
+        names.extend(others.take(MAX_GREETING_MEMBERS).cloned());
         ping.news.clear();
         ping.leaving = leaving::all_news(state);
     }
-    let told = names.iter().filter_map(|name| news_of(state, name));
-    ping.news.extend(told);
+    let member_news = names.iter().filter_map(|name| news_of(state, name));
+    ping.news.extend(member_news);
     state.send(host, PeerBody::Gossip(ping));
 }
 
-/// Tells a router a piece of news about itself, so that it can refute.
-pub fn tell(state: &mut CoreState, host: &HostName, news: MemberNews) {
+/// Sends a router a piece of news about itself, so that it can refute it.
+pub fn send_for_refutation(state: &mut CoreState, host: &HostName, news: MemberNews) {
     let ping = GossipPing {
         step: ANSWER,
         news: vec![news],
-        ..blank(state)
+        ..empty_ping(state)
     };
     state.send(host, PeerBody::Gossip(ping));
 }
 
-/// Passes news on to a few routers at once, without waiting for the next ping.
+/// Pushes pending news to a few routers at once, without waiting for the next ping.
 pub fn push(state: &mut CoreState) {
     let count = state.config.probing.fanout;
     for host in pick_connected(state, count, None) {
         let ping = GossipPing {
             step: ANSWER,
-            ..loaded(state, &host)
+            ..ping_with_news(state, &host)
         };
         state.send(&host, PeerBody::Gossip(ping));
     }
 }
 
-/// Asks a few routers to ping one that this router doesn't reach.
+/// Asks a few routers to ping one that this router can't reach (indirect ping).
 pub fn ask_helpers(state: &mut CoreState, target: &HostName) {
     let sequence = match &state.detector.round {
         Some(round) if round.target == *target => round.sequence,
@@ -103,17 +105,17 @@
     let count = state.config.probing.helpers;
     for helper in pick_connected(state, count, Some(target)) {
         let ping = GossipPing {
-            step: HELP,
+            step: PING_REQUEST,
             sequence,
             target: target.to_string(),
-            ..loaded(state, &helper)
+            ..ping_with_news(state, &helper)
         };
         state.send(&helper, PeerBody::Gossip(ping));
     }
 }
 
-/// In a large fleet, keeps connections to the owners of pools and closes those that nobody
-/// needed for a while. In a small one, all stay.
+/// In a large fleet, keeps connections to the owners of pools and closes connections that have not
+/// been needed for the configured time. In a small fleet, all connections stay open.
 pub fn keep_connections(state: &mut CoreState) {
     if is_small(state) {
         return;
@@ -211,11 +213,11 @@
         let ping = GossipPing {
             step: PING,
             sequence,
-            ..loaded(state, &target)
+            ..ping_with_news(state, &target)
         };
         state.send(&target, PeerBody::Gossip(ping));
     }
-    // A dead router is dialed, in case it is back, but owes no answer.
+    // A dead router is dialed in case it is back, without expecting an answer.
     if !dead {
         state.detector.round = Some(PingRound {
             target,
@@ -230,7 +232,7 @@
     loop {
         if let Some(host) = state.detector.ping_order.pop() {
             let known = state.members.get(&host);
-            // In a small fleet the dead are dialed all the time anyway.
+            // In a small fleet, dead routers are redialed continuously anyway.
             let skip = is_small(state) && known.is_some_and(|row| row.state == MemberState::Dead);
             if known.is_some() && !skip {
                 return Some(host);
@@ -253,7 +255,7 @@
     }
 }
 
-/// A handshake answers the ping for whose sake it was made.
+/// Ends the ping round to a router whose connection just opened: the handshake counts as answer.
 fn opened(state: &mut CoreState, host: &HostName) {
     if state
         .detector
@@ -269,7 +271,7 @@
     let ping = GossipPing {
         step: ANSWER,
         sequence,
-        ..loaded(state, from)
+        ..ping_with_news(state, from)
     };
     state.send(from, PeerBody::Gossip(ping));
 }
@@ -283,7 +285,7 @@
             step: ANSWER,
             sequence: relay.sequence,
             target: from.to_string(),
-            ..blank(state)
+            ..empty_ping(state)
         };
         state.send(&relay.asker, PeerBody::Gossip(ping));
     }
@@ -298,7 +300,7 @@
     }
 }
 
-fn help(state: &mut CoreState, from: &HostName, request: &GossipPing) {
+fn relay_ping(state: &mut CoreState, from: &HostName, request: &GossipPing) {
     let Ok(target) = request.target.parse::<HostName>() else {
         return;
     };
@@ -316,12 +318,12 @@
     let ping = GossipPing {
         step: PING,
         sequence,
-        ..loaded(state, &target)
+        ..ping_with_news(state, &target)
     };
     state.send(&target, PeerBody::Gossip(ping));
 }
 
-fn blank(state: &CoreState) -> GossipPing {
+fn empty_ping(state: &CoreState) -> GossipPing {
     GossipPing {
         revision: state.catalog.revision.0,
         service_age: publication::service_age(state),
@@ -329,8 +331,8 @@
     }
 }
 
-/// A ping for `host` with news; news that it is suspect or dead comes first.
-fn loaded(state: &mut CoreState, host: &HostName) -> GossipPing {
+/// Builds a ping for `host` with news. If `host` is suspect or dead here, that news comes first.
+fn ping_with_news(state: &mut CoreState, host: &HostName) -> GossipPing {
     let most = state.config.probing.news;
     let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
     let mut names = state.detector.gossip_queue.take(most, limit);
@@ -348,17 +350,21 @@
             .iter()
             .filter_map(|name| news_of(state, name))
             .collect(),
-        ..blank(state)
+        ..empty_ping(state)
     }
 }
 
-/// Connected live routers in random order.
-fn pick_connected(state: &mut CoreState, count: usize, but: Option<&HostName>) -> Vec<HostName> {
+/// Picks up to `count` connected routers, without the one in `excluded`, in random order.
+fn pick_connected(
+    state: &mut CoreState,
+    count: usize,
+    excluded: Option<&HostName>,
+) -> Vec<HostName> {
     let own = state.identity.host.clone();
     let mut hosts: Vec<HostName> = state
         .members
         .iter()
-        .filter(|(host, row)| row.connected && **host != own && Some(*host) != but)
+        .filter(|(host, row)| row.connected && **host != own && Some(*host) != excluded)
         .map(|(host, _)| host.clone())
         .collect();
     hosts.shuffle(&mut state.random);
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,11 +1,11 @@
-//! Every order of events that can happen to one unrepeatable request with two routers, one
-//! endpoint and two resends, driven through the real decision cores.
+//! Exhaustive search over all orders of events that can happen to one unrepeatable request with two
+//! routers, one endpoint and two resends, driven through the real decision cores.
 //!
-//! A stylist logs a mixing. Her tablet asks for a ticket, sends the log with it, gives up and
-//! sends it again, up to twice, through either router. Meanwhile requests and answers are
-//! delivered, lost or doubled, routers crash and come back with nothing in memory, a process
-//! pauses between deciding and writing, and the routers lose each other. Whatever the order: the
-//! mixing is logged at most once, and what she is told is true.
+//! The caller gets a ticket, sends the request with it, times out and resends it up to twice,
+//! through either router. Meanwhile messages are delivered, lost or duplicated, routers crash and
+//! restart without state, a process pauses between deciding and writing, and the routers are
+//! partitioned from each other. In every order the request runs at most once, and the outcome that
+//! the caller gets is true.
 
 mod cores;
 
@@ -29,44 +29,44 @@
 use self::cores::host;
 use self::cores::unrepeatable;
 
-/// Calls with a ticket: the first and two resends.
+/// Calls with a ticket: the first one and two resends.
 const SENDS: u32 = 3;
 
-/// Microseconds between ticks: few, since every branch is played from the start.
+/// Microseconds between ticks. Coarse, because every branch is replayed from the start.
 const COARSE_TICK_US: u64 = 100_000;
 
-/// States that the search may visit at most; it fails if it needs more, so that it is always
-/// complete.
-const MOST_STATES: usize = 60_000;
+/// Maximum number of states that the search may visit. It fails if it needs more, so that a search
+/// that passes is complete.
+const MAX_STATES: usize = 60_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
     /// The caller calls through a router, with its ticket if it has one.
     Send(usize),
-    /// The caller gives up its latest call.
+    /// The caller abandons its latest call.
     Leave,
     /// A router writes an attempt that its core decided, after a pause of any length.
     Write(usize),
-    /// A router woke too late to write it.
+    /// A router resumes too late to write the attempt.
     WriteTooLate(usize),
-    /// The endpoint runs it.
+    /// The endpoint runs the attempt.
     Run(usize),
-    /// The link breaks before the endpoint has it.
+    /// The connection breaks before the endpoint receives the request.
     LoseRequest(usize),
     /// The answer arrives, once or twice.
     Answer(usize, u32),
-    /// The link breaks after the endpoint ran it.
+    /// The connection breaks after the endpoint ran the attempt.
     LoseAnswer(usize),
     /// A forwarded call arrives, once or twice.
     Forwarded(usize, u32),
     /// A forwarded call is lost.
     LoseForwarded(usize),
-    /// A router crashes and comes back with nothing in memory.
+    /// A router crashes and restarts without state.
     Crash(usize),
-    /// The routers lose each other.
-    Part,
-    /// They find each other again.
-    Mend,
+    /// The link between the routers breaks.
+    Partition,
+    /// The link between the routers is restored.
+    HealPartition,
     /// Time passes.
     Wait,
 }
@@ -78,9 +78,9 @@
     Ran,
 }
 
-/// An attempt on its way to the endpoint or back.
+/// An attempt in flight to the endpoint or back.
 #[derive(Debug, Clone, Copy)]
-struct Flight {
+struct InFlightAttempt {
     life: RouterIncarnation,
     router: usize,
     request: u64,
@@ -89,26 +89,26 @@
     stage: Stage,
 }
 
-/// What may still happen.
+/// How many events of each kind may still happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Budget {
     sends: u32,
     leaves: u32,
     crashes: u32,
     parts: u32,
-    doubles: u32,
+    duplicates: u32,
     waits: u32,
 }
 
 struct World {
     fleet: CoreFleet,
     budget: Budget,
-    parted: bool,
+    partitioned: bool,
     next_request: u64,
     latest: Option<(usize, u64)>,
     ticket: Option<TicketName>,
     tickets: BTreeMap<(RouterIncarnation, u64), TicketName>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlightAttempt>,
     forwards: Vec<(usize, TicketName)>,
     runs: BTreeMap<TicketName, u32>,
     not_run: BTreeSet<TicketName>,
@@ -119,12 +119,12 @@
         Self {
             fleet: CoreFleet::with_tick(2, catalog(1, 2), COARSE_TICK_US),
             budget,
-            parted: false,
+            partitioned: false,
             next_request: 0,
             latest: None,
             ticket: None,
             tickets: BTreeMap::new(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             forwards: Vec::new(),
             runs: BTreeMap::new(),
             not_run: BTreeSet::new(),
@@ -141,13 +141,13 @@
         if budget.leaves > 0 && self.latest.is_some() {
             steps.push(Step::Leave);
         }
-        for (place, flight) in self.flights.iter().enumerate() {
+        for (place, flight) in self.in_flight.iter().enumerate() {
             match flight.stage {
                 Stage::Decided => steps.extend([Step::Write(place), Step::WriteTooLate(place)]),
                 Stage::Written => steps.extend([Step::Run(place), Step::LoseRequest(place)]),
                 Stage::Ran => {
                     steps.extend([Step::Answer(place, 1), Step::LoseAnswer(place)]);
-                    if budget.doubles > 0 {
+                    if budget.duplicates > 0 {
                         steps.push(Step::Answer(place, 2));
                     }
                 }
@@ -155,17 +155,17 @@
         }
         for place in 0..self.forwards.len() {
             steps.extend([Step::Forwarded(place, 1), Step::LoseForwarded(place)]);
-            if budget.doubles > 0 {
+            if budget.duplicates > 0 {
                 steps.push(Step::Forwarded(place, 2));
             }
         }
         if budget.crashes > 0 {
             steps.extend(routers.map(Step::Crash));
         }
-        if self.parted {
-            steps.push(Step::Mend);
+        if self.partitioned {
+            steps.push(Step::HealPartition);
         } else if budget.parts > 0 {
-            steps.push(Step::Part);
+            steps.push(Step::Partition);
         }
         if budget.waits > 0 {
             steps.push(Step::Wait);
@@ -180,7 +180,7 @@
                 self.call(router, self.ticket, true);
             }
             Step::Leave => self.leave(),
-            Step::Write(place) => self.flights[place].stage = Stage::Written,
+            Step::Write(place) => self.in_flight[place].stage = Stage::Written,
             Step::WriteTooLate(place) => self.end(place, AttemptOutcome::NotSent),
             Step::Run(place) => self.run(place),
             Step::LoseRequest(place) | Step::LoseAnswer(place) => {
@@ -189,21 +189,21 @@
             Step::Answer(place, copies) => self.answer(place, copies),
             Step::Forwarded(place, copies) => {
                 let (router, ticket) = self.forwards.remove(place);
-                self.budget.doubles -= copies - 1;
+                self.budget.duplicates -= copies - 1;
                 (0..copies).for_each(|_| self.call(router, Some(ticket), false));
             }
             Step::LoseForwarded(place) => {
                 self.forwards.remove(place);
             }
             Step::Crash(router) => self.crash(router),
-            Step::Part => {
+            Step::Partition => {
                 self.budget.parts -= 1;
-                self.parted = true;
+                self.partitioned = true;
                 self.fleet.cut_link(0, 1);
                 self.settle();
             }
-            Step::Mend => {
-                self.parted = false;
+            Step::HealPartition => {
+                self.partitioned = false;
                 self.fleet.restore_link(0, 1);
                 self.settle();
             }
@@ -242,18 +242,18 @@
     }
 
     fn run(&mut self, place: usize) {
-        let flight = &mut self.flights[place];
+        let flight = &mut self.in_flight[place];
         flight.stage = Stage::Ran;
         *self.runs.entry(flight.ticket).or_default() += 1;
     }
 
-    /// Ends an attempt. A router that has crashed since does not hear of it.
+    /// Ends an attempt. A router that has crashed since gets no event for it.
     fn end(&mut self, place: usize, outcome: AttemptOutcome) {
-        let flight = self.flights.remove(place);
-        self.tell_end(flight, outcome);
+        let flight = self.in_flight.remove(place);
+        self.deliver_end(flight, outcome);
     }
 
-    fn tell_end(&mut self, flight: Flight, outcome: AttemptOutcome) {
+    fn deliver_end(&mut self, flight: InFlightAttempt, outcome: AttemptOutcome) {
         if self.fleet.incarnation_of(flight.router) != Some(flight.life) {
             return;
         }
@@ -269,15 +269,16 @@
     }
 
     fn answer(&mut self, place: usize, copies: u32) {
-        self.budget.doubles -= copies - 1;
-        let flight = self.flights.remove(place);
-        (0..copies).for_each(|_| self.tell_end(flight, AttemptOutcome::Whole));
+        self.budget.duplicates -= copies - 1;
+        let flight = self.in_flight.remove(place);
+        (0..copies).for_each(|_| self.deliver_end(flight, AttemptOutcome::Whole));
     }
 
-    /// What was only decided dies with the process; what was written goes on its way.
+    /// Crashes and restarts a router. Attempts that were only decided are lost; written ones stay
+    /// in flight.
     fn crash(&mut self, router: usize) {
         self.budget.crashes -= 1;
-        self.flights
+        self.in_flight
             .retain(|flight| flight.router != router || flight.stage != Stage::Decided);
         self.latest = self.latest.filter(|(at, _)| *at != router);
         self.fleet.stop(router);
@@ -309,7 +310,7 @@
         match action {
             CoreAction::Dispatch {
                 request, attempt, ..
-            } => self.flights.push(Flight {
+            } => self.in_flight.push(InFlightAttempt {
                 life,
                 router,
                 request: request.0,
@@ -325,7 +326,7 @@
                 }
             }
             CoreAction::OfferTicket { request, ticket } => {
-                self.told_not_run(life, request.0);
+                self.record_not_run(life, request.0);
                 if self.latest == Some((router, request.0)) {
                     self.ticket = Some(*ticket);
                     self.latest = None;
@@ -333,24 +334,30 @@
             }
             CoreAction::Refuse {
                 request, outcome, ..
-            } => self.told(router, life, request.0, *outcome),
+            } => self.record_outcome(router, life, request.0, *outcome),
             CoreAction::Complete { request } => {
-                self.told(router, life, request.0, RunOutcome::Ran);
+                self.record_outcome(router, life, request.0, RunOutcome::Ran);
             }
             _ => {}
         }
     }
 
-    fn told(&mut self, router: usize, life: RouterIncarnation, request: u64, told: RunOutcome) {
+    fn record_outcome(
+        &mut self,
+        router: usize,
+        life: RouterIncarnation,
+        request: u64,
+        outcome: RunOutcome,
+    ) {
         let ticket = self.tickets.get(&(life, request)).copied();
-        match told {
+        match outcome {
             RunOutcome::Ran => {
                 let runs = ticket.and_then(|ticket| self.runs.get(&ticket));
                 assert_eq!(runs, Some(&1), "told that it ran");
             }
             RunOutcome::NotRun => {
-                self.told_not_run(life, request);
-                // The caller believes it and starts anew, with another ticket.
+                self.record_not_run(life, request);
+                // The caller relies on this and starts over with another ticket.
                 if self.latest == Some((router, request)) {
                     self.ticket = None;
                 }
@@ -362,7 +369,7 @@
         }
     }
 
-    fn told_not_run(&mut self, life: RouterIncarnation, request: u64) {
+    fn record_not_run(&mut self, life: RouterIncarnation, request: u64) {
         if let Some(ticket) = self.tickets.get(&(life, request)) {
             self.not_run.insert(*ticket);
         }
@@ -378,12 +385,12 @@
         assert!(!false_not_run, "told \"not run\" but it ran: {path:?}");
     }
 
-    /// All that decides what can happen from here on; times and traffic counts are left out.
+    /// Hashes all that determines which events can follow; times and traffic counts are left out.
     fn digest(&self) -> u64 {
         let mut parts = vec![
-            format!("{:?}{:?}{:?}", self.budget, self.parted, self.latest),
+            format!("{:?}{:?}{:?}", self.budget, self.partitioned, self.latest),
             format!("{:?}{:?}", self.ticket, self.forwards),
-            format!("{:?}{:?}{:?}", self.runs, self.not_run, self.flights),
+            format!("{:?}{:?}{:?}", self.runs, self.not_run, self.in_flight),
         ];
         for router in 0..2 {
             let state = self.fleet.core(router).state();
@@ -402,7 +409,7 @@
     }
 }
 
-/// Searches depth first. Cores can't be copied, so each branch is played again from the start.
+/// Depth-first search. Cores can't be cloned, so each branch is replayed from the start.
 struct Search {
     budget: Budget,
     seen: BTreeSet<u64>,
@@ -436,7 +443,7 @@
         if !self.seen.insert(world.digest()) {
             return;
         }
-        assert!(self.seen.len() <= MOST_STATES, "the search is too large");
+        assert!(self.seen.len() <= MAX_STATES, "the search is too large");
         self.ran += usize::from(!world.runs.is_empty());
         let steps = world.steps();
         self.ends += usize::from(steps.is_empty());
@@ -451,12 +458,12 @@
     }
 }
 
-const NOTHING: Budget = Budget {
+const NO_FAULTS: Budget = Budget {
     sends: SENDS,
     leaves: 0,
     crashes: 0,
     parts: 0,
-    doubles: 0,
+    duplicates: 0,
     waits: 0,
 };
 
@@ -471,20 +478,20 @@
 }
 
 #[test]
-fn lost_and_doubled_messages() {
+fn lost_and_duplicated_messages() {
     explore(Budget {
-        doubles: 1,
+        duplicates: 1,
         waits: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
 
 #[test]
-fn callers_that_leave_and_pauses() {
+fn callers_that_disconnect_and_pauses() {
     explore(Budget {
         leaves: 1,
         waits: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
 
@@ -492,7 +499,7 @@
 fn crashes_at_every_step() {
     explore(Budget {
         crashes: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
 
@@ -500,7 +507,7 @@
 fn partitions_at_every_step() {
     explore(Budget {
         parts: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
 
@@ -510,6 +517,6 @@
         sends: 2,
         crashes: 1,
         parts: 1,
-        ..NOTHING
+        ..NO_FAULTS
     });
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of endpoints, early refusal, retry budgets, and the way back after an overload.
+//! Slot limits of endpoints, early refusal, retry budgets, and recovery from overload.
 
 mod cores;
 
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn pressure_lowers_a_limit_and_it_comes_back() {
-    // An engine gets long prompts, holds requests back inside and first tokens come late. The
-    // owner must give it less until it has room again, then all of its published slots.
+fn pressure_lowers_a_limit_that_then_recovers() {
+    // An endpoint queues requests internally, as with long prompts, so that first tokens are late.
+    // The owner must lower its limit, then restore all published slots once the pressure is gone.
     let mut fleet = CoreFleet::new(1, catalog(1, 16));
     for _ in 0..8 {
         fleet.handle_event(0, load(endpoint(1), 11, 5));
@@ -56,8 +56,8 @@
 
 #[test]
 fn two_sides_of_a_partition_share_an_endpoint() {
-    // The fleet is cut in two and both halves reach the same engine. Each has an owner that
-    // would give out all slots: the engine would run twice its limit and every answer be late.
+    // A partition splits the fleet and both sides reach the same endpoint. If the owner on each
+    // side allotted all slots, the endpoint would get twice its limit and every answer be late.
     let mut fleet = CoreFleet::new(2, catalog(1, 12));
     fleet.cut_link(0, 1);
     let mut sides = [BTreeSet::new(), BTreeSet::new()];
@@ -65,19 +65,19 @@
         fleet.handle_event(request % 2, CoreEvent::Arrived(facts(request as u64)));
     }
     for _ in 0..20 {
-        turn_over(&mut fleet, &mut sides, 2);
+        run_round(&mut fleet, &mut sides, 2);
     }
-    // Half each, and the one slot that a router may keep above its target.
+    // Half of the slots each, plus the one slot that a router may keep above its target.
     assert!(sides.iter().all(|running| (6..=7).contains(&running.len())));
     for _ in 0..8 {
-        turn_over(&mut fleet, &mut sides, 1);
+        run_round(&mut fleet, &mut sides, 1);
     }
     assert_eq!(sides[0].len(), 12);
 }
 
-/// Ends what runs on each side, starts what follows on the first `active` sides, and reports the
-/// load of both to both.
-fn turn_over(fleet: &mut CoreFleet, sides: &mut [BTreeSet<u64>; 2], active: usize) {
+/// Completes the running requests of each side, records what is dispatched next on the first
+/// `active` sides, and reports the total load to both sides.
+fn run_round(fleet: &mut CoreFleet, sides: &mut [BTreeSet<u64>; 2], active: usize) {
     for (router, running) in sides.iter_mut().enumerate() {
         for request in std::mem::take(running) {
             fleet.handle_event(router, ended(request, 1, AttemptOutcome::Whole));
@@ -96,7 +96,7 @@
     }
 }
 
-/// What an overload did.
+/// Counts of an overload run.
 #[derive(Debug, Default)]
 struct OverloadTally {
     first_attempts: u32,
@@ -109,15 +109,15 @@
 
 const SLOTS: u32 = 4;
 const RUN_MS: u64 = 100;
-const PATIENCE_MS: u64 = 2_000;
-/// Requests a second that the endpoint can run.
+const CALLER_TIMEOUT_MS: u64 = 2_000;
+/// Requests per second that the endpoint can run.
 const CAPACITY: u64 = SLOTS as u64 * 1_000 / RUN_MS;
 
-/// An endpoint that runs up to `room` requests and refuses more, under a load in percent of its
-/// capacity that changes with time.
+/// Simulates an endpoint that runs up to `max_running` requests at once and refuses more, under a
+/// load that is given in percent of its capacity.
 struct OverloadRun {
     fleet: CoreFleet,
-    room: usize,
+    max_running: usize,
     next_request: u64,
     due: u64,
     running: BTreeMap<u64, (Moment, u32)>,
@@ -127,10 +127,10 @@
 }
 
 impl OverloadRun {
-    fn new(room: usize) -> Self {
+    fn new(max_running: usize) -> Self {
         Self {
             fleet: CoreFleet::new(1, catalog(1, SLOTS)),
-            room,
+            max_running,
             next_request: 0,
             due: 0,
             running: BTreeMap::new(),
@@ -156,7 +156,7 @@
     fn arrive(&mut self) {
         self.next_request += 1;
         let mut facts = facts(self.next_request);
-        facts.deadline = self.fleet.now + TimeSpan::from_millis(PATIENCE_MS);
+        facts.deadline = self.fleet.now + TimeSpan::from_millis(CALLER_TIMEOUT_MS);
         self.arrived.insert(self.next_request, self.fleet.now);
         self.fleet.handle_event(0, CoreEvent::Arrived(facts));
         self.start();
@@ -185,7 +185,7 @@
                     let wait = self.fleet.now.since(self.arrived[&request.0]);
                     self.tally.longest_wait_at_end = wait.as_millis();
                 }
-                if self.running.len() >= self.room {
+                if self.running.len() >= self.max_running {
                     let refused = ended(request.0, attempt.0, AttemptOutcome::Refused);
                     self.fleet.handle_event(0, refused);
                 } else {
@@ -217,7 +217,7 @@
         for (request, attempt) in done {
             self.running.remove(&request);
             let spent = now.since(self.arrived[&request]).as_millis();
-            self.tally.whole_in_time += u32::from(spent <= PATIENCE_MS);
+            self.tally.whole_in_time += u32::from(spent <= CALLER_TIMEOUT_MS);
             self.fleet
                 .handle_event(0, ended(request, attempt, AttemptOutcome::Whole));
         }
@@ -225,9 +225,9 @@
 }
 
 #[test]
-fn overload_is_refused_early_and_truly_and_the_rest_is_in_time() {
-    // Every clinic asks at once. Without early refusal each request waits until its caller has
-    // given up, is run all the same, and nobody gets an answer in time.
+fn overload_is_refused_early_as_not_run_and_the_rest_is_in_time() {
+    // The load exceeds the capacity. Without early refusal, requests wait until their callers have
+    // timed out and run nevertheless, so that no answer is in time.
     for percent in [200, 1_000] {
         let mut run = OverloadRun::new(SLOTS as usize);
         run.run(20_000, percent);
@@ -240,9 +240,9 @@
 }
 
 #[test]
-fn retries_amplify_by_at_most_a_tenth_and_the_saved_ones() {
-    // An engine refuses half of what its published slots allow. Each refusal is retried, and
-    // without a budget the retries would be the greater part of its load.
+fn retries_add_at_most_a_tenth_and_the_saved_burst() {
+    // An endpoint accepts only half of its published slots. Each refusal is retried, and without a
+    // retry budget most of its load would be retries.
     let config = verbenaturn::configs::attempts::AttemptsConfig::default();
     for percent in [200, 1_000] {
         let mut run = OverloadRun::new(SLOTS as usize / 2);
@@ -258,13 +258,13 @@
 }
 
 #[test]
-fn the_way_back_takes_no_longer_than_the_queue() {
-    // The rush is over, but queues are full of requests that are nearly too late. If the router
-    // went on with those, every new request would be too late as well, for ever.
+fn recovery_takes_no_longer_than_draining_the_queue() {
+    // The overload is over, but queues are full of requests that are close to their deadlines. If
+    // the router kept serving those first, every new request would be late too, indefinitely.
     let mut run = OverloadRun::new(SLOTS as usize);
     run.run(20_000, 1_000);
-    // At half load the queue of at most PATIENCE_MS of work is gone after twice that.
-    run.run(2 * PATIENCE_MS, 50);
+    // At half load, a queue of at most CALLER_TIMEOUT_MS of work is empty after twice that time.
+    run.run(2 * CALLER_TIMEOUT_MS, 50);
     run.tally = OverloadTally::default();
     run.run(5_000, 50);
     let tally = &run.tally;
@@ -273,12 +273,12 @@
 }
 
 #[test]
-fn a_request_that_can_not_be_in_time_is_refused_at_once() {
+fn a_request_that_can_not_meet_its_deadline_is_refused_at_once() {
     let mut run = OverloadRun::new(SLOTS as usize);
     run.run(5_000, 300);
-    let mut hopeless = facts(90_000);
-    hopeless.deadline = run.fleet.now + TimeSpan::from_millis(50);
-    let actions = run.fleet.ask(0, CoreEvent::Arrived(hopeless));
+    let mut too_late = facts(90_000);
+    too_late.deadline = run.fleet.now + TimeSpan::from_millis(50);
+    let actions = run.fleet.ask(0, CoreEvent::Arrived(too_late));
     let refused = actions.iter().any(|action| {
         matches!(
             action,
