--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -1,10 +1,10 @@
-//! Which endpoint serves a request first.
+//! Selection of the endpoint that is tried next for a request.
 //!
-//! The load that this answers: prompts of very different length that share long parts. The time
-//! to a first token is the prompt work queued at the engine plus one's own, so endpoints are
-//! compared by that work and not by their number of requests. A shared part that an endpoint has
-//! read costs nothing there; every router ranks endpoints alike for a part (rendezvous hashing),
-//! so that the part stays in few caches without the routers asking each other.
+//! Load pattern: prompts of very different length that share long parts. The time to a first token
+//! is the prompt work queued at the engine plus the request's own, so endpoints are compared by
+//! that work and not by their number of requests. A shared part in an endpoint's prefix cache
+//! costs nothing there. Every router ranks endpoints for a part in the same way (rendezvous
+//! hashing), so that the part stays in few caches without coordination between routers.
 
 use std::net::SocketAddr;
 
@@ -20,91 +20,92 @@
 use super::super::routes::EngineShape;
 use super::endpoints::EndpointRow;
 
-/// How sure it is that the first and second endpoint in a part's rendezvous order keep it. The
-/// second gets what the first has no room for.
+/// Assumed probability that the first and second endpoint in a part's rendezvous order have it
+/// cached. The second gets requests for which the first has no room.
 const HOME_BELIEF: [f64; 2] = [1.0, 0.5];
 
-/// What re-reading a shared part counts beside the time that it takes, in multiples of that time:
-/// every request that waits at the engine waits for it too.
+/// Extra cost of re-reading a shared part, in multiples of the time that it takes: every request
+/// queued at the engine waits for it too.
 const REREAD_WEIGHT: f64 = 4.0;
 
-/// Time for which an endpoint is taken to keep a part that this router sent there.
+/// Time for which an endpoint is assumed to cache a part that this router sent there.
 const PART_KEPT: TimeSpan = TimeSpan::from_millis(8_000);
 
-/// Time to a first token on an idle engine beside the prompt's own, in ms: connection, one batch
-/// step and the way back.
+/// Time to a first token on an idle engine in addition to reading the prompt, in ms: connection,
+/// one batch step and the response's way back.
 const IDLE_FIRST_TOKEN_MS: f64 = 12.0;
 
-/// What a request in another failure domain is taken to cost more, in ms: the longer way, and
-/// the price of bytes between domains.
+/// Extra cost of a request to another failure domain, in ms: longer network path, and the price
+/// of traffic between domains.
 const DOMAIN_PENALTY_MS: f64 = 4.0;
 
-/// What fetching a shared part from another engine counts beside the time that it takes, in
-/// multiples of that time: the memory's way over two links delays whatever is fetched after it.
+/// Extra cost of fetching a shared part from another engine, in multiples of the time that it
+/// takes: the transfer occupies two links and delays later fetches.
 const FETCH_WEIGHT: f64 = 1.0;
 
-/// Time that a fetch takes beside its bytes, in ms: two ways between engines and its set-up.
+/// Fixed time of a fetch in addition to the transfer, in ms: one round trip between the engines
+/// and the set-up.
 const FETCH_START_MS: f64 = 5.0;
 
-/// How much longer a fetch from another failure domain takes.
+/// Factor by which a fetch from another failure domain takes longer.
 const FETCH_AWAY_FACTOR: f64 = 2.0;
 
-/// Shared tokens below which nothing is fetched: reading them takes about as long.
+/// Least number of shared tokens that is fetched; reading fewer takes about as long as a fetch.
 const LEAST_FETCH: f64 = 256.0;
 
-/// What a failing endpoint is taken to cost more, in ms for a rate of one: a failed attempt costs
-/// the caller about as much as a late answer.
+/// Extra cost of an endpoint at a failure rate of one, in ms: a failed attempt costs the caller
+/// about as much as a late answer.
 const FAILURE_PENALTY_MS: f64 = 1_500.0;
 
-/// Failures beyond those of the best endpoint that say nothing. Requests that fail by themselves
-/// come up to one in seven, and all routers know the same sums: a smaller difference would send
-/// the whole fleet's work to whichever endpoint had the fewest of late.
+/// Failure rate above that of the best endpoint that is ignored. Up to one in seven requests
+/// fail regardless of the endpoint, and all routers use the same sums: with a smaller tolerance the
+/// whole fleet would send its work to the endpoint with the fewest recent failures.
 const FAILURE_TOLERANCE: f64 = 0.15;
 
-/// What the model of an engine needs to know.
+/// Parameters of the engine model that predicts waiting times.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineModel {
-    /// Prompt tokens that an engine reads in a ms while it also generates.
+    /// Prompt tokens that an engine reads per ms while it also generates.
     pub tokens_per_ms: f64,
-    /// Time that a request stays on an engine, in ms.
+    /// Time for which a request occupies an engine slot, in ms.
     pub hold_ms: f64,
 }
 
-/// What a full batch is taken to cost beside its queue, in ms: each token takes longer the more
+/// Extra cost of a full batch in addition to its queue, in ms. Each token takes longer the more
 /// requests run, so of two engines without a queue the emptier one is better.
 const FULL_BATCH_MS: f64 = 2.0;
 
-/// What is asked for.
+/// Input of a placement.
 #[derive(Debug)]
 pub struct PlacementAsk<'a> {
     /// The prompt, for model engines.
     pub prompt: Option<&'a PromptShape>,
     /// The engine's published shape.
     pub engine: Option<EngineShape>,
-    /// Endpoints that were tried already.
+    /// Endpoints that were already tried.
     pub tried: &'a [EndpointKey],
     /// The router's own failure domain.
     pub domain: &'a SmolStr,
 }
 
-/// Where a request goes.
+/// The endpoint selected for a request, and its predicted cost.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Predicted time to the first output, in ms.
     pub first_ms: f64,
-    /// The part of it that would remain on an idle engine, in ms.
+    /// Predicted time to the first output if the engine were idle, in ms.
     pub alone_ms: f64,
     /// Prompt tokens that the endpoint must read.
     pub uncached: f64,
-    /// Those of them that other requests share.
+    /// Those of them in parts that other requests share.
     pub reread: f64,
-    /// The engine from which the shared parts are fetched that this one lacks.
+    /// The engine from which missing shared parts are fetched.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// The parts that other requests may share: all but the last.
+/// Parts of a prompt that other requests may share: all but the last.
 #[must_use]
 pub fn shared_parts(prompt: &PromptShape) -> &[PromptPart] {
     let shared = prompt.parts.len().saturating_sub(1);
@@ -135,7 +136,7 @@
         Self { part, best }
     }
 
-    /// How sure it is that the endpoint keeps the part, from 0 to 1.
+    /// Assumed probability that the endpoint has the part cached, from 0 to 1.
     fn belief(&self, row: &EndpointRow) -> f64 {
         let rank = rank_of(row, self.part);
         let place = self.best.iter().position(|best| *best == rank);
@@ -143,19 +144,20 @@
     }
 }
 
-/// Prompt tokens that an endpoint is expected to read.
+/// Prompt tokens that an endpoint is expected to read, and those that it has cached.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadingWork {
-    /// All of them.
+    /// All tokens to read.
     tokens: f64,
-    /// Those of shared parts.
+    /// Tokens to read in shared parts.
     shared: f64,
-    /// Tokens of shared parts that it is expected to keep.
+    /// Tokens of shared parts that are expected to be cached.
     kept: f64,
 }
 
-/// The reading work of a prompt at one endpoint. A part is kept there with all parts before it
-/// if the endpoint is a home of it or this router sent it there a short while ago.
+/// Returns the reading work of a prompt at one endpoint. A part is assumed to be cached there, with
+/// all parts before it, if the endpoint is among the first in the part's rendezvous order or this
+/// router sent it there within [`PART_KEPT`].
 fn reading_work(
     row: &EndpointRow,
     prompt: &PromptShape,
@@ -179,10 +181,11 @@
     }
 }
 
-/// The engine that keeps most of a prompt's shared parts.
+/// The engine that is expected to cache most tokens of a prompt's shared parts.
 ///
-/// Fetched from there, a part costs another engine the time of its bytes, a seventh of its
-/// reading, so that a request goes to the engine with the least queue wherever its parts lie.
+/// Another engine can fetch a part from there in the time of the transfer, a seventh of the time to
+/// read it, so that a request can go to the engine with the shortest queue wherever its parts are
+/// cached.
 #[derive(Debug, Clone, Copy)]
 struct PartHolder<'a> {
     row: &'a EndpointRow,
@@ -204,7 +207,8 @@
         })
     }
 
-    /// What an engine that has this much to read would fetch; nothing if it is not worth it.
+    /// Returns what an engine with this reading work would fetch; `None` if a fetch is not worth
+    /// it.
     fn fetch(&self, row: &EndpointRow, work: ReadingWork) -> Option<PartFetch> {
         let tokens = self.kept - work.kept;
         if tokens < LEAST_FETCH || row.entry.key == self.row.entry.key {
@@ -220,7 +224,7 @@
     }
 }
 
-/// Shared parts that an engine gets from another one in place of reading them.
+/// Fetch of shared parts from another engine, which replaces reading them.
 #[derive(Debug, Clone, Copy)]
 struct PartFetch {
     from: SocketAddr,
@@ -228,7 +232,7 @@
     ms: f64,
 }
 
-/// Time that a request waits for a slot, in ms.
+/// Predicted time that a request waits for a slot, in ms.
 fn slot_wait(row: &EndpointRow, slots: u32, hold_ms: f64) -> f64 {
     let active = row.total_active();
     if active < slots {
@@ -253,10 +257,10 @@
     IDLE_FIRST_TOKEN_MS + (waiting + reading) * row.health.slowness(now)
 }
 
-/// The endpoint with the least predicted time to a first output, and what it costs there.
+/// Selects the endpoint with the lowest cost: the predicted time to a first output plus penalties.
+/// Returns `None` if no endpoint is left.
 ///
-/// `rows` are those of the service; each is looked at once, which is a few hundred at the size
-/// to design for.
+/// `rows` are the endpoints of the service, a few hundred at the design size.
 #[must_use]
 pub fn place(
     rows: &[&EndpointRow],
@@ -309,9 +313,9 @@
     best.map(|(_, placement)| placement)
 }
 
-/// Endpoints that may get the request. If all of them are paused or silent, that doesn't count: a
-/// short refusal by the only endpoints left must not refuse what comes just after it, and a fleet
-/// of endpoints that seems silent as a whole is still used.
+/// Endpoints that may get the request. Pauses and silence are ignored if they affect all endpoints
+/// left: a short refusal by the last endpoints must not cause the next requests to be refused, and
+/// a fleet whose endpoints all seem silent is still used.
 fn usable_rows<'a>(
     rows: &[&'a EndpointRow],
     tried: &[EndpointKey],
@@ -327,7 +331,8 @@
     if unpaused.is_empty() { ready } else { unpaused }
 }
 
-/// What speaks against an endpoint beside its time to a first output, in ms.
+/// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
+/// domain, failures and a busy batch.
 fn side_cost(row: &EndpointRow, ask: &PlacementAsk<'_>, now: Moment, lowest: f64) -> f64 {
     let away = if row.entry.domain == *ask.domain {
         0.0
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -1,11 +1,11 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! The load that this answers: a request that takes down each engine that begins to run it, whose
-//! caller sends it again to any router. An attempt that is lost says little by itself, links break
-//! too; together with a sign that its endpoint's process ended it makes the request a suspect of
-//! that crash. Routers tell each other of suspects, and a request in three crashes is refused by
-//! all of them. Three, since innocents run beside a guilty one: of 64 requests that ran in one
-//! crash few run in a second, and hardly any in a third, while each engine more that is lost costs
+//! Load pattern: a request crashes each engine that starts to run it, and its caller retries it at
+//! any router. A lost attempt alone proves little, since links break too. Together with a sign that
+//! the endpoint's process ended, it makes the request a suspect of that crash. Routers exchange
+//! suspects, and all of them refuse a request that was running in three crashes. The limit is three
+//! because other requests run beside the one that causes the crash: of 64 requests that ran in one
+//! crash few run in a second one and hardly any in a third, while each further engine lost costs
 //! the work of all its requests.
 
 use crate::configs::quarantine::QuarantineConfig;
@@ -21,33 +21,32 @@
 /// Crashes after which a request is refused.
 const CRASHES: u32 = 3;
 
-/// Time for which a crash is told to other routers: callers whose request was lost send it again
-/// within seconds.
+/// Time for which a crash is sent to other routers: callers retry a lost request within seconds.
 const TOLD_FOR: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// Suspects told in one message; the next message tells the next ones.
+/// Most suspects in one message; the next message carries the next ones.
 const MOST_TOLD: usize = 6;
 
-/// Suspects that one router may name to another at once; a stranger could name any number.
+/// Most suspects accepted from one message, since a foreign sender could list any number.
 const MOST_TAKEN: usize = 64;
 
-/// A request that was running in a crash, as routers tell each other of it.
+/// A request that was running in a crash, as exchanged between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CrashSuspect {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its process that ended.
+    /// Hash of the endpoint process that ended.
     pub life: u64,
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
 }
 
-/// What is known of crashes.
+/// Crashes, their suspects and the requests refused because of them.
 #[derive(Debug)]
 pub struct CrashQuarantine {
     config: QuarantineConfig,
     table: CrashTable,
-    /// Place of the next suspect to tell of.
+    /// Position of the next suspect to send.
     next: usize,
 }
 
@@ -65,15 +64,15 @@
     }
 }
 
-/// The number of an endpoint in the crash table: the low half of its key's hash. Two endpoints
-/// with one number would be taken for one, which tells their lives apart all the same.
+/// Returns the id of an endpoint in the crash table: the low half of its key's hash. Two endpoints
+/// with the same id share an entry, in which their processes are still told apart by `life`.
 #[allow(clippy::cast_possible_truncation)]
 fn number_of(entry: &EndpointEntry) -> EndpointId {
     EndpointId(entry.key.hash() as u32)
 }
 
 impl CrashQuarantine {
-    /// An attempt broke off; whether its endpoint crashed is not known yet.
+    /// Records an attempt that broke off. Whether its endpoint crashed may not be known yet.
     pub fn lost(&mut self, now: Moment, entry: &EndpointEntry, print: RequestFingerprint) {
         let endpoint = number_of(entry);
         let window = TimeSpan::from_millis(self.config.evidence_ms);
@@ -84,7 +83,8 @@
         }
     }
 
-    /// A sign that an endpoint's process ended: nothing listens there, or another one registered.
+    /// Records a sign that an endpoint's process ended: nothing listens at its address, or a new
+    /// process registered. Attempts recently lost there become suspects.
     pub fn ended(&mut self, now: Moment, entry: &EndpointEntry) {
         let endpoint = number_of(entry);
         if !self.table.has_losses(endpoint) {
@@ -110,19 +110,19 @@
         }
     }
 
-    /// Time for which a request is still refused, if it is.
+    /// Time for which a request is still refused; `None` if it is not refused.
     #[must_use]
     pub fn refused_for(&self, now: Moment, print: RequestFingerprint) -> Option<TimeSpan> {
         let until = self.table.refused_until(print, now)?;
         Some(until.since(now))
     }
 
-    /// A request was answered whole.
+    /// Clears a request that got a complete answer.
     pub fn answered(&mut self, print: RequestFingerprint) {
         self.table.clear(print);
     }
 
-    /// Takes over what another router tells.
+    /// Merges suspects from another router's message.
     pub fn take_told(&mut self, now: Moment, told: impl Iterator<Item = CrashSuspect>) {
         for suspect in told.take(MOST_TAKEN) {
             let record = self.record(now, suspect.endpoint, suspect.life);
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Some suspects of late crashes to tell of, others each time, and forgets what is old.
+    /// Returns suspects of recent crashes for the next message, in rotation, and drops old records.
     pub fn telling(&mut self, now: Moment) -> Vec<CrashSuspect> {
         self.table.shrink(now, &self.config);
         let late = self.table.records_mut();
--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -1,12 +1,14 @@
 //! Max-min shares of the published token rate, over all routers.
 //!
-//! Two floods that begin seconds apart must get about the same in any six seconds: a team is held from the
-//! demand of the last moments ([`super::surge`]), and what it got before does not count against it.
+//! Load pattern: a few teams send many times their usual traffic while the others do not. Each
+//! router measures the demand of each team and sends it to the other routers, so all compute the
+//! same max-min shares. When endpoints are busy, requests of a team over its share give way; each
+//! router applies the part of the share that matches the part of the team's demand arriving there.
+//! While endpoints have room, no team gives way.
 //!
-//! The load that this answers: a few teams send many times their usual while the others do not.
-//! Each router counts what teams ask of it and tells the others; all compute the same max-min
-//! shares. A team beyond its share yields when endpoints are busy, in proportion to where its
-//! requests arrive. While endpoints have room nobody yields.
+//! Two floods that begin seconds apart must be served about the same in any six seconds. A team is
+//! therefore limited as soon as its recent demand rises ([`super::surge`]), and what it was served
+//! before that does not count against it.
 
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
@@ -23,48 +25,49 @@
 use super::surge::TeamDemand;
 use super::window::WindowCount;
 
-/// Part of a second's worth of a team's share that it may use ahead of time. A whole second lets
-/// through a clump of arrivals; the published window of shares is several seconds.
+/// Most unused allowance that a team may save, in seconds of its allowance. One second lets a burst
+/// of arrivals through; the published share window is several seconds.
 const BURST_S: f64 = 1.0;
 
-/// Shortest time over which demand is counted: a few requests of a large team.
+/// Shortest period over which rates are averaged: long enough for a few requests of a large team.
 const LEAST_COUNTED: TimeSpan = TimeSpan::from_millis(500);
 
-/// Tokens that a request is taken to have until some came, and weight of a new one in the mean: a hundred
-/// requests, a second of a busy router's traffic.
+/// Initial mean size of a request, in tokens, and the weight of a new request in the moving mean.
+/// The mean covers about a hundred requests, one second of traffic at a busy router.
 const FIRST_TOKENS: f64 = 3_000.0;
 const SIZE_WEIGHT: f64 = 0.01;
 
-/// Size, in means, as which a longer request counts in the demand of the last moments. One of the longest
-/// kind has twenty, and would make a usual team seem to press.
+/// Cap on a request's size in recent demand, in multiples of the mean size. The longest requests
+/// have twenty times the mean, and one of them would make a normal team look like a flood.
 const MOST_SIZE: f64 = 2.0;
 
-/// The last moments: a few requests of a team that presses at a router, and three rounds of messages, in
-/// which a router of ninety hears from fifteen others. A flood of ten shares is known within them.
+/// Window of recent demand: long enough for a few requests of a flooding team at one router, and
+/// for three gossip rounds, in which a router in a fleet of ninety receives digests from fifteen
+/// others. A flood of ten times a share is detected within it.
 pub const LATELY: TimeSpan = TimeSpan::from_millis(300);
 
-/// What a team that surges counts as served against its share at least. What it gets is known as late as
-/// what it asks, so it may use only endpoints that are nearly idle meanwhile.
+/// Lower bound of a surging team's ratio of service to share. Its service becomes known as late as
+/// its demand, so until then it may use only endpoints that are nearly idle.
 const SURGE_SERVED: f64 = 2.0;
 
-/// How a request stands to its team's share.
+/// Whether a request is within its team's share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ShareStanding {
-    /// Within the share, or nothing is limited.
+    /// Within the share, or the team is not limited.
     Within,
-    /// Beyond it; the number is what the team is served against its share, from 1 up. Infinite if it
-    /// has no part left of what is served beyond shares.
+    /// Beyond the share. The number is the ratio of the team's service to its share, at least 1;
+    /// infinite if the team has used up its allowance beyond the share.
     Beyond(f64),
 }
 
-/// What a team asks of routers and is served by them, in tokens a second.
+/// Demand and service of a team, in tokens a second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamFlow {
-    /// Asked, over the window of shares.
+    /// Demand over the share window.
     pub asked: f64,
-    /// Asked in the last moments, where a long request counts as twice the usual one.
+    /// Demand over [`LATELY`], where the size of a request is capped at twice the mean.
     pub asked_lately: f64,
-    /// Served, over the window of shares.
+    /// Service over the share window.
     pub served: f64,
 }
 
@@ -76,18 +79,18 @@
     }
 }
 
-/// A team that is held to its share, as logs tell it. Rates are in tokens a second.
+/// A team that is limited to its share, as written to the log. Rates are in tokens a second.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitedTeam {
     /// The team.
     pub team: TeamKey,
-    /// What all routers are asked and serve.
+    /// Demand and service at all routers.
     pub flow: TeamFlow,
-    /// What this router is asked.
+    /// Demand at this router.
     pub asked_here: f64,
-    /// What this router may serve within the share.
+    /// Rate that this router may serve within the share.
     pub allowed_here: f64,
-    /// When it began to be held.
+    /// Start of the limit.
     pub since: Moment,
 }
 
@@ -95,49 +98,51 @@
 struct TeamCounts {
     asked: WindowCount,
     asked_lately: WindowCount,
-    /// As the last moments count it, over the window.
+    /// Demand over the share window with request sizes capped as in `asked_lately`.
     asked_short: WindowCount,
     served: WindowCount,
     surge: SurgeWatch,
     /// Tokens that may be used within the share.
     credit: f64,
     credited_at: Moment,
-    /// This router's part of the team's share, in tokens a second; nothing if it is not limited.
+    /// This router's part of the team's share, in tokens a second; `None` if the team is not
+    /// limited.
     allowed: Option<f64>,
-    /// This router's part of what it may get beyond its share, in tokens a second; nothing while
-    /// that is not bounded.
+    /// This router's part of the team's allowance beyond its share, in tokens a second; `None`
+    /// while that is unbounded.
     spare: Option<f64>,
     /// Tokens that may be used beyond the share.
     spare_credit: f64,
-    /// When it was last begun to be held to its share; service is counted from then.
+    /// When the team was last put under a limit; service is counted from then.
     held_at: Option<Moment>,
-    /// What all routers were asked and served when shares were last set.
+    /// Demand and service at all routers when shares were last set.
     flow: TeamFlow,
-    /// What this router was asked then.
+    /// Demand at this router at that time.
     asked_here: f64,
-    /// What all routers together serve the team, against its share, and once more against what the
-    /// team gets that presses and gets least.
+    /// Service by all routers divided by the share, multiplied by its ratio to the service of the
+    /// least served team that asks more than its share.
     served_part: f64,
 }
 
-/// What holds for all teams when shares are set.
+/// Values common to all teams when shares are set.
 #[derive(Debug)]
 struct ShareTerms {
-    /// The most that a team gets, in tokens a second; infinite while all demands fit.
+    /// Max-min level, the largest share of a team, in tokens a second; infinite while all demands
+    /// fit.
     level: f64,
-    /// What the team gets that presses and gets least, in tokens a second.
+    /// Service of the least served team that asks more than its share, in tokens a second.
     least: f64,
-    /// What each team that presses may get beyond its share, in tokens a second; nothing if none
-    /// competes with another.
+    /// Allowance beyond the share of each team that asks more than its share, in tokens a second;
+    /// `None` if there are fewer than two such teams.
     spare: Option<f64>,
-    /// How much of the window of shares the counts cover, from 0 to 1.
+    /// Fraction of the share window that the counts cover, from 0 to 1.
     settled: f64,
-    /// The window of shares.
+    /// Share window.
     window: TimeSpan,
 }
 
 impl TeamCounts {
-    /// Adds what the allowance gave since it was last added.
+    /// Refills the credits for the time since the last refill.
     #[allow(clippy::cast_precision_loss)]
     fn accrue(&mut self, now: Moment) {
         let passed_s = now.since(self.credited_at).0 as f64 / 1e6;
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Sets this router's part of the team's share from what all routers are asked and serve.
+    /// Sets this router's part of the team's share from demand and service at all routers.
     fn set_share(&mut self, now: Moment, terms: &ShareTerms, demand: TeamDemand) {
         if demand.asked <= terms.level || demand.asked <= 0.0 {
             self.allowed = None;
@@ -171,7 +176,8 @@
         }
     }
 
-    /// Part of what it asked here over the window that the last moments don't count, from 0 to 1.
+    /// Fraction of the demand at this router over the share window that the size cap removes, from
+    /// 0 to 1.
     fn long_part(&mut self, now: Moment) -> f64 {
         let asked = self.asked.sum(now);
         if asked <= 0.0 {
@@ -180,11 +186,11 @@
         1.0 - self.asked_short.sum(now) / asked
     }
 
-    /// Begins to hold the team to its share.
+    /// Begins to limit the team to its share.
     ///
-    /// What it was served before is forgotten. Guards against a team that pays for the first
-    /// moments of its flood: its allowance would be lowered for as long as the window of shares, while the
-    /// next team that begins to press is not held yet and gets several times as much.
+    /// Service before the limit is discarded. Otherwise it would lower the team's allowance for as
+    /// long as the share window, while the next team to begin a flood is not limited yet and gets
+    /// several times as much.
     fn hold(&mut self, now: Moment, window: TimeSpan) {
         self.credit = 0.0;
         self.spare_credit = 0.0;
@@ -194,23 +200,23 @@
     }
 }
 
-/// What teams ask and what they are owed.
+/// Demand, service and shares of all teams.
 #[derive(Debug)]
 pub struct ShareTable {
     window: TimeSpan,
     /// When the first request was counted.
     begun: Option<Moment>,
-    /// Requests within shares that found the endpoints full.
+    /// Tokens of requests within shares that were refused because endpoints were full.
     turned_away: WindowCount,
-    /// The usual size of a request, of whichever team.
+    /// Moving mean of the request size over all teams, in tokens.
     mean_tokens: f64,
-    /// The most that a team gets, in tokens a second; infinite while all demands fit.
+    /// Max-min level, in tokens a second; infinite while all demands fit.
     level: f64,
     teams: BTreeMap<TeamKey, TeamCounts>,
 }
 
 impl ShareTable {
-    /// An empty table that measures demand over this window.
+    /// Creates an empty table that measures demand over this window.
     #[must_use]
     pub fn new(window: TimeSpan) -> Self {
         Self {
@@ -245,10 +251,10 @@
             })
     }
 
-    /// Counts a request that came; how it stands to its team's share.
+    /// Counts the demand of a request, and returns whether it is within its team's share.
     ///
-    /// A request may be larger than a second's share: it passes on any rest, and leaves debt when
-    /// it is [`Self::serve`]d.
+    /// A request may be larger than a second's share. Any positive credit therefore admits it, and
+    /// the credit becomes negative when the request is [`Self::serve`]d.
     pub fn ask(&mut self, now: Moment, team: &TeamKey, tokens: f64) -> ShareStanding {
         self.begun.get_or_insert(now);
         self.mean_tokens += SIZE_WEIGHT * (tokens - self.mean_tokens);
@@ -271,8 +277,9 @@
         ShareStanding::Beyond(counts.served_part.max(1.0))
     }
 
-    /// Counts a request that is sent. One that was refused, for whatever reason, costs its team
-    /// nothing; one that is sent although its team has nothing left uses room that is idle.
+    /// Counts a request that is sent, and charges it to the credit within or beyond the share.
+    /// Refused requests are not charged. A team without a bound beyond its share uses idle capacity
+    /// free of charge.
     pub fn serve(&mut self, now: Moment, team: &TeamKey, tokens: f64) {
         let counts = self.counts(team);
         counts.served.add(now, tokens);
@@ -286,29 +293,29 @@
         }
     }
 
-    /// Counts a request within its team's share that found the endpoints full.
+    /// Counts a request within its team's share that was refused because endpoints were full.
     pub fn turn_away(&mut self, now: Moment, tokens: f64) {
         self.turned_away.add(now, tokens);
     }
 
-    /// Tokens a second of such requests.
+    /// Rate of such requests, in tokens a second.
     pub fn turned_away_per_s(&mut self, now: Moment) -> f64 {
         let seconds = counted_s(now, self.begun, self.window);
         self.turned_away.sum(now) / seconds
     }
 
-    /// How much of the window the counts cover, from 0 at the first request to 1.
+    /// Fraction of the share window that the counts cover, from 0 at the first request to 1.
     ///
-    /// Guards against a fleet that has just started together: its callers' retries come at once, and
-    /// what a second of them is served seems several times a share that is due over the window.
-    /// Taken at its word, idle engines refuse teams for seconds.
+    /// When a whole fleet has just started, its callers retry all at once, and one second of that
+    /// service looks like several times the share. Used unweighted, this ratio would make idle
+    /// engines refuse teams for seconds.
     #[allow(clippy::cast_precision_loss)]
     fn settled_part(&self, now: Moment) -> f64 {
         let age = self.begun.map_or(TimeSpan(0), |begun| now.since(begun));
         (age.0 as f64 / self.window.0.max(1) as f64).min(1.0)
     }
 
-    /// What each team asked of this router and was served by it.
+    /// Demand and service of each team at this router.
     pub fn flows(&mut self, now: Moment) -> BTreeMap<TeamKey, TeamFlow> {
         let (begun, window) = (self.begun, self.window);
         let asked_s = counted_s(now, begun, window);
@@ -328,13 +335,14 @@
             .collect()
     }
 
-    /// The most that a team gets, in tokens a second; infinite while all demands fit.
+    /// Max-min level, the largest share of a team, in tokens a second; infinite while all demands
+    /// fit.
     #[must_use]
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Teams that are held to their shares, those that are asked most of first.
+    /// Teams that are limited to their shares, in descending order of demand.
     #[must_use]
     pub fn limited(&self) -> Vec<LimitedTeam> {
         let limited = self.teams.iter().filter_map(|(team, counts)| {
@@ -351,13 +359,13 @@
         limited
     }
 
-    /// Sets this router's part of each team's share from what all routers were asked. `rate` is
-    /// what all endpoints together handle, in tokens a second.
+    /// Sets this router's part of each team's share from the demand at all routers. `rate` is the
+    /// capacity of all endpoints together, in tokens a second.
     ///
-    /// What a team is served against its share is counted over all routers as well. Counted by
-    /// each for itself, a team that comes through many of them seems to be served little
-    /// everywhere, since one request is more than a router's part of its share for seconds; it got
-    /// twice what a team got that came through one router.
+    /// Service relative to the share is also summed over all routers. A team that uses many routers
+    /// would look little served at each of them, since one request exceeds a router's part of its
+    /// share for seconds; with counts per router it got twice as much as a team that used one
+    /// router.
     pub fn share_out(&mut self, now: Moment, rate: f64, elsewhere: &BTreeMap<u64, TeamFlow>) {
         let own = self.flows(now);
         let mut flows = elsewhere.clone();
@@ -384,7 +392,7 @@
         }
     }
 
-    /// What counts of each team's demand, by the team's number.
+    /// Demand of each team for which shares are set, by the hash of the team's key.
     fn demands(
         &mut self,
         now: Moment,
@@ -413,17 +421,18 @@
     }
 }
 
-/// Tokens that may be used after so many seconds at a rate, where unused ones are kept for a while.
+/// Credit in tokens after a refill at `rate` tokens a second, capped at [`BURST_S`] seconds of the
+/// rate.
 fn refilled(credit: f64, rate: f64, passed_s: f64) -> f64 {
     let most = (rate * BURST_S).max(credit);
     (credit + rate * passed_s).min(most)
 }
 
-/// Seconds over which a count goes: the window, or the shorter time since it began.
+/// Seconds over which a count is averaged: the window, or the time since counting began if that is
+/// shorter.
 ///
-/// Guards against a fleet that has just started and shares nothing out: over the whole window
-/// its teams' demand would seem to fit for seconds, while the largest of them floods the
-/// endpoints.
+/// Averaged over the whole window, the demand in a fleet that has just started would seem to fit
+/// for seconds, so no team would be limited while the largest one floods the endpoints.
 #[allow(clippy::cast_precision_loss)]
 fn counted_s(now: Moment, begun: Option<Moment>, window: TimeSpan) -> f64 {
     let age = begun.map_or(TimeSpan(0), |begun| now.since(begun));
--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -1,10 +1,10 @@
-//! Long prompts keep a part in what their route is served.
+//! Guaranteed minimum service for long prompts.
 //!
-//! The load that this answers: prompt sizes with a heavy tail under overload. A long prompt's own
-//! reading takes most of the objective, so any queue at all refuses it, each time that it comes.
-//! Letting all of them wait as long as the others costs more than it gives (a tenth of the
-//! requests holds half of the reading work), so they get turns: as many as bring their served
-//! part to `LEAST_PART` of the whole route's.
+//! Load pattern: prompt sizes with a heavy tail under overload. Reading a long prompt takes most of
+//! its objective, so any queue causes it to be refused, on every retry. Letting all long prompts
+//! wait as long as the others costs more than it gains (a tenth of the requests holds half of the
+//! reading work). They are therefore allowed to wait only as often as needed to bring the fraction
+//! of them that is served to `LEAST_PART` of the whole route's fraction.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +12,21 @@
 
 use super::super::routes::RouteKey;
 
-/// Least part that a band is served, of what its whole route is served. A band below half of its
-/// route counts as starved; the rest is room for turns that find no endpoint.
+/// Least served fraction of a size band, relative to the served fraction of its whole route. A band
+/// below half of its route counts as starved; the margin covers permitted waits that find no
+/// endpoint.
 const LEAST_PART: f64 = 0.62;
 
-/// Lower bounds of the bands above the usual sizes, as multiples of the route's mean size. With
-/// the heavy tails seen (deviation about the mean) they cut off the largest tenth and the fifth
-/// below it.
+/// Lower bounds of the size bands above the lowest, as multiples of the route's mean size. With the
+/// heavy tails observed (standard deviation about the mean) they separate the largest tenth and the
+/// fifth below it.
 const BAND_BOUNDS: [f64; 2] = [1.2, 2.2];
 
-/// Weight of a new size in the mean: a hundred requests, some seconds of a router's traffic.
+/// Weight of a new size in the moving mean, which covers about a hundred requests, some seconds of
+/// a router's traffic.
 const MEAN_WEIGHT: f64 = 0.01;
 
-/// Time after which a count weighs half, in us: long enough for several long prompts.
+/// Half-life of the counts, in us: long enough for several long prompts.
 const HALF_LIFE_US: f64 = 8_000_000.0;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -78,14 +80,14 @@
     }
 }
 
-/// What each route is asked and served, by size.
+/// Requests received and served by each route, by size band.
 #[derive(Debug, Default)]
 pub struct SizeTable {
     routes: BTreeMap<RouteKey, RouteSizes>,
 }
 
 impl SizeTable {
-    /// Counts a request of this size.
+    /// Counts a request of this size, in tokens.
     pub fn asked(&mut self, now: Moment, route: &RouteKey, tokens: f64) {
         let sizes = self.routes.entry(route.clone()).or_default();
         if sizes.mean <= 0.0 {
@@ -97,7 +99,7 @@
         sizes.bands[band].asked += 1.0;
     }
 
-    /// Counts a request of this size that was sent.
+    /// Counts a request of this size, in tokens, that was sent.
     pub fn served(&mut self, route: &RouteKey, tokens: f64) {
         if let Some(sizes) = self.routes.get_mut(route) {
             let band = sizes.band(tokens);
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Whether a request of this size has a turn, since its like are served too seldom.
+    /// Returns true if requests of this size, in tokens, are served too seldom, so that this one
+    /// may wait longer.
     #[must_use]
     pub fn has_turn(&self, route: &RouteKey, tokens: f64) -> bool {
         let Some(sizes) = self.routes.get(route) else {
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -1,82 +1,85 @@
-//! A team's demand while it rises or falls faster than its mean over the window of shares tells.
+//! Detection of demand that rises or falls faster than its mean over the share window.
 //!
-//! The load that this answers: a team begins to press from one moment to the next, with many times
-//! what it asked before, through any number of routers. Its mean over seconds reaches its share only after
-//! one or two of them, in which it counts as within its share everywhere and takes all that the
-//! endpoints can begin: more than teams that press already get in six seconds. Counted over the last
-//! moments it is known after a quarter of a second.
+//! Load pattern: a team suddenly sends many times its previous demand, through any number of
+//! routers. Its mean over the share window reaches its share only after one or two seconds. Until
+//! then the team counts as within its share at every router and takes all that the endpoints can
+//! start, which is more than teams already over their shares get in six seconds. Recent demand
+//! shows the flood after a quarter of a second.
 //!
-//! When a flood falls, the mean still tells of it for seconds, and those that others tell are older and
-//! higher still: all routers' parts add up to half of the share. A team that asks less than its
-//! share by then would be refused most of it.
+//! When a flood ends, the mean stays high for seconds, and the means that other routers report are
+//! older and even higher, so that all routers' parts add up to half of the share. A team that asks
+//! less than its share by then would be refused most of its requests.
 
 use super::shares::TeamFlow;
 
-/// Demand of the last moments against the mean at which a team counts as surging.
+/// Ratio of recent demand to the mean at which a surge begins.
 const SURGE_BEGINS: f64 = 3.0;
 
-/// The same against what a team gets at most. A flood of twice that is known from the mean after
-/// three seconds, in which it gets half as much again as others in six; who asks less can wait for the
-/// mean. Usual teams' requests come in clumps of several times their mean, and while all demands fit
-/// nobody is short of anything.
+/// Ratio of recent demand to the max-min level at which a surge begins. A flood of twice the level
+/// shows in the mean after three seconds, in which it gets half as much again as others do in six;
+/// smaller ones can wait for the mean. Normal teams' requests come in bursts of several times their
+/// mean, and while all demands fit no team is short of capacity.
 const SURGE_LEVELS: f64 = 2.0;
 
-/// The same at which it ends: the mean, from which parts of a share are steadier, is nearly there.
+/// Ratio of recent demand to the mean at which a surge ends. The mean has nearly caught up by then,
+/// and the routers' parts of a share are steadier when computed from it.
 const SURGE_ENDS: f64 = 1.5;
 
-/// What is kept of the highest demand from one look to the next, a tenth of a second: half of it after
-/// 0.7 s. A single look that misses the busiest routers must not end a surge.
+/// Factor by which the peak of recent demand decays per update, a tenth of a second: to half after
+/// 0.7 s. A single update that misses the busiest routers must not end a surge.
 const PEAK_KEPT: f64 = 0.9;
 
-/// Demand of the last moments against the mean, below which a flood is over or nearly so.
+/// Ratio of recent demand to the mean below which a flood counts as ending.
 const EBB_BEGINS: f64 = 0.5;
 
-/// The same at which the mean is right again.
+/// Ratio of recent demand to the mean from which the mean is accurate again.
 const EBB_ENDS: f64 = 0.75;
 
-/// What is kept of the highest demand from one look to the next when a flood's end is looked for: an
-/// eighth after a second.
+/// Decay factor per update of the peak that detects the end of a flood: to an eighth after a
+/// second.
 const EBB_PEAK_KEPT: f64 = 0.8;
 
-/// Most that is believed of a long part. A team of nothing but the longest requests shows a twentieth.
+/// Upper bound of the fraction of demand removed by the size cap. For a team that sends only the
+/// longest requests, a twentieth of the demand remains.
 const MOST_LONG_PART: f64 = 0.95;
 
-/// What counts of a team when shares are set.
+/// Demand of a team for which its share is set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamDemand {
-    /// What all routers are asked, in tokens a second.
+    /// Demand at all routers, in tokens a second.
     pub asked: f64,
-    /// This router's part of it, from 0 to 1.
+    /// Fraction of it that arrives at this router, from 0 to 1.
     pub part: f64,
 }
 
-/// Whether a team surges.
+/// Detects the begin and the end of a team's surge.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SurgeWatch {
-    /// The highest demand of the last moments, in tokens a second.
+    /// Decaying peak of recent demand, in tokens a second.
     peak: f64,
     is_surging: bool,
-    /// The same, forgotten sooner.
+    /// The same with a faster decay.
     late_peak: f64,
     is_ebbing: bool,
-    /// Part of the mean that the last moments don't show, from 0 to 1: what is long of long requests.
+    /// Fraction of the mean that recent demand omits because of the size cap on requests, from 0 to
+    /// 1.
     long_part: f64,
 }
 
 impl SurgeWatch {
-    /// Whether the team's demand has just risen to several times its mean.
+    /// True while the team's recent demand is several times its mean.
     #[must_use]
     pub fn is_surging(&self) -> bool {
         self.is_surging
     }
 
-    /// Takes over which part of the team's demand the last moments don't show, from 0 to 1.
+    /// Sets the fraction of the team's demand that the size cap removes, from 0 to 1.
     pub fn set_long_part(&mut self, long_part: f64) {
         self.long_part = long_part.clamp(0.0, MOST_LONG_PART);
     }
 
-    /// The team's demand, from what this router and all together are asked and the most that a team
-    /// got by now.
+    /// Updates the surge state and returns the team's demand, from the flow at this router, the
+    /// flow at all routers and the max-min level last set, in tokens a second.
     pub fn demand(&mut self, own: TeamFlow, all: TeamFlow, level: f64) -> TeamDemand {
         self.peak = all.asked_lately.max(self.peak * PEAK_KEPT);
         let bound = if self.is_surging {
@@ -92,8 +95,8 @@
                 part: part.min(1.0),
             };
         }
-        // Both of one kind: a mean that lags against one that does not would make all routers' parts
-        // several times the whole.
+        // Numerator and denominator must cover the same period. Recent demand divided by a mean
+        // that lags would make the routers' parts add up to several times the whole.
         let (asked, here) = if self.is_surging {
             (self.peak, own.asked_lately)
         } else {
@@ -103,7 +106,7 @@
         TeamDemand { asked, part }
     }
 
-    /// Whether the team asks much less by now than its mean over the window.
+    /// Updates and returns whether recent demand is far below the mean over the share window.
     fn ebbs(&mut self, all: TeamFlow) -> bool {
         self.late_peak = all.asked_lately.max(self.late_peak * EBB_PEAK_KEPT);
         let bound = if self.is_ebbing { EBB_ENDS } else { EBB_BEGINS };
--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -1,6 +1,6 @@
-//! A small model of batching engines with prefix caches, to compare placements offline on the
-//! same arrivals.
-// Each test file that takes this module uses a part of it.
+//! A small simulation of batching engines with prefix caches, to compare placement policies on the
+//! same arrivals, and helpers for tests of the gateway's decisions.
+// Each test file that includes this module uses a part of it.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -35,17 +35,17 @@
 use verbenaturn::units::RequestFingerprint;
 use verbenaturn::units::TimeSpan;
 
-/// Prompt tokens that an engine reads in a ms.
+/// Prompt tokens that an engine reads per ms.
 pub const READING: f64 = 50.0;
-/// Engines.
+/// Number of engines.
 const ENGINES: usize = 18;
-/// Routers.
+/// Number of routers.
 const ROUTERS: usize = 8;
 /// Requests that an engine runs at once.
 const SLOTS: u32 = 32;
-/// Time for which an engine keeps a part that nobody asks for, in us.
+/// Time for which an engine caches an unused part, in us.
 const KEPT_US: u64 = 10_000_000;
-/// Pause between two digests of a router, in us.
+/// Interval between two digests of a router, in us.
 const DIGEST_US: u64 = 100_000;
 
 /// A kind of request.
@@ -53,42 +53,42 @@
 pub struct LoadKind {
     /// Requests a second.
     pub per_s: f64,
-    /// Mean of own prompt tokens.
+    /// Mean size of a prompt's own part, in tokens.
     pub own_tokens: f64,
-    /// Tokens of the shared part.
+    /// Size of the shared part, in tokens.
     pub shared_tokens: u32,
-    /// Number of shared parts.
+    /// Number of different shared parts.
     pub parts: u64,
-    /// Objective, in ms.
+    /// Objective for the time to the first token, in ms.
     pub objective_ms: u64,
 }
 
 /// How requests are placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementPolicy {
-    /// One endpoint after the other, everything is sent.
+    /// Endpoints in turn, without refusals.
     RoundRobin,
-    /// The gateway's core.
+    /// Decisions of the gateway's core.
     Gateway,
 }
 
-/// What came of a run.
+/// Result of a simulation.
 #[derive(Debug, Clone, Default)]
 pub struct LoadResult {
-    /// Requests asked, by kind.
+    /// Requests received, by kind.
     pub asked: Vec<u32>,
     /// Requests whose first token came within the objective, by kind.
     pub in_time: Vec<u32>,
     /// Requests refused, by kind.
     pub refused: Vec<u32>,
-    /// The longest tenth of the first kind: asked and sent.
+    /// Requests received and sent of the longest tenth of the first kind.
     pub longest: (u32, u32),
-    /// Tokens of shared parts that were read although some engine kept them.
+    /// Tokens of shared parts that were read although another engine had them cached.
     pub read_again: f64,
 }
 
 impl LoadResult {
-    /// Part of all requests whose first token came in time.
+    /// Fraction of all requests whose first token came within the objective.
     pub fn in_time_part(&self) -> f64 {
         let in_time: u32 = self.in_time.iter().sum();
         let asked: u32 = self.asked.iter().sum();
@@ -96,7 +96,7 @@
     }
 }
 
-/// A route of that name and objective.
+/// A route with this name and objective.
 pub fn route(name: &str, objective_ms: u64) -> RouteEntry {
     RouteEntry {
         name: RouteKey(SmolStr::new(name)),
@@ -131,7 +131,7 @@
         .collect()
 }
 
-/// The shape of the engines' service.
+/// The published entry of the engines' service.
 pub fn engine_service() -> ServiceEntry {
     ServiceEntry {
         max_connections: 240,
@@ -144,7 +144,7 @@
     }
 }
 
-/// Asks a core for one prompt.
+/// A call with this prompt.
 pub fn ask<'a>(
     route: &'a RouteEntry,
     service: &'a ServiceKey,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Sends one team's prompt to an engine. A refusal fails the test.
+/// Sends one team's prompt to an engine. Panics if it is refused.
 pub fn sent(
     core: &mut GatewayCore,
     now: Moment,
@@ -196,7 +196,7 @@
     is_reading: bool,
 }
 
-/// Plays a load for so many seconds.
+/// Simulates a load for this many seconds.
 pub fn play(kinds: &[LoadKind], seconds: u64, seed: u64, policy: PlacementPolicy) -> LoadResult {
     let mut rng = StdRng::seed_from_u64(seed);
     let service = ServiceKey(SmolStr::new("engine"));
@@ -292,7 +292,7 @@
 }
 
 fn prompt_of(kind: &LoadKind, index: usize, rng: &mut StdRng) -> (PromptShape, u64) {
-    // A log-normal size with a deviation about as large as its mean.
+    // A log-normal size with a standard deviation about as large as its mean.
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     let own = (kind.own_tokens * (0.9 * normal - 0.4).exp()).clamp(16.0, kind.own_tokens * 8.0);
     let part = index as u64 * 1_000 + rng.random_range(0..kind.parts);
@@ -316,7 +316,7 @@
     (shape, part)
 }
 
-/// Gives first tokens and ends to the cores.
+/// Reports to the cores the first tokens and ends of requests up to now, in us.
 fn advance(cores: &mut [GatewayCore], running: &mut Vec<Running>, now: u64) {
     for run in running.iter_mut() {
         if run.is_reading && run.first_at <= now {
@@ -333,7 +333,7 @@
     }
 }
 
-/// What every router tells of its load reaches all others.
+/// Delivers every router's load to all others.
 fn exchange(cores: &mut [GatewayCore]) {
     let told: Vec<BTreeMap<u32, PeerLoad>> = cores
         .iter()
@@ -373,32 +373,32 @@
     value as f64
 }
 
-/// A router that has this list of endpoints and knows nothing else.
+/// A router that has this list of endpoints and no other state.
 pub fn router_with(entries: &BTreeMap<EndpointKey, EndpointEntry>) -> GatewayCore {
     let mut core = GatewayCore::new(GatewayConfig::default(), "suva-a".into());
     core.set_endpoints(Moment(0), entries);
     core
 }
 
-/// Endpoints that a router may send work to.
+/// Number of endpoints to which a router may send work.
 pub fn ready(core: &GatewayCore, now: Moment) -> usize {
     let rows = core.endpoints.rows();
     rows.filter(|row| row.is_ready(now)).count()
 }
 
-/// That many ms after the start.
+/// The moment this many ms after the start.
 pub fn ms(millis: u64) -> Moment {
     Moment(millis * 1_000)
 }
 
-/// A core that knows three engines.
+/// A core with three engines.
 pub fn three_engines() -> GatewayCore {
     let mut core = GatewayCore::new(GatewayConfig::default(), SmolStr::new("suva-a"));
     core.set_endpoints(Moment(0), &endpoints("engine", 3));
     core
 }
 
-/// A prompt of a part that others share and one of its own.
+/// A prompt of one shared part and one of its own, with their sizes in tokens.
 pub fn prompt(part: u64, shared: u32, own: u32) -> PromptShape {
     PromptShape {
         prompt_tokens: shared + own,
@@ -414,7 +414,7 @@
     }
 }
 
-/// What other routers say of a team that asks so much.
+/// Flow reported by other routers for a team with this demand.
 pub fn asked(tokens_per_s: f64) -> TeamFlow {
     TeamFlow {
         asked: tokens_per_s,
@@ -433,7 +433,7 @@
     TeamKey(SmolStr::new("nadi"))
 }
 
-/// Where a core sends a prompt; nothing if it refuses it.
+/// The endpoint to which a core sends a prompt; `None` if it refuses it.
 pub fn place_of(core: &mut GatewayCore, now: Moment, prompt: &PromptShape) -> Option<EndpointKey> {
     let (route, service, shape, team) = (route("r", 800), service(), engine_service(), nadi());
     let call = ask(&route, &service, &shape, &team, prompt);
--- a/tests/floods/mod.rs
+++ b/tests/floods/mod.rs
@@ -1,8 +1,9 @@
-//! A model of a fleet that shares out what its engines do, without a network: routers with share
-//! tables, messages that reach a few peers a round, teams that press through some of them.
+//! Simulation of a fleet that shares out the capacity of its engines, without a network: routers
+//! with share tables, gossip that reaches a few peers per round, and teams that flood some of the
+//! routers.
 //!
-//! The load: few teams ask many times what they are owed, each through routers of its own, and
-//! begin at different moments. Prompts have a heavy tail.
+//! Load pattern: a few teams ask many times their shares, each through its own routers, and begin
+//! at different moments. Prompt sizes have a heavy tail.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -22,29 +23,29 @@
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
 
-/// Pause between two messages of a router, in ms.
+/// Gossip interval of a router, in ms.
 const ROUND_MS: u64 = 100;
-/// Silence after which a router is taken for gone, in ms: longer than any here.
+/// Silence after which a router counts as gone, in ms; longer than any silence in the simulation.
 const PEER_TIMEOUT_MS: u64 = 10_000;
-/// Window of shares, in ms.
+/// Share window, in ms.
 const SHARE_WINDOW_MS: u64 = 4_000;
-/// Mean tokens of a request, and the most.
+/// Mean and largest size of a request, in tokens.
 const MEAN_TOKENS: f64 = 4_000.0;
 const MOST_TOKENS: f64 = 70_000.0;
 
 /// A team's load.
 #[derive(Debug, Clone)]
 pub struct TeamLoad {
-    /// Routers that its callers come to: the first of them, and how many.
+    /// Routers that its callers use: index of the first, and their number.
     pub routers: (usize, usize),
-    /// Tokens a second that it asks, each from a moment on, in ms.
+    /// Phases of its demand: start in ms, and tokens a second.
     pub phases: Vec<(u64, f64)>,
-    /// When its callers move to other routers, in ms, and to which.
+    /// When its callers move to other routers, in ms, and those routers.
     pub moves: Option<(u64, (usize, usize))>,
 }
 
 impl TeamLoad {
-    /// A team that asks the same all the time.
+    /// A team with constant demand.
     pub fn steady(routers: (usize, usize), tokens_per_s: f64) -> Self {
         Self {
             routers,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A team that begins to press at a moment.
+    /// A team that begins a flood at a moment, in ms.
     pub fn flood(routers: (usize, usize), before: f64, from_ms: u64, tokens_per_s: f64) -> Self {
         Self {
             routers,
@@ -73,18 +74,18 @@
     }
 }
 
-/// A fleet.
+/// Size and capacity of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetShape {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Tokens a second to share out.
+    /// Published rate that is shared out, in tokens a second.
     pub published: f64,
-    /// Tokens a second that the engines can begin.
+    /// Rate at which the engines can start requests, in tokens a second.
     pub engines: f64,
 }
 
-/// What one team asked and was served, in buckets of [`BUCKET_MS`].
+/// Demand and service of one team, in buckets of [`BUCKET_MS`].
 #[derive(Debug, Clone, Default)]
 pub struct TeamTrace {
     /// Tokens asked.
@@ -103,11 +104,11 @@
     peers: PeerTable,
     address: IpAddr,
     next: usize,
-    /// Tokens asked of late, which decide how often it tells of them.
+    /// Recent demand in tokens, which decides how many messages it sends per round.
     lately: f64,
 }
 
-/// A prompt's size: log-normal, as long as its mean and more.
+/// Draws a log-normal prompt size, in tokens, whose standard deviation exceeds its mean.
 fn tokens(rng: &mut StdRng) -> f64 {
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     (MEAN_TOKENS * (1.2 * normal - 0.72).exp()).clamp(100.0, MOST_TOKENS)
@@ -129,38 +130,40 @@
         .collect()
 }
 
-/// Plays a load for so many ms.
+/// Simulates a load for this many ms.
 ///
-/// Engines that are asked for more than they can begin refuse the rest, whoever asks. What a team
-/// asks beyond its share is refused: the engines have no room for it.
+/// Engines refuse what they can't start, whichever team asks. Requests beyond a team's share are
+/// refused, as if the engines had no spare capacity.
 pub fn play(fleet: FleetShape, loads: &[TeamLoad], length_ms: u64, seed: u64) -> Vec<TeamTrace> {
     play_with(fleet, SpareRoom::None, loads, length_ms, seed)
 }
 
-/// What becomes of requests beyond their teams' shares.
+/// How requests beyond their teams' shares are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SpareRoom {
     /// They are refused.
     None,
-    /// They go where the predicted first output lies under a part of the objective that falls with
-    /// what the team is served already, as routers decide.
+    /// They are sent if the predicted time to the first output is below a fraction of the objective
+    /// that shrinks as the team's service grows, as in the routers.
     ByQueue,
 }
 
-/// Time to a first output that is aimed at, in ms, and the part of it up to which a request beyond its
-/// team's share is sent if the team is served just its share.
+/// Objective for the time to a first output, in ms, and the fraction of it up to which a request
+/// beyond its team's share is sent if the team is served exactly its share.
 const OBJECTIVE_MS: f64 = 700.0;
 const BEYOND_PART: f64 = 0.3;
 
-/// Tokens that an engine reads in a ms, and the time to a first output beside that, in ms.
+/// Tokens that an engine reads per ms, and the time to a first output in addition to reading, in
+/// ms.
 const TOKENS_PER_MS: f64 = 61.0;
 const IDLE_MS: f64 = 12.0;
 
-/// Queue of an engine that begins nothing new, in ms.
+/// Queue at which an engine starts nothing new, in ms.
 const FULL_QUEUE_MS: f64 = 300.0;
 
 impl SpareRoom {
-    /// Whether a request goes, where so much of the engines' room is left, from 0 to 1.
+    /// Returns true if a request is sent when this fraction of the engines' room is left, from 0 to
+    /// 1.
     fn takes(self, standing: ShareStanding, room: f64, size: f64) -> bool {
         let part = match (standing, self) {
             (ShareStanding::Within, _) => return room > 0.0,
@@ -172,7 +175,8 @@
     }
 }
 
-/// The same, with engines that may have room beyond the published rate.
+/// Simulates a load as [`play`] does, with engines that may have capacity beyond the published
+/// rate.
 pub fn play_with(
     fleet: FleetShape,
     spare: SpareRoom,
@@ -223,7 +227,8 @@
     traces
 }
 
-/// Lets the routers whose round begins in this ms take over what they heard, and tell.
+/// Runs the gossip round of each router whose round begins in this ms: sets shares from the digests
+/// received, and sends its own digest.
 fn tell(fleet: &mut [ModelRouter], ms: u64, published: f64) {
     let now = Moment(ms * 1_000);
     let timeout = TimeSpan::from_millis(PEER_TIMEOUT_MS);
@@ -262,25 +267,25 @@
     value.max(0.0) as u64
 }
 
-/// The span over which service is compared, in ms: six calm seconds.
+/// Span over which service is compared, in ms.
 const SPAN_MS: u64 = 6_000;
 
-/// Requests of the largest size by which a comparison may be off.
+/// Tolerance of a comparison, in requests of the largest size.
 const SLACK_REQUESTS: f64 = 3.0;
 
-/// A team that waited all through a span and got less than it was owed.
+/// A team that had requests refused throughout a span and got less than its due.
 #[derive(Debug, PartialEq)]
 pub struct ShortTeam {
     /// The team.
     pub team: usize,
     /// When the span began, in ms.
     pub from_ms: u64,
-    /// What it asked, got, and what the best served team got, in tokens.
+    /// Its demand, its service, and the service of the best served team, in tokens.
     pub figures: (f64, f64, f64),
 }
 
-/// Teams that got less than half of what they asked or of what another one got, whichever is less,
-/// in six seconds in each of which they had something refused.
+/// Teams that had requests refused in each of six seconds and got less than half of their demand or
+/// of the best served team's service, whichever is less.
 pub fn short_teams(traces: &[TeamTrace], warm_ms: u64) -> Vec<ShortTeam> {
     let span = usize::try_from(SPAN_MS / BUCKET_MS).unwrap();
     let second = usize::try_from(1_000 / BUCKET_MS).unwrap();
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -1,4 +1,4 @@
-//! What a fleet of many routers serves teams that press at the same time, without a network.
+//! Fairness between teams that flood a fleet of many routers at the same time, without a network.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -26,26 +26,26 @@
 use self::floods::play_with;
 use self::floods::short_teams;
 
-/// Ninety routers of which each tells five others a round, and engines that can begin twice as much as
-/// is published, as those do that keep most of their prompts.
+/// Ninety routers, each of which sends to five others per gossip round, and engines that can start
+/// twice the published rate, as engines do whose prompts are mostly cached.
 const FLEET: FleetShape = FleetShape {
     routers: 90,
     published: 2_700_000.0,
     engines: 6_000_000.0,
 };
 
-/// Length of a play, in ms, and what of it is left out: a fleet that has just started.
+/// Length of a simulation, in ms, and its warm-up that is not checked, in ms.
 const LENGTH_MS: u64 = 16_000;
 const WARM_MS: u64 = 2_000;
 
-/// Teams that ask less than their shares. They leave some 0.4 million tokens a second to each of two
-/// that flood.
+/// Teams that ask less than their shares. They leave about 0.4 million tokens a second to each of
+/// two flooding teams.
 fn usual_teams() -> Vec<TeamLoad> {
     let all = (0, FLEET.routers);
     (0..12).map(|_| TeamLoad::steady(all, 160_000.0)).collect()
 }
 
-/// Teams that were short in any of some plays of a load.
+/// Teams that got too little in simulations of a load with several seeds.
 fn shortages(floods: &[TeamLoad]) -> Vec<String> {
     let mut loads = usual_teams();
     loads.extend_from_slice(floods);
@@ -58,11 +58,11 @@
     shortages
 }
 
-/// A team presses through two routers. Seconds later another one begins to, through all ninety, and
-/// in the next six seconds gets three times as much. Its demand was a mean over four seconds, of which
-/// each router hears from another one each second or two: until the sum was known it
-/// was within its share at every router and took all that the engines could begin. The accounts of
-/// shares proved it: nearly all that it got was within, and it was held seconds after its flood began.
+/// A team floods through two routers. Seconds later another one floods through all ninety, and got
+/// three times as much in the next six seconds. Its demand was averaged over four seconds, and a
+/// router receives each other one's digest only every one or two seconds. Until the sum was known,
+/// the second team counted as within its share at every router and took all that the engines could
+/// start.
 #[test]
 fn a_flood_through_all_routers_leaves_half_to_one_that_pressed_before() {
     let floods = [
@@ -73,8 +73,9 @@
     assert!(shortages.is_empty(), "{shortages:#?}");
 }
 
-/// Both come through all routers, one three seconds after the other. What the first one got in its
-/// own first seconds was taken off its share for the next four, just when the other was not held yet.
+/// Two teams flood through all routers, one three seconds after the other. The service of the first
+/// one's initial seconds was deducted from its share for four seconds, in which the other was not
+/// limited yet.
 #[test]
 fn what_a_team_got_before_it_was_held_is_not_paid_back_to_the_next_flood() {
     let floods = [
@@ -85,7 +86,8 @@
     assert!(shortages.is_empty(), "{shortages:#?}");
 }
 
-/// A fleet of 78 routers before engines that can begin so many tokens a second, and twelve usual teams.
+/// A fleet of 78 routers, with engines that can start this many tokens a second, and twelve normal
+/// teams.
 fn smaller_fleet(engines: f64) -> (FleetShape, Vec<TeamLoad>) {
     let fleet = FleetShape {
         routers: 78,
@@ -96,8 +98,8 @@
     (fleet, usual.collect())
 }
 
-/// Guards against two teams whose service beyond their shares swings: each gets all of it by turns, and a
-/// third one that presses for a few seconds falls between.
+/// Guards against oscillation between two teams beyond their shares: each in turn gets all of the
+/// spare capacity, and a third team that floods for a few seconds gets too little.
 #[test]
 fn service_beyond_shares_is_spread_evenly_over_any_six_seconds() {
     let (fleet, mut loads) = smaller_fleet(3_000_000.0);
@@ -116,8 +118,9 @@
     assert!(shortages.is_empty(), "{shortages:#?}");
 }
 
-/// Guards against a team that is held for seconds after its flood: its demand over the window is still many
-/// times its share, and the parts of it that routers see add up to less than the whole as it falls.
+/// Guards against a team that stays limited for seconds after its flood: its demand over the window
+/// is still many times its share, and the routers' parts of it add up to less than the whole as it
+/// falls.
 #[test]
 fn a_team_whose_flood_is_over_gets_what_it_asks() {
     let (fleet, mut loads) = smaller_fleet(3_000_000.0);
@@ -129,15 +132,15 @@
     for seed in 0..4 {
         let traces = play_with(fleet, SpareRoom::ByQueue, &loads, 16_000, seed);
         let trace = traces.last().unwrap();
-        // From a second and a half after the flood, when its news has been everywhere.
+        // From a second and a half after the flood, when its end has reached all routers.
         let asked: f64 = trace.asked[23..].iter().sum();
         let served: f64 = trace.served[23..].iter().sum();
         assert!(served > 0.9 * asked, "seed {seed}: {served} of {asked}");
     }
 }
 
-/// Guards against a team whose share stays where its callers were: they move to another router while its
-/// flood falls, and the part of its demand that this one sees is small against the mean.
+/// Guards against a share that stays at the router that the callers left: they move to another
+/// router while the flood falls, and the demand at the new router is small compared with the mean.
 #[test]
 fn a_team_that_moves_to_another_router_takes_its_share_along() {
     let (fleet, mut loads) = smaller_fleet(1_600_000.0);
@@ -149,15 +152,16 @@
     loads.push(moving);
     for seed in 0..4 {
         let traces = play(fleet, &loads, 16_000, seed);
-        // Three seconds, from one after the move; usual teams leave the rest to two.
+        // Three seconds, starting one second after the move. Normal teams leave the rest to two
+        // teams.
         let served: f64 = traces.last().unwrap().served[26..].iter().sum();
         let owed = 3.0 * (fleet.published - 12.0 * 60_000.0) / 2.0;
         assert!(served > 0.75 * owed, "seed {seed}: {served} of {owed}");
     }
 }
 
-/// The same where every router hears from every other one in each round: one that floods through one
-/// router of eight against one that begins through all of them.
+/// A small fleet in which every router receives all digests in each round. One team floods through
+/// one router of eight, and later another floods through all of them.
 #[test]
 fn floods_through_one_router_and_through_all_of_a_small_fleet_get_alike() {
     let fleet = FleetShape {
@@ -176,8 +180,8 @@
     }
 }
 
-/// Teams ask a tenth less than is published, in clumps. A clump that counted as a flood would have its
-/// team held and refused on a day on which all demands fit over the window of shares.
+/// Teams ask a tenth less than the published rate, in bursts. If a burst counted as a flood, its
+/// team would be limited and refused although all demands fit over the share window.
 #[test]
 fn clumps_of_usual_teams_are_no_floods() {
     let mut watch = SurgeWatch::default();
@@ -203,8 +207,8 @@
     assert!((pressing.asked - 150_000.0).abs() < 1.0);
 }
 
-/// One look hears none of the routers through which a flood comes. It must not end the surge: the team
-/// would be within its share at every router until the next look.
+/// One update lacks the digests of the routers through which a flood comes. If that ended the
+/// surge, the team would count as within its share at every router until the next update.
 #[test]
 fn a_look_that_misses_the_busy_routers_ends_no_surge() {
     let mut watch = SurgeWatch::default();
@@ -221,9 +225,9 @@
     }
 }
 
-/// Two teams press and one has twice what the other gets, as it asks ten times as often and small prompts find
-/// room at nearly any endpoint. It must need an emptier endpoint than the other one, or it gets more
-/// and more of what endpoints do beyond the published rate.
+/// Two teams are over their shares and one gets twice as much, since it sends ten times as many
+/// requests and its small prompts fit at nearly any endpoint. It must need an emptier endpoint than
+/// the other one, or it gets more and more of the capacity beyond the published rate.
 #[test]
 fn who_has_twice_what_another_pressing_team_gets_needs_an_emptier_endpoint() {
     let served_part = |least: f64| {
@@ -264,8 +268,9 @@
     ShareTable::new(TimeSpan::from_millis(4_000))
 }
 
-/// A team floods through routers of which each hears from another one once in two seconds. What the last
-/// ones told, each taken for those not heard, must come near what all are asked, long before all have told.
+/// A team floods through a fleet in which a router receives each other one's digest every two
+/// seconds. The latest digests, scaled up for the routers not heard from, must approximate the
+/// total demand long before all digests have arrived.
 #[test]
 fn demand_of_the_last_moments_stands_for_routers_not_heard_of_late() {
     let mut peers = PeerTable::default();
@@ -283,7 +288,8 @@
         ..RouterDigest::default()
     };
     let address = |router: u32| IpAddr::V4(Ipv4Addr::from(0x0a00_0001 + router));
-    // Ninety routers, one each 20 ms. From the second turn on each is asked 30,000 tokens a second.
+    // Ninety routers, one digest every 20 ms. From the second round on, the demand at each router
+    // is 30,000 tokens a second.
     for step in 0..110_u64 {
         let router = u32::try_from(step % 90).unwrap();
         let rate = if step < 90 { 0.0 } else { 30_000.0 };
--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash the engines that run them, seen by several routers without a network.
+//! Quarantine of requests that crash the engines that run them, at several routers without a
+//! network.
 
 use std::collections::BTreeMap;
 
@@ -69,7 +70,7 @@
     }
 }
 
-/// The engine runs the request, breaks off, and registers with a later start.
+/// Runs a request on an engine that breaks off and registers with a later start.
 fn crash(core: &mut GatewayCore, at: u64, fingerprint: RequestFingerprint) {
     let ticket = sent(core, ms(at), fingerprint);
     core.ended(ms(at + 50), ticket, AttemptEnd::Lost(fingerprint));
@@ -81,9 +82,9 @@
     to.quarantine.take_told(now, told.into_iter());
 }
 
-/// A caller sends a request that crashes engines again and again, each time through another
-/// router. No router sees more than one crash; without each other's word they would give it every
-/// engine of the fleet.
+/// A caller repeats a request that crashes engines, each time through another router. No router
+/// sees more than one crash, so without exchanging suspects they would send it to every engine of
+/// the fleet.
 #[test]
 fn a_request_in_three_crashes_is_refused_by_every_router() {
     let mut routers = [router(), router(), router(), router()];
@@ -106,8 +107,8 @@
     }
 }
 
-/// A link resets connections of an engine that lives on. Requests that are lost there have
-/// crashed nothing, however often it happens.
+/// A link resets connections of an engine whose process keeps running. Requests lost that way must
+/// not count as crashes, however many there are.
 #[test]
 fn attempts_lost_on_links_are_no_crashes() {
     let mut core = router();
@@ -120,8 +121,8 @@
     assert!(core.quarantine.telling(ms(9_000)).is_empty());
 }
 
-/// An innocent request ran beside a guilty one in two crashes and is then answered: a third crash,
-/// weeks of traffic later, must not count together with those.
+/// A harmless request runs beside a crashing one in two crashes and is then answered. A third
+/// crash, weeks later, must not be added to these two.
 #[test]
 fn an_answer_clears_a_suspect() {
     let mut core = router();
@@ -132,7 +133,8 @@
     drop(sent(&mut core, ms(6_000), GUILTY));
 }
 
-/// A stranger in the routers' network names thousands of requests.
+/// A foreign sender in the routers' network reports thousands of suspects, which must not fill the
+/// table or the messages.
 #[test]
 fn what_a_message_names_is_bounded() {
     let mut core = router();
--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -1,4 +1,5 @@
-//! Teams' shares at a gateway without a network: what is within them, beyond them, and counts.
+//! Teams' shares at a gateway without a network: requests within and beyond them, and what counts
+//! as demand and service.
 
 use std::collections::BTreeMap;
 
@@ -32,8 +33,8 @@
     assert!(max_min_level(100.0, [10.0, 20.0].into_iter()).is_infinite());
 }
 
-/// One team sends ten times its usual. It is held to its share, the others ask what they always
-/// did and stay within theirs.
+/// One team sends ten times its usual traffic and is limited to its share. The others send as much
+/// as before and stay within theirs.
 #[test]
 fn a_flooding_team_is_beyond_its_share_and_the_others_are_not() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
@@ -54,14 +55,14 @@
             }
         }
     }
-    // 30,000 tokens a second less two times 8,000 leave 14,000 of the 100,000 asked.
+    // 30,000 tokens a second less two times 8,000 leave 14,000 of a demand of 100,000.
     let part = f64::from(passed[0]) / 2_000.0;
     assert!((0.1..0.25).contains(&part), "{part}");
     assert_eq!(passed[1..], [2_000, 2_000]);
 }
 
-/// Two teams are far beyond their shares, one asking five times as often as the other. What
-/// endpoints can do besides must not all go to the one that asks most.
+/// Two teams are far beyond their shares, and one sends five times as many requests as the other.
+/// The capacity beyond the shares must not all go to that one.
 #[test]
 fn a_team_that_has_much_beyond_its_share_needs_an_emptier_endpoint() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
@@ -80,9 +81,9 @@
     assert!((8.0..11.0).contains(&served), "{served}");
 }
 
-/// One team comes through all routers, another through one. Both are beyond their shares, the
-/// first five times. Where both find the same queue, only the one that has less may be sent, or
-/// service follows how often a team asks.
+/// One team uses all routers and is served five times its share; another uses one router and is
+/// served one and a half times its share. If the same queue admitted both, service would be
+/// proportional to the number of requests that a team sends.
 #[test]
 fn the_same_queue_refuses_who_has_five_shares_and_not_who_has_one_and_a_half() {
     let mut core = three_engines();
@@ -98,8 +99,8 @@
     assert!(matches!(little, Admission::Send(_)), "{little:?}");
 }
 
-/// Every second request of a team that is held to its share finds the endpoints full. Charged for
-/// these as well, the team would get half of its share, for as long as the others press.
+/// Every second request of a team that is limited to its share finds the endpoints full. If these
+/// were charged as well, the team would get half of its share for as long as the overload lasts.
 #[test]
 fn refused_requests_cost_no_share() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
@@ -118,9 +119,9 @@
     assert!(served > 0.9 * 30_000.0 * 19.0, "{served}");
 }
 
-/// A team comes through ninety routers. At each of them it is served one request in some seconds,
-/// which is less than that router's part of its share; all together serve it twice its share. If
-/// each router counted for itself, it would get room that belongs to a team with one router.
+/// A team uses ninety routers. Each serves it one request every few seconds, less than that
+/// router's part of its share, but together they serve it twice its share. With counts per router
+/// it would take capacity that is due to a team with one router.
 #[test]
 fn what_other_routers_serve_counts_as_served() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
@@ -141,9 +142,9 @@
     assert!((1.9..2.1).contains(&served), "{served}");
 }
 
-/// All routers lost power and start again. One team floods from the first moment. Measured over a
-/// window of four seconds its demand seems to fit for the first two, and it takes the engines'
-/// queues from all others.
+/// All routers restart after a power loss, and one team floods at once. Averaged over a window of
+/// four seconds its demand would seem to fit for the first two, in which it fills the engines'
+/// queues.
 #[test]
 fn a_flood_is_shared_out_within_a_second_of_a_start() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
@@ -152,14 +153,14 @@
         shares.ask(ms(10_000 + step * 10), &nadi(), 3_000.0);
     }
     shares.share_out(ms(10_800), rate, &BTreeMap::new());
-    // A first one passes on any rest of the share, and leaves debt.
+    // Any positive credit admits the first request, which leaves the credit negative.
     shares.ask(ms(10_810), &nadi(), 3_000.0);
     shares.serve(ms(10_810), &nadi(), 3_000.0);
     let standing = shares.ask(ms(10_820), &nadi(), 3_000.0);
     assert!(matches!(standing, ShareStanding::Beyond(_)), "{standing:?}");
 }
 
-/// A team is over its share because of what it asks of other routers.
+/// A team is over its share because of its demand at other routers.
 #[test]
 fn what_other_routers_are_asked_counts() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
@@ -174,12 +175,12 @@
             passed += 1;
         }
     }
-    // 45,000 of 100,000 are its share; this router's part of them is a tenth, as of its demand.
+    // Its share is 45,000 of 100,000; this router gets a tenth of both the demand and the share.
     assert!((350..600).contains(&passed), "{passed}");
 }
 
 /// Tokens a second that a team may use within its share at a router that gets a tenth of its
-/// demand, when all routers together are known to serve it this much.
+/// demand, while the other routers serve it this much, in tokens a second.
 fn used_within(served_elsewhere: f64) -> f64 {
     let (team, mut shares) = (nadi(), ShareTable::new(TimeSpan::from_millis(4_000)));
     let steady = |served| TeamFlow {
@@ -200,9 +201,9 @@
     used / 10.0
 }
 
-/// Two teams flood, one through many routers and one through a few small ones that lose part of
-/// its calls. With equal allowances the one got less than half of what the other got. What a team
-/// is served by all routers has to steer its allowance at each of them.
+/// Two teams flood, one through many routers and one through a few small ones that lose part of its
+/// calls. With equal allowances the second got less than half of the first one's service. The
+/// allowance at each router must be corrected by the service at all routers.
 #[test]
 fn what_all_routers_serve_a_team_steers_its_allowance() {
     let (little, even, much) = (
@@ -214,9 +215,9 @@
     assert!(much < 0.7 * even, "{much} {even}");
 }
 
-/// All routers lost power and start together; callers' retries come at once and are served. After
-/// half a second each team was served several times its share of that half second. Idle engines
-/// refused them for three seconds, until the window was full.
+/// All routers restart together after a power loss, and the retries of all callers are served at
+/// once. After half a second each team was served several times its share of that time, so idle
+/// engines refused it for three seconds, until the share window was covered.
 #[test]
 fn a_fleet_that_has_just_started_holds_little_against_its_teams() {
     let standing_after = |millis: u64| {
@@ -242,17 +243,17 @@
     assert!(early < 1.6 && later > 3.0, "{early} {later}");
 }
 
-/// A flood begins, and its first second is served in full before its demand is known. Paid back in
-/// full, the team gets next to nothing for the next four seconds, in which another one that floods
-/// as much gets four times as much.
+/// The first second of a flood is served in full before its demand is known. If that were deducted
+/// in full, the team would get almost nothing for four seconds, while another team with an equal
+/// flood gets four times as much.
 #[test]
 fn what_a_floods_first_second_got_is_not_paid_back_in_full() {
     let (after_flood, even) = (used_within(900_000.0), used_within(90_000.0));
     assert!(after_flood > 0.5 * even, "{after_flood} {even}");
 }
 
-/// A team complains of a second in which calls' log lines were left out. The account of shares must
-/// tell since when it was held and what it and the others got.
+/// Log lines of single calls may be omitted under load. The log of shares must still show since
+/// when a team was limited, and what it and the others got.
 #[test]
 fn the_account_of_shares_names_the_teams_that_are_held() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves, at routers without a network.
+//! Notices that endpoints give about themselves, at routers without a network.
 
 use std::collections::BTreeMap;
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// Guards against a word that is lost with its row: the entry lapses with the store for minutes and is
-/// back as ready.
+/// Guards against a notice that is lost with its row: the entry is missing for minutes while the
+/// store is unavailable, and reappears as ready.
 #[test]
 fn a_word_outlives_a_list_without_its_endpoint() {
     let all = endpoints("engine", 3);
@@ -43,7 +43,7 @@
     assert_eq!(ready(&core, ms(300_000)), 2);
 }
 
-/// Guards against a word that goes with the address or the key: the next start takes work.
+/// Guards against a notice that is tied to the address or the key: the next process must take work.
 #[test]
 fn a_word_ends_with_its_process() {
     let mut all = endpoints("engine", 3);
@@ -56,8 +56,8 @@
     assert_eq!(ready(&core, ms(200)), 3);
 }
 
-/// Guards against a router that believes its own list more than the endpoint: all have the same revision, and
-/// the word was told before the endpoint was listed here.
+/// Guards against a router whose list takes precedence over the notice: the revision is the same,
+/// and the notice arrived from another router before the endpoint was listed here.
 #[test]
 fn what_others_were_told_holds_whatever_the_list_says() {
     let all = endpoints("engine", 3);
@@ -69,11 +69,11 @@
     other.endpoints.take_told_leaving(ms(200), &lives);
     other.set_endpoints(ms(300), &all);
     assert_eq!(ready(&other, ms(300)), 2);
-    // It tells others in its turn, since they may not hear from the first one.
+    // It passes the notice on, since others may not receive it from the first router.
     assert_eq!(other.endpoints.telling_leaving(ms(400)), lives);
 }
 
-/// Guards against messages that grow with the fleet: hundreds of endpoints leave at once.
+/// Guards against messages that grow with the fleet when hundreds of endpoints leave at once.
 #[test]
 fn words_take_little_of_a_message() {
     let all = endpoints("engine", 300);
@@ -82,12 +82,12 @@
         core.endpoints.said(ms(100), entry, LEAVING);
     }
     assert_eq!(core.endpoints.telling_leaving(ms(200)).len(), 32);
-    // What the store knows as well need not be told.
+    // Endpoints that the store no longer lists need not be sent.
     core.set_endpoints(ms(300), &BTreeMap::new());
     assert!(core.endpoints.telling_leaving(ms(300)).is_empty());
 }
 
-/// Guards against a shorter wish that ends a longer one.
+/// Guards against a shorter pause that ends a longer one.
 #[test]
 fn the_longest_pause_holds() {
     let all = endpoints("engine", 2);
