--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -65,7 +65,7 @@
 }
 
 /// Returns the id of an endpoint in the crash table: the low half of its key's hash. Two endpoints
-/// with the same id share an entry, in which their processes are still told apart by `life`.
+/// with the same id share an entry, in which `life` still distinguishes their processes.
 #[allow(clippy::cast_possible_truncation)]
 fn number_of(entry: &EndpointEntry) -> EndpointId {
     EndpointId(entry.key.hash() as u32)
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -52,7 +52,7 @@
     pub part: f64,
 }
 
-/// Detects the begin and the end of a team's surge.
+/// Detects the start and the end of a team's surge.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SurgeWatch {
     /// Decaying peak of recent demand, in tokens a second.
