--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -44,7 +44,7 @@
 /// Window of recent demand: long enough for a few requests of a flooding team at one router, and
 /// for three gossip rounds, in which a router in a fleet of ninety receives digests from fifteen
 /// others. A flood of ten times a share is detected within it.
-pub const LATELY: TimeSpan = TimeSpan::from_millis(300);
+pub const RECENT_WINDOW: TimeSpan = TimeSpan::from_millis(300);
 
 /// Lower bound of a surging team's ratio of service to share. Its service becomes known as late as
 /// its demand, so until then it may use only endpoints that are nearly idle.
@@ -65,7 +65,7 @@
 pub struct TeamFlow {
     /// Demand over the share window.
     pub asked: f64,
-    /// Demand over [`LATELY`], where the size of a request is capped at twice the mean.
+    /// Demand over [`RECENT_WINDOW`], where the size of a request is capped at twice the mean.
     pub asked_lately: f64,
     /// Service over the share window.
     pub served: f64,
@@ -235,7 +235,7 @@
             .entry(team.clone())
             .or_insert_with(|| TeamCounts {
                 asked: WindowCount::new(window),
-                asked_lately: WindowCount::new(LATELY),
+                asked_lately: WindowCount::new(RECENT_WINDOW),
                 asked_short: WindowCount::new(window),
                 served: WindowCount::new(window),
                 surge: SurgeWatch::default(),
@@ -320,7 +320,7 @@
         let (begun, window) = (self.begun, self.window);
         let asked_s = counted_s(now, begun, window);
         #[allow(clippy::cast_precision_loss)]
-        let lately_s = LATELY.0 as f64 / 1e6;
+        let lately_s = RECENT_WINDOW.0 as f64 / 1e6;
         self.teams
             .iter_mut()
             .map(|(team, counts)| {
--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -113,7 +113,7 @@
     pub tokens_per_s: u32,
     /// Tokens a second that it is served there.
     pub served_per_s: u32,
-    /// Tokens a second that it asked in the last moments, see [`super::decide::shares::LATELY`].
+    /// Tokens a second that it asked in the last moments, see [`super::decide::shares::RECENT_WINDOW`].
     pub lately_per_s: u32,
 }
 
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -11,7 +11,7 @@
 use crate::units::TimeSpan;
 
 use super::decide::endpoints::PeerLoad;
-use super::decide::shares::LATELY;
+use super::decide::shares::RECENT_WINDOW;
 use super::decide::shares::TeamFlow;
 use super::digest::LoadColumns;
 use super::digest::RouterDigest;
@@ -46,10 +46,10 @@
     /// seldom it is heard, is right on the average and as old as the last moments.
     #[allow(clippy::cast_precision_loss)]
     fn lately_weight(&self, now: Moment) -> f64 {
-        if now.since(self.heard) >= LATELY {
+        if now.since(self.heard) >= RECENT_WINDOW {
             return 0.0;
         }
-        (self.interval.0 as f64 / LATELY.0 as f64).max(1.0)
+        (self.interval.0 as f64 / RECENT_WINDOW.0 as f64).max(1.0)
     }
 }
 
