--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -30,7 +30,7 @@
 /// Teams that ask more than the level, over the window of shares and still.
 pub fn pressing(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> impl Iterator<Item = &TeamFlow> {
     let flows = flows.values();
-    flows.filter(move |flow| flow.asked > level && flow.asked_lately > level)
+    flows.filter(move |flow| flow.asked > level && flow.asked_recently > level)
 }
 
 /// What each team that presses may get beyond the level; nothing if fewer than two press.
--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -66,7 +66,7 @@
     /// Demand over the share window.
     pub asked: f64,
     /// Demand over [`RECENT_WINDOW`], where the size of a request is capped at twice the mean.
-    pub asked_lately: f64,
+    pub asked_recently: f64,
     /// Service over the share window.
     pub served: f64,
 }
@@ -74,7 +74,7 @@
 impl AddAssign for TeamFlow {
     fn add_assign(&mut self, other: Self) {
         self.asked += other.asked;
-        self.asked_lately += other.asked_lately;
+        self.asked_recently += other.asked_recently;
         self.served += other.served;
     }
 }
@@ -97,8 +97,8 @@
 #[derive(Debug)]
 struct TeamCounts {
     asked: WindowCount,
-    asked_lately: WindowCount,
-    /// Demand over the share window with request sizes capped as in `asked_lately`.
+    asked_recently: WindowCount,
+    /// Demand over the share window with request sizes capped as in `asked_recently`.
     asked_short: WindowCount,
     served: WindowCount,
     surge: SurgeWatch,
@@ -235,7 +235,7 @@
             .entry(team.clone())
             .or_insert_with(|| TeamCounts {
                 asked: WindowCount::new(window),
-                asked_lately: WindowCount::new(RECENT_WINDOW),
+                asked_recently: WindowCount::new(RECENT_WINDOW),
                 asked_short: WindowCount::new(window),
                 served: WindowCount::new(window),
                 surge: SurgeWatch::default(),
@@ -262,7 +262,7 @@
         let counts = self.counts(team);
         counts.asked.add(now, tokens);
         let short = tokens.min(most_tokens);
-        counts.asked_lately.add(now, short);
+        counts.asked_recently.add(now, short);
         counts.asked_short.add(now, short);
         if counts.allowed.is_none() {
             return ShareStanding::Within;
@@ -327,7 +327,7 @@
                 let served_s = counted_s(now, counts.held_at.or(begun), window);
                 let flow = TeamFlow {
                     asked: counts.asked.sum(now) / asked_s,
-                    asked_lately: counts.asked_lately.sum(now) / lately_s,
+                    asked_recently: counts.asked_recently.sum(now) / lately_s,
                     served: counts.served.sum(now) / served_s,
                 };
                 (team.clone(), flow)
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -81,7 +81,7 @@
     /// Updates the surge state and returns the team's demand, from the flow at this router, the
     /// flow at all routers and the max-min level last set, in tokens a second.
     pub fn demand(&mut self, own: TeamFlow, all: TeamFlow, level: f64) -> TeamDemand {
-        self.peak = all.asked_lately.max(self.peak * PEAK_KEPT);
+        self.peak = all.asked_recently.max(self.peak * PEAK_KEPT);
         let bound = if self.is_surging {
             SURGE_ENDS * all.asked
         } else {
@@ -89,7 +89,7 @@
         };
         self.is_surging = self.peak > bound;
         if self.ebbs(all) && all.asked > level {
-            let part = own.asked_lately / all.asked_lately.max(1.0);
+            let part = own.asked_recently / all.asked_recently.max(1.0);
             return TeamDemand {
                 asked: (self.late_peak / (1.0 - self.long_part)).min(all.asked),
                 part: part.min(1.0),
@@ -98,7 +98,7 @@
         // Numerator and denominator must cover the same period. Recent demand divided by a mean
         // that lags would make the routers' parts add up to several times the whole.
         let (asked, here) = if self.is_surging {
-            (self.peak, own.asked_lately)
+            (self.peak, own.asked_recently)
         } else {
             (all.asked, own.asked)
         };
@@ -108,7 +108,7 @@
 
     /// Updates and returns whether recent demand is far below the mean over the share window.
     fn ebbs(&mut self, all: TeamFlow) -> bool {
-        self.late_peak = all.asked_lately.max(self.late_peak * EBB_PEAK_KEPT);
+        self.late_peak = all.asked_recently.max(self.late_peak * EBB_PEAK_KEPT);
         let bound = if self.is_ebbing { EBB_ENDS } else { EBB_BEGINS };
         let steady = all.asked * (1.0 - self.long_part);
         self.is_ebbing = self.late_peak < bound * steady;
--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -127,7 +127,7 @@
     #[prost(uint32, repeated, tag = "5")]
     served: Vec<u32>,
     #[prost(uint32, repeated, tag = "6")]
-    asked_lately: Vec<u32>,
+    asked_recently: Vec<u32>,
 }
 
 impl DemandColumns {
@@ -142,14 +142,14 @@
                 team: team.hash(),
                 tokens_per_s: flow.asked as u32,
                 served_per_s: flow.served as u32,
-                lately_per_s: flow.asked_lately as u32,
+                lately_per_s: flow.asked_recently as u32,
             })
             .collect()
     }
 
     /// The rows, as those of [`LoadColumns::entries`].
     pub fn entries(&self) -> impl Iterator<Item = DemandEntry> + '_ {
-        let asked = self.asked.iter().zip(&self.asked_lately);
+        let asked = self.asked.iter().zip(&self.asked_recently);
         let rates = asked.zip(&self.served);
         self.teams
             .iter()
@@ -174,7 +174,7 @@
             columns.teams.push(entry.team);
             columns.asked.push(rate_steps(entry.tokens_per_s));
             columns.served.push(rate_steps(entry.served_per_s));
-            columns.asked_lately.push(rate_steps(entry.lately_per_s));
+            columns.asked_recently.push(rate_steps(entry.lately_per_s));
         }
         columns
     }
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -187,7 +187,7 @@
     let mut watch = SurgeWatch::default();
     let clump = TeamFlow {
         asked: 20_000.0,
-        asked_lately: 80_000.0,
+        asked_recently: 80_000.0,
         served: 20_000.0,
     };
     let fits = watch.demand(clump, clump, f64::INFINITY);
@@ -199,7 +199,7 @@
         "four times its mean, less than two levels"
     );
     let flood = TeamFlow {
-        asked_lately: 150_000.0,
+        asked_recently: 150_000.0,
         ..clump
     };
     let pressing = watch.demand(flood, flood, 50_000.0);
@@ -214,7 +214,7 @@
     let mut watch = SurgeWatch::default();
     let flow = |lately: f64| TeamFlow {
         asked: 20_000.0,
-        asked_lately: lately,
+        asked_recently: lately,
         served: 0.0,
     };
     watch.demand(flow(10_000.0), flow(400_000.0), 50_000.0);
@@ -234,7 +234,7 @@
         let (team, mut shares) = (TeamKey(SmolStr::new("suva")), table());
         let ahead = TeamFlow {
             asked: 900_000.0,
-            asked_lately: 900_000.0,
+            asked_recently: 900_000.0,
             served: 100_000.0,
         };
         let behind = TeamFlow {
@@ -281,7 +281,7 @@
             TeamKey(SmolStr::new("suva")),
             TeamFlow {
                 asked: 10_000.0,
-                asked_lately: rate,
+                asked_recently: rate,
                 served: 0.0,
             },
         )])),
@@ -300,7 +300,7 @@
     let flow = flows.values().next().unwrap();
     let asked = 90.0 * 30_000.0;
     assert!(
-        (0.8 * asked..1.2 * asked).contains(&flow.asked_lately),
+        (0.8 * asked..1.2 * asked).contains(&flow.asked_recently),
         "{flow:?}"
     );
     assert!((890_000.0..910_000.0).contains(&flow.asked), "{flow:?}");
--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -185,7 +185,7 @@
     let (team, mut shares) = (nadi(), ShareTable::new(TimeSpan::from_millis(4_000)));
     let steady = |served| TeamFlow {
         asked: 900_000.0,
-        asked_lately: 900_000.0,
+        asked_recently: 900_000.0,
         served,
     };
     let others = BTreeMap::from([(team.hash(), steady(served_elsewhere)), (1, steady(0.0))]);
