--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -99,7 +99,7 @@
     asked: WindowCount,
     asked_recently: WindowCount,
     /// Demand over the share window with request sizes capped as in `asked_recently`.
-    asked_short: WindowCount,
+    asked_capped: WindowCount,
     served: WindowCount,
     surge: SurgeWatch,
     /// Tokens that may be used within the share.
@@ -183,7 +183,7 @@
         if asked <= 0.0 {
             return 0.0;
         }
-        1.0 - self.asked_short.sum(now) / asked
+        1.0 - self.asked_capped.sum(now) / asked
     }
 
     /// Begins to limit the team to its share.
@@ -236,7 +236,7 @@
             .or_insert_with(|| TeamCounts {
                 asked: WindowCount::new(window),
                 asked_recently: WindowCount::new(RECENT_WINDOW),
-                asked_short: WindowCount::new(window),
+                asked_capped: WindowCount::new(window),
                 served: WindowCount::new(window),
                 surge: SurgeWatch::default(),
                 credit: 0.0,
@@ -263,7 +263,7 @@
         counts.asked.add(now, tokens);
         let short = tokens.min(most_tokens);
         counts.asked_recently.add(now, short);
-        counts.asked_short.add(now, short);
+        counts.asked_capped.add(now, short);
         if counts.allowed.is_none() {
             return ShareStanding::Within;
         }
