--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -413,7 +413,7 @@
             let own = own.get(team).copied().unwrap_or_default();
             let all = flows.get(&team.hash()).copied().unwrap_or_default();
             let long_part = counts.long_part(now);
-            counts.surge.set_long_part(long_part);
+            counts.surge.set_capped_part(long_part);
             let demand = counts.surge.demand(own, all, self.level);
             demands.insert(team.hash(), demand);
         }
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -74,7 +74,7 @@
     }
 
     /// Sets the fraction of the team's demand that the size cap removes, from 0 to 1.
-    pub fn set_long_part(&mut self, long_part: f64) {
+    pub fn set_capped_part(&mut self, long_part: f64) {
         self.long_part = long_part.clamp(0.0, MOST_LONG_PART);
     }
 
