--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -178,7 +178,7 @@
 
     /// Fraction of the demand at this router over the share window that the size cap removes, from
     /// 0 to 1.
-    fn long_part(&mut self, now: Moment) -> f64 {
+    fn capped_part(&mut self, now: Moment) -> f64 {
         let asked = self.asked.sum(now);
         if asked <= 0.0 {
             return 0.0;
@@ -412,8 +412,8 @@
         for (team, counts) in &mut self.teams {
             let own = own.get(team).copied().unwrap_or_default();
             let all = flows.get(&team.hash()).copied().unwrap_or_default();
-            let long_part = counts.long_part(now);
-            counts.surge.set_capped_part(long_part);
+            let capped_part = counts.capped_part(now);
+            counts.surge.set_capped_part(capped_part);
             let demand = counts.surge.demand(own, all, self.level);
             demands.insert(team.hash(), demand);
         }
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -63,7 +63,7 @@
     is_ebbing: bool,
     /// Fraction of the mean that recent demand omits because of the size cap on requests, from 0 to
     /// 1.
-    long_part: f64,
+    capped_part: f64,
 }
 
 impl SurgeWatch {
@@ -74,8 +74,8 @@
     }
 
     /// Sets the fraction of the team's demand that the size cap removes, from 0 to 1.
-    pub fn set_capped_part(&mut self, long_part: f64) {
-        self.long_part = long_part.clamp(0.0, MOST_LONG_PART);
+    pub fn set_capped_part(&mut self, capped_part: f64) {
+        self.capped_part = capped_part.clamp(0.0, MOST_LONG_PART);
     }
 
     /// Updates the surge state and returns the team's demand, from the flow at this router, the
@@ -91,7 +91,7 @@
         if self.ebbs(all) && all.asked > level {
             let part = own.asked_recently / all.asked_recently.max(1.0);
             return TeamDemand {
-                asked: (self.late_peak / (1.0 - self.long_part)).min(all.asked),
+                asked: (self.late_peak / (1.0 - self.capped_part)).min(all.asked),
                 part: part.min(1.0),
             };
         }
@@ -110,7 +110,7 @@
     fn ebbs(&mut self, all: TeamFlow) -> bool {
         self.late_peak = all.asked_recently.max(self.late_peak * EBB_PEAK_KEPT);
         let bound = if self.is_ebbing { EBB_ENDS } else { EBB_BEGINS };
-        let steady = all.asked * (1.0 - self.long_part);
+        let steady = all.asked * (1.0 - self.capped_part);
         self.is_ebbing = self.late_peak < bound * steady;
         self.is_ebbing
     }
