--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -41,7 +41,7 @@
 
 /// Upper bound of the fraction of demand removed by the size cap. For a team that sends only the
 /// longest requests, a twentieth of the demand remains.
-const MOST_LONG_PART: f64 = 0.95;
+const MAX_CAPPED_PART: f64 = 0.95;
 
 /// Demand of a team for which its share is set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -75,7 +75,7 @@
 
     /// Sets the fraction of the team's demand that the size cap removes, from 0 to 1.
     pub fn set_capped_part(&mut self, capped_part: f64) {
-        self.capped_part = capped_part.clamp(0.0, MOST_LONG_PART);
+        self.capped_part = capped_part.clamp(0.0, MAX_CAPPED_PART);
     }
 
     /// Updates the surge state and returns the team's demand, from the flow at this router, the
