--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -39,7 +39,7 @@
 
 /// Cap on a request's size in recent demand, in multiples of the mean size. The longest requests
 /// have twenty times the mean, and one of them would make a normal team look like a flood.
-const MOST_SIZE: f64 = 2.0;
+const MAX_SIZE_MEANS: f64 = 2.0;
 
 /// Window of recent demand: long enough for a few requests of a flooding team at one router, and
 /// for three gossip rounds, in which a router in a fleet of ninety receives digests from fifteen
@@ -258,7 +258,7 @@
     pub fn ask(&mut self, now: Moment, team: &TeamKey, tokens: f64) -> ShareStanding {
         self.begun.get_or_insert(now);
         self.mean_tokens += SIZE_WEIGHT * (tokens - self.mean_tokens);
-        let most_tokens = MOST_SIZE * self.mean_tokens;
+        let most_tokens = MAX_SIZE_MEANS * self.mean_tokens;
         let counts = self.counts(team);
         counts.asked.add(now, tokens);
         let short = tokens.min(most_tokens);
