--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -48,7 +48,7 @@
 
 /// Lower bound of a surging team's ratio of service to share. Its service becomes known as late as
 /// its demand, so until then it may use only endpoints that are nearly idle.
-const SURGE_SERVED: f64 = 2.0;
+const MIN_SURGE_RATIO: f64 = 2.0;
 
 /// Whether a request is within its team's share.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -172,7 +172,7 @@
         let ahead = (served / terms.least.max(1.0)).max(1.0);
         self.served_part = (1.0 + terms.settled * (served_part - 1.0)) * ahead;
         if self.surge.is_surging() {
-            self.served_part = self.served_part.max(SURGE_SERVED);
+            self.served_part = self.served_part.max(MIN_SURGE_RATIO);
         }
     }
 
