--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -121,7 +121,7 @@
     asked_here: f64,
     /// Service by all routers divided by the share, multiplied by its ratio to the service of the
     /// least served team that asks more than its share.
-    served_part: f64,
+    service_ratio: f64,
 }
 
 /// Values common to all teams when shares are set.
@@ -168,11 +168,11 @@
         let served = self.flow.served;
         self.allowed = Some(terms.level * demand.part * correction(terms.level, served));
         self.spare = terms.spare.map(|spare| spare * demand.part);
-        let served_part = served / terms.level.max(1.0);
+        let service_ratio = served / terms.level.max(1.0);
         let ahead = (served / terms.least.max(1.0)).max(1.0);
-        self.served_part = (1.0 + terms.settled * (served_part - 1.0)) * ahead;
+        self.service_ratio = (1.0 + terms.settled * (service_ratio - 1.0)) * ahead;
         if self.surge.is_surging() {
-            self.served_part = self.served_part.max(MIN_SURGE_RATIO);
+            self.service_ratio = self.service_ratio.max(MIN_SURGE_RATIO);
         }
     }
 
@@ -247,7 +247,7 @@
                 held_at: None,
                 flow: TeamFlow::default(),
                 asked_here: 0.0,
-                served_part: 0.0,
+                service_ratio: 0.0,
             })
     }
 
@@ -274,7 +274,7 @@
         if counts.spare.is_some() && counts.spare_credit <= 0.0 {
             return ShareStanding::Beyond(f64::INFINITY);
         }
-        ShareStanding::Beyond(counts.served_part.max(1.0))
+        ShareStanding::Beyond(counts.service_ratio.max(1.0))
     }
 
     /// Counts a request that is sent, and charges it to the credit within or beyond the share.
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -230,7 +230,7 @@
 /// the other one, or it gets more and more of the capacity beyond the published rate.
 #[test]
 fn who_has_twice_what_another_pressing_team_gets_needs_an_emptier_endpoint() {
-    let served_part = |least: f64| {
+    let service_ratio = |least: f64| {
         let (team, mut shares) = (TeamKey(SmolStr::new("suva")), table());
         let ahead = TeamFlow {
             asked: 900_000.0,
@@ -259,7 +259,7 @@
             }
         }
     };
-    let (alike, twice) = (served_part(100_000.0), served_part(50_000.0));
+    let (alike, twice) = (service_ratio(100_000.0), service_ratio(50_000.0));
     assert!((1.9..2.1).contains(&alike), "{alike}");
     assert!((3.8..4.2).contains(&twice), "{twice}");
 }
