--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -114,7 +114,7 @@
     /// Tokens that may be used beyond the share.
     spare_credit: f64,
     /// When the team was last put under a limit; service is counted from then.
-    held_at: Option<Moment>,
+    limited_since: Option<Moment>,
     /// Demand and service at all routers when shares were last set.
     flow: TeamFlow,
     /// Demand at this router at that time.
@@ -195,7 +195,7 @@
         self.credit = 0.0;
         self.spare_credit = 0.0;
         self.credited_at = now;
-        self.held_at = Some(now);
+        self.limited_since = Some(now);
         self.served = WindowCount::new(window);
     }
 }
@@ -244,7 +244,7 @@
                 allowed: None,
                 spare: None,
                 spare_credit: 0.0,
-                held_at: None,
+                limited_since: None,
                 flow: TeamFlow::default(),
                 asked_here: 0.0,
                 service_ratio: 0.0,
@@ -324,7 +324,7 @@
         self.teams
             .iter_mut()
             .map(|(team, counts)| {
-                let served_s = counted_s(now, counts.held_at.or(begun), window);
+                let served_s = counted_s(now, counts.limited_since.or(begun), window);
                 let flow = TeamFlow {
                     asked: counts.asked.sum(now) / asked_s,
                     asked_recently: counts.asked_recently.sum(now) / lately_s,
@@ -351,7 +351,7 @@
                 flow: counts.flow,
                 asked_here: counts.asked_here,
                 allowed_here: counts.allowed?,
-                since: counts.held_at?,
+                since: counts.limited_since?,
             })
         });
         let mut limited: Vec<LimitedTeam> = limited.collect();
