--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -163,7 +163,7 @@
             return;
         }
         if self.allowed.is_none() {
-            self.hold(now, terms.window);
+            self.begin_limit(now, terms.window);
         }
         let served = self.flow.served;
         self.allowed = Some(terms.level * demand.part * correction(terms.level, served));
@@ -191,7 +191,7 @@
     /// Service before the limit is discarded. Otherwise it would lower the team's allowance for as
     /// long as the share window, while the next team to begin a flood is not limited yet and gets
     /// several times as much.
-    fn hold(&mut self, now: Moment, window: TimeSpan) {
+    fn begin_limit(&mut self, now: Moment, window: TimeSpan) {
         self.credit = 0.0;
         self.spare_credit = 0.0;
         self.credited_at = now;
