--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -310,7 +310,7 @@
     /// service looks like several times the share. Used unweighted, this ratio would make idle
     /// engines refuse teams for seconds.
     #[allow(clippy::cast_precision_loss)]
-    fn settled_part(&self, now: Moment) -> f64 {
+    fn window_coverage(&self, now: Moment) -> f64 {
         let age = self.begun.map_or(TimeSpan(0), |begun| now.since(begun));
         (age.0 as f64 / self.window.0.max(1) as f64).min(1.0)
     }
@@ -378,7 +378,7 @@
             level: if rate > 0.0 { level } else { f64::INFINITY },
             least: least_served(level, &flows),
             spare: spare_level(level, &flows),
-            settled: self.settled_part(now),
+            settled: self.window_coverage(now),
             window: self.window,
         };
         self.level = level;
