--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -136,7 +136,7 @@
     /// `None` if there are fewer than two such teams.
     spare: Option<f64>,
     /// Fraction of the share window that the counts cover, from 0 to 1.
-    settled: f64,
+    coverage: f64,
     /// Share window.
     window: TimeSpan,
 }
@@ -170,7 +170,7 @@
         self.spare = terms.spare.map(|spare| spare * demand.part);
         let service_ratio = served / terms.level.max(1.0);
         let ahead = (served / terms.least.max(1.0)).max(1.0);
-        self.service_ratio = (1.0 + terms.settled * (service_ratio - 1.0)) * ahead;
+        self.service_ratio = (1.0 + terms.coverage * (service_ratio - 1.0)) * ahead;
         if self.surge.is_surging() {
             self.service_ratio = self.service_ratio.max(MIN_SURGE_RATIO);
         }
@@ -378,7 +378,7 @@
             level: if rate > 0.0 { level } else { f64::INFINITY },
             least: least_served(level, &flows),
             spare: spare_level(level, &flows),
-            settled: self.window_coverage(now),
+            coverage: self.window_coverage(now),
             window: self.window,
         };
         self.level = level;
