--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -21,7 +21,7 @@
 use super::levels::least_served;
 use super::levels::max_min_level;
 use super::levels::spare_level;
-use super::surge::SurgeWatch;
+use super::surge::SurgeDetector;
 use super::surge::TeamDemand;
 use super::window::WindowCount;
 
@@ -101,7 +101,7 @@
     /// Demand over the share window with request sizes capped as in `asked_recently`.
     asked_capped: WindowCount,
     served: WindowCount,
-    surge: SurgeWatch,
+    surge: SurgeDetector,
     /// Tokens that may be used within the share.
     credit: f64,
     credited_at: Moment,
@@ -238,7 +238,7 @@
                 asked_recently: WindowCount::new(RECENT_WINDOW),
                 asked_capped: WindowCount::new(window),
                 served: WindowCount::new(window),
-                surge: SurgeWatch::default(),
+                surge: SurgeDetector::default(),
                 credit: 0.0,
                 credited_at: Moment(0),
                 allowed: None,
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -54,7 +54,7 @@
 
 /// Detects the start and the end of a team's surge.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct SurgeWatch {
+pub struct SurgeDetector {
     /// Decaying peak of recent demand, in tokens a second.
     peak: f64,
     is_surging: bool,
@@ -66,7 +66,7 @@
     capped_part: f64,
 }
 
-impl SurgeWatch {
+impl SurgeDetector {
     /// True while the team's recent demand is several times its mean.
     #[must_use]
     pub fn is_surging(&self) -> bool {
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -9,7 +9,7 @@
 use verbenaturn::gateway::decide::shares::ShareStanding;
 use verbenaturn::gateway::decide::shares::ShareTable;
 use verbenaturn::gateway::decide::shares::TeamFlow;
-use verbenaturn::gateway::decide::surge::SurgeWatch;
+use verbenaturn::gateway::decide::surge::SurgeDetector;
 use verbenaturn::gateway::digest::DemandColumns;
 use verbenaturn::gateway::digest::RouterDigest;
 use verbenaturn::gateway::peer_table::PeerTable;
@@ -184,7 +184,7 @@
 /// team would be limited and refused although all demands fit over the share window.
 #[test]
 fn clumps_of_usual_teams_are_no_floods() {
-    let mut watch = SurgeWatch::default();
+    let mut watch = SurgeDetector::default();
     let clump = TeamFlow {
         asked: 20_000.0,
         asked_recently: 80_000.0,
@@ -211,7 +211,7 @@
 /// surge, the team would count as within its share at every router until the next update.
 #[test]
 fn a_look_that_misses_the_busy_routers_ends_no_surge() {
-    let mut watch = SurgeWatch::default();
+    let mut watch = SurgeDetector::default();
     let flow = |lately: f64| TeamFlow {
         asked: 20_000.0,
         asked_recently: lately,
