--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -59,7 +59,7 @@
     peak: f64,
     is_surging: bool,
     /// The same with a faster decay.
-    late_peak: f64,
+    fast_peak: f64,
     is_ebbing: bool,
     /// Fraction of the mean that recent demand omits because of the size cap on requests, from 0 to
     /// 1.
@@ -91,7 +91,7 @@
         if self.ebbs(all) && all.asked > level {
             let part = own.asked_recently / all.asked_recently.max(1.0);
             return TeamDemand {
-                asked: (self.late_peak / (1.0 - self.capped_part)).min(all.asked),
+                asked: (self.fast_peak / (1.0 - self.capped_part)).min(all.asked),
                 part: part.min(1.0),
             };
         }
@@ -108,10 +108,10 @@
 
     /// Updates and returns whether recent demand is far below the mean over the share window.
     fn ebbs(&mut self, all: TeamFlow) -> bool {
-        self.late_peak = all.asked_recently.max(self.late_peak * EBB_PEAK_KEPT);
+        self.fast_peak = all.asked_recently.max(self.fast_peak * EBB_PEAK_KEPT);
         let bound = if self.is_ebbing { EBB_ENDS } else { EBB_BEGINS };
         let steady = all.asked * (1.0 - self.capped_part);
-        self.is_ebbing = self.late_peak < bound * steady;
+        self.is_ebbing = self.fast_peak < bound * steady;
         self.is_ebbing
     }
 }
