--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -60,7 +60,7 @@
     is_surging: bool,
     /// The same with a faster decay.
     fast_peak: f64,
-    is_ebbing: bool,
+    is_falling: bool,
     /// Fraction of the mean that recent demand omits because of the size cap on requests, from 0 to
     /// 1.
     capped_part: f64,
@@ -109,9 +109,13 @@
     /// Updates and returns whether recent demand is far below the mean over the share window.
     fn ebbs(&mut self, all: TeamFlow) -> bool {
         self.fast_peak = all.asked_recently.max(self.fast_peak * EBB_PEAK_KEPT);
-        let bound = if self.is_ebbing { EBB_ENDS } else { EBB_BEGINS };
+        let bound = if self.is_falling {
+            EBB_ENDS
+        } else {
+            EBB_BEGINS
+        };
         let steady = all.asked * (1.0 - self.capped_part);
-        self.is_ebbing = self.fast_peak < bound * steady;
-        self.is_ebbing
+        self.is_falling = self.fast_peak < bound * steady;
+        self.is_falling
     }
 }
