--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -88,7 +88,7 @@
             (SURGE_BEGINS * all.asked).max(SURGE_LEVELS * level)
         };
         self.is_surging = self.peak > bound;
-        if self.ebbs(all) && all.asked > level {
+        if self.update_falling(all) && all.asked > level {
             let part = own.asked_recently / all.asked_recently.max(1.0);
             return TeamDemand {
                 asked: (self.fast_peak / (1.0 - self.capped_part)).min(all.asked),
@@ -107,7 +107,7 @@
     }
 
     /// Updates and returns whether recent demand is far below the mean over the share window.
-    fn ebbs(&mut self, all: TeamFlow) -> bool {
+    fn update_falling(&mut self, all: TeamFlow) -> bool {
         self.fast_peak = all.asked_recently.max(self.fast_peak * EBB_PEAK_KEPT);
         let bound = if self.is_falling {
             EBB_ENDS
