--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -30,7 +30,7 @@
 const PEAK_KEPT: f64 = 0.9;
 
 /// Ratio of recent demand to the mean below which a flood counts as ending.
-const EBB_BEGINS: f64 = 0.5;
+const FALL_BEGINS: f64 = 0.5;
 
 /// Ratio of recent demand to the mean from which the mean is accurate again.
 const EBB_ENDS: f64 = 0.75;
@@ -112,7 +112,7 @@
         let bound = if self.is_falling {
             EBB_ENDS
         } else {
-            EBB_BEGINS
+            FALL_BEGINS
         };
         let steady = all.asked * (1.0 - self.capped_part);
         self.is_falling = self.fast_peak < bound * steady;
