--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -33,7 +33,7 @@
 const FALL_BEGINS: f64 = 0.5;
 
 /// Ratio of recent demand to the mean from which the mean is accurate again.
-const EBB_ENDS: f64 = 0.75;
+const FALL_ENDS: f64 = 0.75;
 
 /// Decay factor per update of the peak that detects the end of a flood: to an eighth after a
 /// second.
@@ -110,7 +110,7 @@
     fn update_falling(&mut self, all: TeamFlow) -> bool {
         self.fast_peak = all.asked_recently.max(self.fast_peak * EBB_PEAK_KEPT);
         let bound = if self.is_falling {
-            EBB_ENDS
+            FALL_ENDS
         } else {
             FALL_BEGINS
         };
