--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -37,7 +37,7 @@
 
 /// Decay factor per update of the peak that detects the end of a flood: to an eighth after a
 /// second.
-const EBB_PEAK_KEPT: f64 = 0.8;
+const FAST_PEAK_DECAY: f64 = 0.8;
 
 /// Upper bound of the fraction of demand removed by the size cap. For a team that sends only the
 /// longest requests, a twentieth of the demand remains.
@@ -108,7 +108,7 @@
 
     /// Updates and returns whether recent demand is far below the mean over the share window.
     fn update_falling(&mut self, all: TeamFlow) -> bool {
-        self.fast_peak = all.asked_recently.max(self.fast_peak * EBB_PEAK_KEPT);
+        self.fast_peak = all.asked_recently.max(self.fast_peak * FAST_PEAK_DECAY);
         let bound = if self.is_falling {
             FALL_ENDS
         } else {
