--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -27,7 +27,7 @@
 
 /// Factor by which the peak of recent demand decays per update, a tenth of a second: to half after
 /// 0.7 s. A single update that misses the busiest routers must not end a surge.
-const PEAK_KEPT: f64 = 0.9;
+const PEAK_DECAY: f64 = 0.9;
 
 /// Ratio of recent demand to the mean below which a flood counts as ending.
 const FALL_BEGINS: f64 = 0.5;
@@ -81,7 +81,7 @@
     /// Updates the surge state and returns the team's demand, from the flow at this router, the
     /// flow at all routers and the max-min level last set, in tokens a second.
     pub fn demand(&mut self, own: TeamFlow, all: TeamFlow, level: f64) -> TeamDemand {
-        self.peak = all.asked_recently.max(self.peak * PEAK_KEPT);
+        self.peak = all.asked_recently.max(self.peak * PEAK_DECAY);
         let bound = if self.is_surging {
             SURGE_ENDS * all.asked
         } else {
