--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -22,7 +22,7 @@
 
 /// Assumed probability that the first and second endpoint in a part's rendezvous order have it
 /// cached. The second gets requests for which the first has no room.
-const HOME_BELIEF: [f64; 2] = [1.0, 0.5];
+const HOME_PROBABILITIES: [f64; 2] = [1.0, 0.5];
 
 /// Extra cost of re-reading a shared part, in multiples of the time that it takes: every request
 /// queued at the engine waits for it too.
@@ -119,12 +119,12 @@
 /// The first endpoints in a part's rendezvous order, by rank.
 struct HomeRanks {
     part: u64,
-    best: [u64; HOME_BELIEF.len()],
+    best: [u64; HOME_PROBABILITIES.len()],
 }
 
 impl HomeRanks {
     fn of(rows: &[&EndpointRow], part: u64) -> Self {
-        let mut best = [0; HOME_BELIEF.len()];
+        let mut best = [0; HOME_PROBABILITIES.len()];
         for row in rows {
             let mut rank = rank_of(row, part);
             for kept in &mut best {
@@ -140,7 +140,7 @@
     fn belief(&self, row: &EndpointRow) -> f64 {
         let rank = rank_of(row, self.part);
         let place = self.best.iter().position(|best| *best == rank);
-        place.map_or(0.0, |place| HOME_BELIEF[place])
+        place.map_or(0.0, |place| HOME_PROBABILITIES[place])
     }
 }
 
