--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -137,7 +137,7 @@
     }
 
     /// Assumed probability that the endpoint has the part cached, from 0 to 1.
-    fn belief(&self, row: &EndpointRow) -> f64 {
+    fn probability(&self, row: &EndpointRow) -> f64 {
         let rank = rank_of(row, self.part);
         let place = self.best.iter().position(|best| *best == rank);
         place.map_or(0.0, |place| HOME_PROBABILITIES[place])
@@ -170,8 +170,8 @@
         shared += f64::from(part.tokens);
         let seen = row.parts.get(&part.id);
         let recent = seen.is_some_and(|at| now.since(*at) < PART_KEPT);
-        let belief = if recent { 1.0 } else { home.belief(row) };
-        kept = kept.max(shared * belief);
+        let probability = if recent { 1.0 } else { home.probability(row) };
+        kept = kept.max(shared * probability);
     }
     let total = f64::from(prompt.prompt_tokens).max(shared);
     ReadingWork {
