--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -29,7 +29,7 @@
 const REREAD_WEIGHT: f64 = 4.0;
 
 /// Time for which an endpoint is assumed to cache a part that this router sent there.
-const PART_KEPT: TimeSpan = TimeSpan::from_millis(8_000);
+const PART_CACHED_FOR: TimeSpan = TimeSpan::from_millis(8_000);
 
 /// Time to a first token on an idle engine in addition to reading the prompt, in ms: connection,
 /// one batch step and the response's way back.
@@ -157,7 +157,7 @@
 
 /// Returns the reading work of a prompt at one endpoint. A part is assumed to be cached there, with
 /// all parts before it, if the endpoint is among the first in the part's rendezvous order or this
-/// router sent it there within [`PART_KEPT`].
+/// router sent it there within [`PART_CACHED_FOR`].
 fn reading_work(
     row: &EndpointRow,
     prompt: &PromptShape,
@@ -169,7 +169,7 @@
     for (part, home) in prompt.parts.iter().zip(homes) {
         shared += f64::from(part.tokens);
         let seen = row.parts.get(&part.id);
-        let recent = seen.is_some_and(|at| now.since(*at) < PART_KEPT);
+        let recent = seen.is_some_and(|at| now.since(*at) < PART_CACHED_FOR);
         let probability = if recent { 1.0 } else { home.probability(row) };
         kept = kept.max(shared * probability);
     }
