--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -378,7 +378,7 @@
         let Some(placement) = self.placed(now, ask, engine) else {
             return self.without_endpoint(now, ask.service);
         };
-        let limit = self.limit_ms(ask, standing, placement.alone_ms);
+        let limit = self.limit_ms(ask, standing, placement.unqueued_ms);
         #[allow(clippy::cast_precision_loss)]
         let expected = ask.waited.0 as f64 / 1e3 + placement.first_ms;
         if expected > limit {
@@ -447,7 +447,7 @@
     /// A long prompt may take its whole objective to be read on an idle engine. When it has a
     /// turn, its own reading does not count.
     #[allow(clippy::cast_precision_loss)]
-    fn limit_ms(&self, ask: &CallAsk<'_>, standing: ShareStanding, alone_ms: f64) -> f64 {
+    fn limit_ms(&self, ask: &CallAsk<'_>, standing: ShareStanding, unqueued_ms: f64) -> f64 {
         let objective = ask.route.objective_ms as f64;
         let part = match standing {
             ShareStanding::Within => self.config.objective_part,
@@ -460,7 +460,7 @@
             self.sizes.has_turn(&ask.route.name, tokens)
         });
         if has_turn && standing == ShareStanding::Within {
-            limit = limit.max(alone_ms + objective * self.config.long_wait_part);
+            limit = limit.max(unqueued_ms + objective * self.config.long_wait_part);
         }
         limit.min(left)
     }
--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -96,7 +96,7 @@
     /// Predicted time to the first output, in ms.
     pub first_ms: f64,
     /// Predicted time to the first output if the engine were idle, in ms.
-    pub alone_ms: f64,
+    pub unqueued_ms: f64,
     /// Prompt tokens that the endpoint must read.
     pub uncached: f64,
     /// Those of them in parts that other requests share.
@@ -302,7 +302,7 @@
             let placement = Placement {
                 endpoint: row.entry.key.clone(),
                 first_ms,
-                alone_ms: IDLE_FIRST_TOKEN_MS + fetch_ms + work.tokens / model.tokens_per_ms,
+                unqueued_ms: IDLE_FIRST_TOKEN_MS + fetch_ms + work.tokens / model.tokens_per_ms,
                 uncached: work.tokens,
                 reread: work.shared,
                 fetch_from: fetch.map(|fetch| fetch.from),
