--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -30,7 +30,7 @@
 use super::placement;
 use super::placement::EngineModel;
 use super::placement::Placement;
-use super::placement::PlacementAsk;
+use super::placement::PlacementRequest;
 use super::quarantine::CrashQuarantine;
 use super::shares::LimitedTeam;
 use super::shares::ShareStanding;
@@ -427,7 +427,7 @@
             tokens_per_ms: self.reading_speed,
             hold_ms: self.hold_ms(ask.service),
         };
-        let placement_ask = PlacementAsk {
+        let placement_ask = PlacementRequest {
             prompt: ask.prompt.filter(|_| engine.is_some()),
             engine,
             tried: ask.tried,
--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -77,7 +77,7 @@
 
 /// Input of a placement.
 #[derive(Debug)]
-pub struct PlacementAsk<'a> {
+pub struct PlacementRequest<'a> {
     /// The prompt, for model engines.
     pub prompt: Option<&'a PromptShape>,
     /// The engine's published shape.
@@ -243,7 +243,7 @@
 
 fn predicted_ms(
     row: &EndpointRow,
-    ask: &PlacementAsk<'_>,
+    ask: &PlacementRequest<'_>,
     model: &EngineModel,
     uncached: f64,
     now: Moment,
@@ -264,7 +264,7 @@
 #[must_use]
 pub fn place(
     rows: &[&EndpointRow],
-    ask: &PlacementAsk<'_>,
+    ask: &PlacementRequest<'_>,
     model: &EngineModel,
     now: Moment,
 ) -> Option<Placement> {
@@ -333,7 +333,7 @@
 
 /// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
 /// domain, failures and a busy batch.
-fn side_cost(row: &EndpointRow, ask: &PlacementAsk<'_>, now: Moment, lowest: f64) -> f64 {
+fn side_cost(row: &EndpointRow, ask: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
     let away = if row.entry.domain == *ask.domain {
         0.0
     } else {
