--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -48,7 +48,7 @@
 const FETCH_START_MS: f64 = 5.0;
 
 /// Factor by which a fetch from another failure domain takes longer.
-const FETCH_AWAY_FACTOR: f64 = 2.0;
+const CROSS_DOMAIN_FETCH_FACTOR: f64 = 2.0;
 
 /// Least number of shared tokens that is fetched; reading fewer takes about as long as a fetch.
 const LEAST_FETCH: f64 = 256.0;
@@ -215,7 +215,11 @@
             return None;
         }
         let is_away = row.entry.domain != self.row.entry.domain;
-        let factor = if is_away { FETCH_AWAY_FACTOR } else { 1.0 };
+        let factor = if is_away {
+            CROSS_DOMAIN_FETCH_FACTOR
+        } else {
+            1.0
+        };
         Some(PartFetch {
             from: self.row.entry.address,
             tokens,
