--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -214,8 +214,8 @@
         if tokens < LEAST_FETCH || row.entry.key == self.row.entry.key {
             return None;
         }
-        let is_away = row.entry.domain != self.row.entry.domain;
-        let factor = if is_away {
+        let crosses_domain = row.entry.domain != self.row.entry.domain;
+        let factor = if crosses_domain {
             CROSS_DOMAIN_FETCH_FACTOR
         } else {
             1.0
