--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -300,7 +300,7 @@
         work.shared -= fetched;
         let first_ms = predicted_ms(row, ask, model, work.tokens, now) + fetch_ms;
         let reread_ms = REREAD_WEIGHT * work.shared / model.tokens_per_ms;
-        let side_ms = side_cost(row, ask, now, lowest) + FETCH_WEIGHT * fetch_ms;
+        let side_ms = penalties(row, ask, now, lowest) + FETCH_WEIGHT * fetch_ms;
         let cost = first_ms + reread_ms + side_ms;
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             let placement = Placement {
@@ -337,7 +337,7 @@
 
 /// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
 /// domain, failures and a busy batch.
-fn side_cost(row: &EndpointRow, ask: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
+fn penalties(row: &EndpointRow, ask: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
     let away = if row.entry.domain == *ask.domain {
         0.0
     } else {
