--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -300,8 +300,8 @@
         work.shared -= fetched;
         let first_ms = predicted_ms(row, ask, model, work.tokens, now) + fetch_ms;
         let reread_ms = REREAD_WEIGHT * work.shared / model.tokens_per_ms;
-        let side_ms = penalties(row, ask, now, lowest) + FETCH_WEIGHT * fetch_ms;
-        let cost = first_ms + reread_ms + side_ms;
+        let penalty_ms = penalties(row, ask, now, lowest) + FETCH_WEIGHT * fetch_ms;
+        let cost = first_ms + reread_ms + penalty_ms;
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             let placement = Placement {
                 endpoint: row.entry.key.clone(),
