--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -22,7 +22,7 @@
 const CRASHES: u32 = 3;
 
 /// Time for which a crash is sent to other routers: callers retry a lost request within seconds.
-const TOLD_FOR: TimeSpan = TimeSpan::from_millis(10_000);
+const SUSPECT_GOSSIP_PERIOD: TimeSpan = TimeSpan::from_millis(10_000);
 
 /// Most suspects in one message; the next message carries the next ones.
 const MOST_TOLD: usize = 6;
@@ -134,7 +134,7 @@
     pub fn telling(&mut self, now: Moment) -> Vec<CrashSuspect> {
         self.table.shrink(now, &self.config);
         let late = self.table.records_mut();
-        let late = late.filter(|record| now.since(record.seen_at) < TOLD_FOR);
+        let late = late.filter(|record| now.since(record.seen_at) < SUSPECT_GOSSIP_PERIOD);
         let suspects: Vec<CrashSuspect> = late
             .flat_map(|record| {
                 record.suspects.iter().map(|print| CrashSuspect {
