--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -25,7 +25,7 @@
 const SUSPECT_GOSSIP_PERIOD: TimeSpan = TimeSpan::from_millis(10_000);
 
 /// Most suspects in one message; the next message carries the next ones.
-const MOST_TOLD: usize = 6;
+const MAX_SENT_SUSPECTS: usize = 6;
 
 /// Most suspects accepted from one message, since a foreign sender could list any number.
 const MOST_TAKEN: usize = 64;
@@ -144,7 +144,7 @@
                 })
             })
             .collect();
-        let count = suspects.len().min(MOST_TOLD);
+        let count = suspects.len().min(MAX_SENT_SUSPECTS);
         let first = self.next % suspects.len().max(1);
         self.next = self.next.wrapping_add(count);
         let turned = suspects.iter().cycle().skip(first);
