--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -28,7 +28,7 @@
 const MAX_SENT_SUSPECTS: usize = 6;
 
 /// Most suspects accepted from one message, since a foreign sender could list any number.
-const MOST_TAKEN: usize = 64;
+const MAX_RECEIVED_SUSPECTS: usize = 64;
 
 /// A request that was running in a crash, as exchanged between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -124,7 +124,7 @@
 
     /// Merges suspects from another router's message.
     pub fn take_told(&mut self, now: Moment, told: impl Iterator<Item = CrashSuspect>) {
-        for suspect in told.take(MOST_TAKEN) {
+        for suspect in told.take(MAX_RECEIVED_SUSPECTS) {
             let record = self.record(now, suspect.endpoint, suspect.life);
             self.suspect(now, record, suspect.fingerprint);
         }
