--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -123,7 +123,7 @@
     }
 
     /// Merges suspects from another router's message.
-    pub fn take_told(&mut self, now: Moment, told: impl Iterator<Item = CrashSuspect>) {
+    pub fn merge_suspects(&mut self, now: Moment, told: impl Iterator<Item = CrashSuspect>) {
         for suspect in told.take(MAX_RECEIVED_SUSPECTS) {
             let record = self.record(now, suspect.endpoint, suspect.life);
             self.suspect(now, record, suspect.fingerprint);
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -165,7 +165,7 @@
                 let is_new = !self.peers.knows_life(&from.ip(), digest.incarnation);
                 let suspects = digest.suspects.iter().map(told_suspect);
                 let mut core = self.shared.core();
-                core.quarantine.take_told(now, suspects);
+                core.quarantine.merge_suspects(now, suspects);
                 core.endpoints.take_told_leaving(now, &digest.said_leaving);
                 drop(core);
                 if self.peers.take(now, from.ip(), digest) && is_new {
--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -79,7 +79,7 @@
 
 fn tell(from: &mut GatewayCore, to: &mut GatewayCore, now: Moment) {
     let told = from.quarantine.telling(now);
-    to.quarantine.take_told(now, told.into_iter());
+    to.quarantine.merge_suspects(now, told.into_iter());
 }
 
 /// A caller repeats a request that crashes engines, each time through another router. No router
@@ -146,6 +146,6 @@
                 fingerprint: RequestFingerprint(number),
             },
         );
-    core.quarantine.take_told(ms(0), strange);
+    core.quarantine.merge_suspects(ms(0), strange);
     assert!(core.quarantine.telling(ms(1)).len() <= 6);
 }
