--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -123,8 +123,8 @@
     }
 
     /// Merges suspects from another router's message.
-    pub fn merge_suspects(&mut self, now: Moment, told: impl Iterator<Item = CrashSuspect>) {
-        for suspect in told.take(MAX_RECEIVED_SUSPECTS) {
+    pub fn merge_suspects(&mut self, now: Moment, received: impl Iterator<Item = CrashSuspect>) {
+        for suspect in received.take(MAX_RECEIVED_SUSPECTS) {
             let record = self.record(now, suspect.endpoint, suspect.life);
             self.suspect(now, record, suspect.fingerprint);
         }
