--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -67,14 +67,14 @@
 /// Returns the id of an endpoint in the crash table: the low half of its key's hash. Two endpoints
 /// with the same id share an entry, in which `life` still distinguishes their processes.
 #[allow(clippy::cast_possible_truncation)]
-fn number_of(entry: &EndpointEntry) -> EndpointId {
+fn endpoint_id(entry: &EndpointEntry) -> EndpointId {
     EndpointId(entry.key.hash() as u32)
 }
 
 impl CrashQuarantine {
     /// Records an attempt that broke off. Whether its endpoint crashed may not be known yet.
     pub fn lost(&mut self, now: Moment, entry: &EndpointEntry, print: RequestFingerprint) {
-        let endpoint = number_of(entry);
+        let endpoint = endpoint_id(entry);
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let life = entry.life().hash();
         match self.table.find_record(endpoint, life, now, window) {
@@ -86,7 +86,7 @@
     /// Records a sign that an endpoint's process ended: nothing listens at its address, or a new
     /// process registered. Attempts recently lost there become suspects.
     pub fn ended(&mut self, now: Moment, entry: &EndpointEntry) {
-        let endpoint = number_of(entry);
+        let endpoint = endpoint_id(entry);
         if !self.table.has_losses(endpoint) {
             return;
         }
