--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -147,7 +147,7 @@
         let count = suspects.len().min(MAX_SENT_SUSPECTS);
         let first = self.next % suspects.len().max(1);
         self.next = self.next.wrapping_add(count);
-        let turned = suspects.iter().cycle().skip(first);
-        turned.take(count).copied().collect()
+        let rotated = suspects.iter().cycle().skip(first);
+        rotated.take(count).copied().collect()
     }
 }
