--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -73,13 +73,13 @@
 
 impl CrashQuarantine {
     /// Records an attempt that broke off. Whether its endpoint crashed may not be known yet.
-    pub fn lost(&mut self, now: Moment, entry: &EndpointEntry, print: RequestFingerprint) {
+    pub fn lost(&mut self, now: Moment, entry: &EndpointEntry, fingerprint: RequestFingerprint) {
         let endpoint = endpoint_id(entry);
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let life = entry.life().hash();
         match self.table.find_record(endpoint, life, now, window) {
-            Some(record) => self.suspect(now, record, print),
-            None => self.table.note_loss(endpoint, print, now),
+            Some(record) => self.suspect(now, record, fingerprint),
+            None => self.table.note_loss(endpoint, fingerprint, now),
         }
     }
 
@@ -93,8 +93,8 @@
         let oldest = Moment(now.0.saturating_sub(self.config.evidence_ms * 1_000));
         let losses = self.table.take_losses(endpoint, oldest);
         let record = self.record(now, endpoint, entry.life().hash());
-        for print in losses {
-            self.suspect(now, record, print);
+        for fingerprint in losses {
+            self.suspect(now, record, fingerprint);
         }
     }
 
@@ -104,22 +104,25 @@
         known.unwrap_or_else(|| self.table.add_record(endpoint, life, CrashProof::Seen, now))
     }
 
-    fn suspect(&mut self, now: Moment, record: u64, print: RequestFingerprint) {
-        if self.table.add_suspect(record, print, now, &self.config) {
-            spdlog::warn!("quarantine: fingerprint={print} refused crashes={CRASHES}");
+    fn suspect(&mut self, now: Moment, record: u64, fingerprint: RequestFingerprint) {
+        if self
+            .table
+            .add_suspect(record, fingerprint, now, &self.config)
+        {
+            spdlog::warn!("quarantine: fingerprint={fingerprint} refused crashes={CRASHES}");
         }
     }
 
     /// Time for which a request is still refused; `None` if it is not refused.
     #[must_use]
-    pub fn refused_for(&self, now: Moment, print: RequestFingerprint) -> Option<TimeSpan> {
-        let until = self.table.refused_until(print, now)?;
+    pub fn refused_for(&self, now: Moment, fingerprint: RequestFingerprint) -> Option<TimeSpan> {
+        let until = self.table.refused_until(fingerprint, now)?;
         Some(until.since(now))
     }
 
     /// Clears a request that got a complete answer.
-    pub fn answered(&mut self, print: RequestFingerprint) {
-        self.table.clear(print);
+    pub fn answered(&mut self, fingerprint: RequestFingerprint) {
+        self.table.clear(fingerprint);
     }
 
     /// Merges suspects from another router's message.
@@ -137,10 +140,10 @@
         let late = late.filter(|record| now.since(record.seen_at) < SUSPECT_GOSSIP_PERIOD);
         let suspects: Vec<CrashSuspect> = late
             .flat_map(|record| {
-                record.suspects.iter().map(|print| CrashSuspect {
+                record.suspects.iter().map(|fingerprint| CrashSuspect {
                     endpoint: record.endpoint,
                     life: record.life,
-                    fingerprint: *print,
+                    fingerprint: *fingerprint,
                 })
             })
             .collect();
