--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -4,7 +4,7 @@
 //! its objective, so any queue causes it to be refused, on every retry. Letting all long prompts
 //! wait as long as the others costs more than it gains (a tenth of the requests holds half of the
 //! reading work). They are therefore allowed to wait only as often as needed to bring the fraction
-//! of them that is served to `LEAST_PART` of the whole route's fraction.
+//! of them that is served to `MIN_SERVED_FRACTION` of the whole route's fraction.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// Least served fraction of a size band, relative to the served fraction of its whole route. A band
 /// below half of its route counts as starved; the margin covers permitted waits that find no
 /// endpoint.
-const LEAST_PART: f64 = 0.62;
+const MIN_SERVED_FRACTION: f64 = 0.62;
 
 /// Lower bounds of the size bands above the lowest, as multiples of the route's mean size. With the
 /// heavy tails observed (standard deviation about the mean) they separate the largest tenth and the
@@ -115,6 +115,6 @@
             return false;
         };
         let band = sizes.band(tokens);
-        band > 0 && sizes.bands[band].part() < LEAST_PART * sizes.whole().part()
+        band > 0 && sizes.bands[band].part() < MIN_SERVED_FRACTION * sizes.whole().part()
     }
 }
