--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -455,11 +455,11 @@
         };
         let left = ask.left.0 as f64 / 1e3;
         let mut limit = objective * part;
-        let has_turn = ask.prompt.is_some_and(|prompt| {
+        let is_underserved = ask.prompt.is_some_and(|prompt| {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.has_turn(&ask.route.name, tokens)
+            self.sizes.is_underserved(&ask.route.name, tokens)
         });
-        if has_turn && standing == ShareStanding::Within {
+        if is_underserved && standing == ShareStanding::Within {
             limit = limit.max(unqueued_ms + objective * self.config.long_wait_part);
         }
         limit.min(left)
--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -110,7 +110,7 @@
     /// Returns true if requests of this size, in tokens, are served too seldom, so that this one
     /// may wait longer.
     #[must_use]
-    pub fn has_turn(&self, route: &RouteKey, tokens: f64) -> bool {
+    pub fn is_underserved(&self, route: &RouteKey, tokens: f64) -> bool {
         let Some(sizes) = self.routes.get(route) else {
             return false;
         };
