--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -16,7 +16,7 @@
 use super::departures::DepartureTable;
 use super::health::EndpointHealth;
 use super::health::ToldHealth;
-use super::words::EndpointWords;
+use super::words::EndpointNotices;
 use super::words::WordTable;
 
 /// First pause after a connection that was not made, and the longest, in ms. A restart of an
@@ -74,7 +74,7 @@
     /// Whether another router tells that it left, in a newer list than this router's.
     is_told_left: bool,
     /// What it said of itself.
-    words: EndpointWords,
+    words: EndpointNotices,
     /// Connections in a row that were not made.
     refused: u32,
     /// When this router last sent a shared part there.
@@ -98,7 +98,7 @@
             paused_until: Moment(0),
             used_until: None,
             is_told_left: false,
-            words: EndpointWords::default(),
+            words: EndpointNotices::default(),
             refused: 0,
             parts: BTreeMap::new(),
         }
--- a/src/gateway/decide/words.rs
+++ b/src/gateway/decide/words.rs
@@ -26,14 +26,14 @@
 
 /// Notices that one endpoint process gave about itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct EndpointWords {
+pub struct EndpointNotices {
     /// The process leaves.
     pub is_leaving: bool,
     /// The process asked for no requests before this moment.
     pub paused_until: Moment,
 }
 
-impl EndpointWords {
+impl EndpointNotices {
     /// Returns true if the notices allow new work.
     #[must_use]
     pub fn takes_work(&self, now: Moment) -> bool {
@@ -43,7 +43,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct KeptWords {
-    words: EndpointWords,
+    words: EndpointNotices,
     heard: Moment,
 }
 
@@ -56,9 +56,9 @@
 impl WordTable {
     /// Returns the notices of a process.
     #[must_use]
-    pub fn of(&self, life: u64) -> EndpointWords {
+    pub fn of(&self, life: u64) -> EndpointNotices {
         let kept = self.kept.get(&life);
-        kept.map_or_else(EndpointWords::default, |kept| kept.words)
+        kept.map_or_else(EndpointNotices::default, |kept| kept.words)
     }
 
     /// Records that a process leaves. Returns true if that was not known before.
