--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -17,7 +17,7 @@
 use super::health::EndpointHealth;
 use super::health::ToldHealth;
 use super::words::EndpointNotices;
-use super::words::WordTable;
+use super::words::NoticeTable;
 
 /// First pause after a connection that was not made, and the longest, in ms. A restart of an
 /// endpoint takes seconds; trying every 2 s finds it soon and costs few connections.
@@ -182,7 +182,7 @@
     /// Those that left of late.
     pub departures: DepartureTable,
     /// What processes said of themselves, also such as no list names at the moment.
-    words: WordTable,
+    words: NoticeTable,
 }
 
 impl EndpointTable {
--- a/src/gateway/decide/words.rs
+++ b/src/gateway/decide/words.rs
@@ -49,11 +49,11 @@
 
 /// Notices by the hash of the process that gave them.
 #[derive(Debug, Default)]
-pub struct WordTable {
+pub struct NoticeTable {
     kept: BTreeMap<u64, KeptWords>,
 }
 
-impl WordTable {
+impl NoticeTable {
     /// Returns the notices of a process.
     #[must_use]
     pub fn of(&self, life: u64) -> EndpointNotices {
