--- a/src/gateway/decide/words.rs
+++ b/src/gateway/decide/words.rs
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct KeptWords {
+struct KeptNotices {
     words: EndpointNotices,
     heard: Moment,
 }
@@ -50,7 +50,7 @@
 /// Notices by the hash of the process that gave them.
 #[derive(Debug, Default)]
 pub struct NoticeTable {
-    kept: BTreeMap<u64, KeptWords>,
+    kept: BTreeMap<u64, KeptNotices>,
 }
 
 impl NoticeTable {
