--- a/src/gateway/decide/words.rs
+++ b/src/gateway/decide/words.rs
@@ -22,7 +22,7 @@
 
 /// Time for which notices are kept of a process that is no longer listed. An entry reappears within
 /// seconds of the store's recovery, and a store may be unavailable for minutes.
-const WORD_MEMORY: TimeSpan = TimeSpan::from_millis(600_000);
+const NOTICE_RETENTION: TimeSpan = TimeSpan::from_millis(600_000);
 
 /// Notices that one endpoint process gave about itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -79,6 +79,6 @@
     /// Drops processes that are not `known` and gave no notice within the retention time.
     pub fn forget(&mut self, now: Moment, known: impl Fn(u64) -> bool) {
         self.kept
-            .retain(|life, kept| now.since(kept.heard) < WORD_MEMORY || known(*life));
+            .retain(|life, kept| now.since(kept.heard) < NOTICE_RETENTION || known(*life));
     }
 }
