--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -242,7 +242,7 @@
         let SpokenWords { is_leaving, pause } = words;
         let life = entry.life().hash();
         if let Some(pause) = pause {
-            self.words.wants_pause(now, life, pause);
+            self.words.record_pause(now, life, pause);
         }
         let is_news = is_leaving && self.words.leaves(now, life);
         let words = self.words.of(life);
--- a/src/gateway/decide/words.rs
+++ b/src/gateway/decide/words.rs
@@ -69,7 +69,7 @@
     }
 
     /// Records that a process asked for a pause. A shorter pause does not end a longer one.
-    pub fn wants_pause(&mut self, now: Moment, life: u64, pause: TimeSpan) {
+    pub fn record_pause(&mut self, now: Moment, life: u64, pause: TimeSpan) {
         let kept = self.kept.entry(life).or_default();
         kept.heard = now;
         let until = Moment(now.0.saturating_add(pause.0));
