--- a/src/gateway/decide/words.rs
+++ b/src/gateway/decide/words.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct KeptNotices {
     words: EndpointNotices,
-    heard: Moment,
+    received_at: Moment,
 }
 
 /// Notices by the hash of the process that gave them.
@@ -64,14 +64,14 @@
     /// Records that a process leaves. Returns true if that was not known before.
     pub fn leaves(&mut self, now: Moment, life: u64) -> bool {
         let kept = self.kept.entry(life).or_default();
-        kept.heard = now;
+        kept.received_at = now;
         !std::mem::replace(&mut kept.words.is_leaving, true)
     }
 
     /// Records that a process asked for a pause. A shorter pause does not end a longer one.
     pub fn record_pause(&mut self, now: Moment, life: u64, pause: TimeSpan) {
         let kept = self.kept.entry(life).or_default();
-        kept.heard = now;
+        kept.received_at = now;
         let until = Moment(now.0.saturating_add(pause.0));
         kept.words.paused_until = kept.words.paused_until.max(until);
     }
@@ -79,6 +79,6 @@
     /// Drops processes that are not `known` and gave no notice within the retention time.
     pub fn forget(&mut self, now: Moment, known: impl Fn(u64) -> bool) {
         self.kept
-            .retain(|life, kept| now.since(kept.heard) < NOTICE_RETENTION || known(*life));
+            .retain(|life, kept| now.since(kept.received_at) < NOTICE_RETENTION || known(*life));
     }
 }
