--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -244,7 +244,7 @@
         if let Some(pause) = pause {
             self.words.record_pause(now, life, pause);
         }
-        let is_news = is_leaving && self.words.leaves(now, life);
+        let is_news = is_leaving && self.words.record_leaving(now, life);
         let words = self.words.of(life);
         if let Some(row) = self.of_attempt(entry) {
             row.words = words;
@@ -258,7 +258,7 @@
     /// every one of them would send it a call that it may cut.
     pub fn take_told_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
-            if self.words.leaves(now, *life) {
+            if self.words.record_leaving(now, *life) {
                 self.apply_words(*life);
             }
         }
--- a/src/gateway/decide/words.rs
+++ b/src/gateway/decide/words.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records that a process leaves. Returns true if that was not known before.
-    pub fn leaves(&mut self, now: Moment, life: u64) -> bool {
+    pub fn record_leaving(&mut self, now: Moment, life: u64) -> bool {
         let kept = self.kept.entry(life).or_default();
         kept.received_at = now;
         !std::mem::replace(&mut kept.words.is_leaving, true)
