--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -134,7 +134,7 @@
     }
 
     /// Returns suspects of recent crashes for the next message, in rotation, and drops old records.
-    pub fn telling(&mut self, now: Moment) -> Vec<CrashSuspect> {
+    pub fn suspects_to_send(&mut self, now: Moment) -> Vec<CrashSuspect> {
         self.table.shrink(now, &self.config);
         let late = self.table.records_mut();
         let late = late.filter(|record| now.since(record.seen_at) < SUSPECT_GOSSIP_PERIOD);
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -223,7 +223,7 @@
             || !self.newcomers.is_empty()
             || self.round.is_multiple_of(ADDRESS_ROUNDS);
         let mut core = self.shared.core();
-        let suspects = core.quarantine.telling(now);
+        let suspects = core.quarantine.suspects_to_send(now);
         let turned_away = core.shares.turned_away_per_s(now);
         let flows = core.shares.flows(now);
         let left = core.endpoints.departures.telling(now);
--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -78,7 +78,7 @@
 }
 
 fn tell(from: &mut GatewayCore, to: &mut GatewayCore, now: Moment) {
-    let told = from.quarantine.telling(now);
+    let told = from.quarantine.suspects_to_send(now);
     to.quarantine.merge_suspects(now, told.into_iter());
 }
 
@@ -118,7 +118,7 @@
         core.ended(at, ticket, AttemptEnd::Lost(GUILTY));
     }
     drop(sent(&mut core, ms(9_000), GUILTY));
-    assert!(core.quarantine.telling(ms(9_000)).is_empty());
+    assert!(core.quarantine.suspects_to_send(ms(9_000)).is_empty());
 }
 
 /// A harmless request runs beside a crashing one in two crashes and is then answered. A third
@@ -147,5 +147,5 @@
             },
         );
     core.quarantine.merge_suspects(ms(0), strange);
-    assert!(core.quarantine.telling(ms(1)).len() <= 6);
+    assert!(core.quarantine.suspects_to_send(ms(1)).len() <= 6);
 }
