--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -16,8 +16,8 @@
 use super::departures::DepartureTable;
 use super::health::EndpointHealth;
 use super::health::ToldHealth;
-use super::words::EndpointNotices;
-use super::words::NoticeTable;
+use super::notices::EndpointNotices;
+use super::notices::NoticeTable;
 
 /// First pause after a connection that was not made, and the longest, in ms. A restart of an
 /// endpoint takes seconds; trying every 2 s finds it soon and costs few connections.
@@ -74,7 +74,7 @@
     /// Whether another router tells that it left, in a newer list than this router's.
     is_told_left: bool,
     /// What it said of itself.
-    words: EndpointNotices,
+    notices: EndpointNotices,
     /// Connections in a row that were not made.
     refused: u32,
     /// When this router last sent a shared part there.
@@ -98,7 +98,7 @@
             paused_until: Moment(0),
             used_until: None,
             is_told_left: false,
-            words: EndpointNotices::default(),
+            notices: EndpointNotices::default(),
             refused: 0,
             parts: BTreeMap::new(),
         }
@@ -110,7 +110,7 @@
     /// registration ends here by itself, whatever becomes of the control thread or of reading.
     #[must_use]
     pub fn is_ready(&self, now: Moment) -> bool {
-        self.is_listed_ready(now) && self.words.takes_work(now)
+        self.is_listed_ready(now) && self.notices.takes_work(now)
     }
 
     /// Whether it may get new work by what is known from lists.
@@ -122,13 +122,13 @@
     /// Whether it said that it leaves.
     #[must_use]
     pub fn said_leaving(&self) -> bool {
-        self.words.is_leaving
+        self.notices.is_leaving
     }
 
     /// For how long it still wants nothing, if that is all that keeps work from it.
     fn pause_left(&self, now: Moment) -> Option<TimeSpan> {
-        let is_paused = !self.words.is_leaving && now < self.words.paused_until;
-        (is_paused && self.is_listed_ready(now)).then(|| self.words.paused_until.since(now))
+        let is_paused = !self.notices.is_leaving && now < self.notices.paused_until;
+        (is_paused && self.is_listed_ready(now)).then(|| self.notices.paused_until.since(now))
     }
 
     /// Whether it takes new work by its registration.
@@ -182,7 +182,7 @@
     /// Those that left of late.
     pub departures: DepartureTable,
     /// What processes said of themselves, also such as no list names at the moment.
-    words: NoticeTable,
+    notices: NoticeTable,
 }
 
 impl EndpointTable {
@@ -226,28 +226,28 @@
             }
             let places = self.services.entry(entry.service.clone()).or_default();
             places.push(self.rows.len());
-            let words = self.words.of(row.life_hash);
-            self.rows.push(EndpointRow { words, ..row });
+            let notices = self.notices.of(row.life_hash);
+            self.rows.push(EndpointRow { notices, ..row });
         }
         for row in known.into_values() {
             self.departures.left(now, row.life);
         }
         let known: BTreeSet<u64> = self.rows.iter().map(|row| row.life_hash).collect();
-        self.words.forget(now, |life| known.contains(&life));
+        self.notices.forget(now, |life| known.contains(&life));
         replaced
     }
 
     /// Takes over what a process says of itself in an answer; whether it leaves and that is news.
-    pub fn said(&mut self, now: Moment, entry: &EndpointEntry, words: SpokenWords) -> bool {
-        let SpokenWords { is_leaving, pause } = words;
+    pub fn said(&mut self, now: Moment, entry: &EndpointEntry, notices: SpokenWords) -> bool {
+        let SpokenWords { is_leaving, pause } = notices;
         let life = entry.life().hash();
         if let Some(pause) = pause {
-            self.words.record_pause(now, life, pause);
+            self.notices.record_pause(now, life, pause);
         }
-        let is_news = is_leaving && self.words.record_leaving(now, life);
-        let words = self.words.of(life);
+        let is_news = is_leaving && self.notices.record_leaving(now, life);
+        let notices = self.notices.of(life);
         if let Some(row) = self.of_attempt(entry) {
-            row.words = words;
+            row.notices = notices;
         }
         is_news
     }
@@ -258,18 +258,18 @@
     /// every one of them would send it a call that it may cut.
     pub fn take_told_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
-            if self.words.record_leaving(now, *life) {
+            if self.notices.record_leaving(now, *life) {
                 self.apply_words(*life);
             }
         }
     }
 
     fn apply_words(&mut self, life: u64) {
-        let words = self.words.of(life);
+        let notices = self.notices.of(life);
         for row in self.rows.iter_mut().filter(|row| row.life_hash == life) {
             let (key, born) = (&row.entry.key, row.entry.born);
             spdlog::info!("endpoint: key={key} born={born} leaves, as it told another router");
-            row.words = words;
+            row.notices = notices;
         }
     }
 
--- a/src/gateway/decide/mod.rs
+++ b/src/gateway/decide/mod.rs
@@ -11,13 +11,13 @@
 pub mod endpoints;
 pub mod health;
 pub mod levels;
+pub mod notices;
 pub mod placement;
 pub mod quarantine;
 pub mod shares;
 pub mod sizes;
 pub mod surge;
 pub mod window;
-pub mod words;
 
 pub use budget::RetryBudget;
 pub use core::Admission;
--- a/src/gateway/decide/words.rs
+++ b/src/gateway/decide/notices.rs
@@ -43,7 +43,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct KeptNotices {
-    words: EndpointNotices,
+    notices: EndpointNotices,
     received_at: Moment,
 }
 
@@ -58,14 +58,14 @@
     #[must_use]
     pub fn of(&self, life: u64) -> EndpointNotices {
         let kept = self.kept.get(&life);
-        kept.map_or_else(EndpointNotices::default, |kept| kept.words)
+        kept.map_or_else(EndpointNotices::default, |kept| kept.notices)
     }
 
     /// Records that a process leaves. Returns true if that was not known before.
     pub fn record_leaving(&mut self, now: Moment, life: u64) -> bool {
         let kept = self.kept.entry(life).or_default();
         kept.received_at = now;
-        !std::mem::replace(&mut kept.words.is_leaving, true)
+        !std::mem::replace(&mut kept.notices.is_leaving, true)
     }
 
     /// Records that a process asked for a pause. A shorter pause does not end a longer one.
@@ -73,7 +73,7 @@
         let kept = self.kept.entry(life).or_default();
         kept.received_at = now;
         let until = Moment(now.0.saturating_add(pause.0));
-        kept.words.paused_until = kept.words.paused_until.max(until);
+        kept.notices.paused_until = kept.notices.paused_until.max(until);
     }
 
     /// Drops processes that are not `known` and gave no notice within the retention time.
