--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -27,7 +27,7 @@
 use self::engines::engine_service;
 use self::engines::route;
 
-const GUILTY: RequestFingerprint = RequestFingerprint(7);
+const CRASHING: RequestFingerprint = RequestFingerprint(7);
 
 fn ms(millis: u64) -> Moment {
     Moment(millis * 1_000)
@@ -89,7 +89,7 @@
 fn a_request_in_three_crashes_is_refused_by_every_router() {
     let mut routers = [router(), router(), router(), router()];
     for (turn, at) in [1_000, 3_000, 5_000].into_iter().enumerate() {
-        crash(&mut routers[turn], at, GUILTY);
+        crash(&mut routers[turn], at, CRASHING);
         for other in (0..routers.len()).filter(|other| *other != turn) {
             let [from, to] = routers.get_disjoint_mut([turn, other]).unwrap();
             to.set_endpoints(ms(at + 100), &engines_of(at + 100));
@@ -97,7 +97,7 @@
         }
     }
     for core in &mut routers {
-        let refusal = admitted(core, ms(6_000), GUILTY);
+        let refusal = admitted(core, ms(6_000), CRASHING);
         let cause = match refusal {
             Admission::Refuse { cause, .. } => cause,
             Admission::Send(_) => panic!("sent to a fourth engine"),
@@ -114,10 +114,10 @@
     let mut core = router();
     for turn in 0..10 {
         let at = ms(1_000 + turn * 100);
-        let ticket = sent(&mut core, at, GUILTY);
-        core.ended(at, ticket, AttemptEnd::Lost(GUILTY));
+        let ticket = sent(&mut core, at, CRASHING);
+        core.ended(at, ticket, AttemptEnd::Lost(CRASHING));
     }
-    drop(sent(&mut core, ms(9_000), GUILTY));
+    drop(sent(&mut core, ms(9_000), CRASHING));
     assert!(core.quarantine.suspects_to_send(ms(9_000)).is_empty());
 }
 
@@ -126,11 +126,11 @@
 #[test]
 fn an_answer_clears_a_suspect() {
     let mut core = router();
-    crash(&mut core, 1_000, GUILTY);
-    crash(&mut core, 3_000, GUILTY);
-    core.quarantine.answered(GUILTY);
-    crash(&mut core, 5_000, GUILTY);
-    drop(sent(&mut core, ms(6_000), GUILTY));
+    crash(&mut core, 1_000, CRASHING);
+    crash(&mut core, 3_000, CRASHING);
+    core.quarantine.answered(CRASHING);
+    crash(&mut core, 5_000, CRASHING);
+    drop(sent(&mut core, ms(6_000), CRASHING));
 }
 
 /// A foreign sender in the routers' network reports thousands of suspects, which must not fill the
