--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -77,7 +77,7 @@
     core.set_endpoints(ms(at + 100), &engines_of(at + 100));
 }
 
-fn tell(from: &mut GatewayCore, to: &mut GatewayCore, now: Moment) {
+fn send_suspects(from: &mut GatewayCore, to: &mut GatewayCore, now: Moment) {
     let told = from.quarantine.suspects_to_send(now);
     to.quarantine.merge_suspects(now, told.into_iter());
 }
@@ -93,7 +93,7 @@
         for other in (0..routers.len()).filter(|other| *other != turn) {
             let [from, to] = routers.get_disjoint_mut([turn, other]).unwrap();
             to.set_endpoints(ms(at + 100), &engines_of(at + 100));
-            tell(from, to, ms(at + 200));
+            send_suspects(from, to, ms(at + 200));
         }
     }
     for core in &mut routers {
