--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -78,8 +78,8 @@
 }
 
 fn send_suspects(from: &mut GatewayCore, to: &mut GatewayCore, now: Moment) {
-    let told = from.quarantine.suspects_to_send(now);
-    to.quarantine.merge_suspects(now, told.into_iter());
+    let suspects = from.quarantine.suspects_to_send(now);
+    to.quarantine.merge_suspects(now, suspects.into_iter());
 }
 
 /// A caller repeats a request that crashes engines, each time through another router. No router
