--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -138,7 +138,7 @@
 #[test]
 fn what_a_message_names_is_bounded() {
     let mut core = router();
-    let strange =
+    let foreign =
         (0..10_000).map(
             |number| verbenaturn::gateway::decide::quarantine::CrashSuspect {
                 endpoint: verbenaturn::units::EndpointId(1),
@@ -146,6 +146,6 @@
                 fingerprint: RequestFingerprint(number),
             },
         );
-    core.quarantine.merge_suspects(ms(0), strange);
+    core.quarantine.merge_suspects(ms(0), foreign);
     assert!(core.quarantine.suspects_to_send(ms(1)).len() <= 6);
 }
