--- a/tests/floods/mod.rs
+++ b/tests/floods/mod.rs
@@ -199,7 +199,7 @@
         let bucket = usize::try_from(ms / BUCKET_MS).unwrap();
         let most_room = fleet.engines * FULL_QUEUE_MS / 1e3;
         room = (room + fleet.engines / 1e3).min(most_room);
-        tell(&mut fleet_routers, ms, fleet.published);
+        gossip_round(&mut fleet_routers, ms, fleet.published);
         for (index, load) in loads.iter().enumerate() {
             let expected = load.rate(ms) / MEAN_TOKENS / 1e3;
             let mut left = expected;
@@ -229,7 +229,7 @@
 
 /// Runs the gossip round of each router whose round begins in this ms: sets shares from the digests
 /// received, and sends its own digest.
-fn tell(fleet: &mut [ModelRouter], ms: u64, published: f64) {
+fn gossip_round(fleet: &mut [ModelRouter], ms: u64, published: f64) {
     let now = Moment(ms * 1_000);
     let timeout = TimeSpan::from_millis(PEER_TIMEOUT_MS);
     let all: f64 = fleet.iter().map(|router| router.lately).sum();
