--- a/tests/floods/mod.rs
+++ b/tests/floods/mod.rs
@@ -105,7 +105,7 @@
     address: IpAddr,
     next: usize,
     /// Recent demand in tokens, which decides how many messages it sends per round.
-    lately: f64,
+    recent_tokens: f64,
 }
 
 /// Draws a log-normal prompt size, in tokens, whose standard deviation exceeds its mean.
@@ -125,7 +125,7 @@
             peers: PeerTable::default(),
             address: IpAddr::V4(Ipv4Addr::from(0x0a00_0001 + u32::try_from(index).unwrap())),
             next: index,
-            lately: 0.0,
+            recent_tokens: 0.0,
         })
         .collect()
 }
@@ -210,7 +210,7 @@
                 let taker = (first + rng.random_range(0..count)) % fleet.routers;
                 let router = &mut fleet_routers[taker];
                 let team = team_key(index);
-                router.lately += size;
+                router.recent_tokens += size;
                 let standing = router.shares.ask(now, &team, size);
                 let trace = &mut traces[index];
                 trace.asked[bucket] += size;
@@ -232,7 +232,7 @@
 fn gossip_round(fleet: &mut [ModelRouter], ms: u64, published: f64) {
     let now = Moment(ms * 1_000);
     let timeout = TimeSpan::from_millis(PEER_TIMEOUT_MS);
-    let all: f64 = fleet.iter().map(|router| router.lately).sum();
+    let all: f64 = fleet.iter().map(|router| router.recent_tokens).sum();
     let count = fleet.len();
     for index in 0..count {
         let phase = index as u64 * ROUND_MS / count as u64;
@@ -248,9 +248,9 @@
             demands: DemandColumns::of(&router.shares.flows(now)),
             ..RouterDigest::default()
         };
-        let others = whole(all - router.lately);
-        let wanted = messages_per_round(count - 1, whole(router.lately), others);
-        router.lately *= 0.9;
+        let others = whole(all - router.recent_tokens);
+        let wanted = messages_per_round(count - 1, whole(router.recent_tokens), others);
+        router.recent_tokens *= 0.9;
         let (address, start) = (router.address, router.next);
         router.next = (start + wanted) % count;
         for step in 1..=wanted {
