--- a/tests/floods/mod.rs
+++ b/tests/floods/mod.rs
@@ -135,7 +135,7 @@
 /// Engines refuse what they can't start, whichever team asks. Requests beyond a team's share are
 /// refused, as if the engines had no spare capacity.
 pub fn play(fleet: FleetShape, loads: &[TeamLoad], length_ms: u64, seed: u64) -> Vec<TeamTrace> {
-    play_with(fleet, SpareRoom::None, loads, length_ms, seed)
+    simulate_with(fleet, SpareRoom::None, loads, length_ms, seed)
 }
 
 /// How requests beyond their teams' shares are handled.
@@ -177,7 +177,7 @@
 
 /// Simulates a load as [`play`] does, with engines that may have capacity beyond the published
 /// rate.
-pub fn play_with(
+pub fn simulate_with(
     fleet: FleetShape,
     spare: SpareRoom,
     loads: &[TeamLoad],
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -23,8 +23,8 @@
 use self::floods::SpareRoom;
 use self::floods::TeamLoad;
 use self::floods::play;
-use self::floods::play_with;
 use self::floods::short_teams;
+use self::floods::simulate_with;
 
 /// Ninety routers, each of which sends to five others per gossip round, and engines that can start
 /// twice the published rate, as engines do whose prompts are mostly cached.
@@ -111,7 +111,7 @@
     loads.push(short_flood);
     let mut shortages = Vec::new();
     for seed in [2, 4, 6] {
-        let traces = play_with(fleet, SpareRoom::ByQueue, &loads, 30_000, seed);
+        let traces = simulate_with(fleet, SpareRoom::ByQueue, &loads, 30_000, seed);
         let short = short_teams(&traces, 6_000);
         shortages.extend(short.iter().map(|short| format!("seed {seed}: {short:?}")));
     }
@@ -130,7 +130,7 @@
     ended.phases.push((10_000, 120_000.0));
     loads.push(ended);
     for seed in 0..4 {
-        let traces = play_with(fleet, SpareRoom::ByQueue, &loads, 16_000, seed);
+        let traces = simulate_with(fleet, SpareRoom::ByQueue, &loads, 16_000, seed);
         let trace = traces.last().unwrap();
         // From a second and a half after the flood, when its end has reached all routers.
         let asked: f64 = trace.asked[23..].iter().sum();
