--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -197,7 +197,12 @@
 }
 
 /// Simulates a load for this many seconds.
-pub fn play(kinds: &[LoadKind], seconds: u64, seed: u64, policy: PlacementPolicy) -> LoadResult {
+pub fn simulate(
+    kinds: &[LoadKind],
+    seconds: u64,
+    seed: u64,
+    policy: PlacementPolicy,
+) -> LoadResult {
     let mut rng = StdRng::seed_from_u64(seed);
     let service = ServiceKey(SmolStr::new("engine"));
     let shape = engine_service();
--- a/tests/floods/mod.rs
+++ b/tests/floods/mod.rs
@@ -134,7 +134,12 @@
 ///
 /// Engines refuse what they can't start, whichever team asks. Requests beyond a team's share are
 /// refused, as if the engines had no spare capacity.
-pub fn play(fleet: FleetShape, loads: &[TeamLoad], length_ms: u64, seed: u64) -> Vec<TeamTrace> {
+pub fn simulate(
+    fleet: FleetShape,
+    loads: &[TeamLoad],
+    length_ms: u64,
+    seed: u64,
+) -> Vec<TeamTrace> {
     simulate_with(fleet, SpareRoom::None, loads, length_ms, seed)
 }
 
@@ -175,7 +180,7 @@
     }
 }
 
-/// Simulates a load as [`play`] does, with engines that may have capacity beyond the published
+/// Simulates a load as [`simulate`] does, with engines that may have capacity beyond the published
 /// rate.
 pub fn simulate_with(
     fleet: FleetShape,
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -24,10 +24,10 @@
 use self::engines::ms;
 use self::engines::nadi;
 use self::engines::place_of;
-use self::engines::play;
 use self::engines::prompt;
 use self::engines::route;
 use self::engines::service;
+use self::engines::simulate;
 use self::engines::three_engines;
 
 /// Long prompts with large shared parts, short ones, and small checks, as a registry's engines
@@ -88,8 +88,8 @@
 #[test]
 fn the_usual_load_is_in_time_where_round_robin_is_late() {
     for seed in 1..4 {
-        let naive = play(&KINDS, 30, seed, PlacementPolicy::RoundRobin);
-        let gateway = play(&KINDS, 30, seed, PlacementPolicy::Gateway);
+        let naive = simulate(&KINDS, 30, seed, PlacementPolicy::RoundRobin);
+        let gateway = simulate(&KINDS, 30, seed, PlacementPolicy::Gateway);
         assert!(gateway.in_time_part() > 0.9, "seed {seed}: {gateway:?}");
         assert!(
             gateway.in_time_part() > naive.in_time_part() + 0.2,
@@ -111,7 +111,7 @@
         ..kind
     });
     for seed in 1..4 {
-        let result = play(&heavy, 30, seed, PlacementPolicy::Gateway);
+        let result = simulate(&heavy, 30, seed, PlacementPolicy::Gateway);
         for kind in 0..heavy.len() {
             let sent = result.asked[kind] - result.refused[kind];
             let part = f64::from(sent) / f64::from(result.asked[kind]);
@@ -131,7 +131,7 @@
         ..kind
     });
     for seed in 1..4 {
-        let result = play(&heavy, 60, seed, PlacementPolicy::Gateway);
+        let result = simulate(&heavy, 60, seed, PlacementPolicy::Gateway);
         let (asked, sent) = result.longest;
         let longest = f64::from(sent) / f64::from(asked);
         let kind = 1.0 - f64::from(result.refused[0]) / f64::from(result.asked[0]);
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -22,8 +22,8 @@
 use self::floods::FleetShape;
 use self::floods::SpareRoom;
 use self::floods::TeamLoad;
-use self::floods::play;
 use self::floods::short_teams;
+use self::floods::simulate;
 use self::floods::simulate_with;
 
 /// Ninety routers, each of which sends to five others per gossip round, and engines that can start
@@ -51,7 +51,7 @@
     loads.extend_from_slice(floods);
     let mut shortages = Vec::new();
     for seed in 0..2 {
-        let traces = play(FLEET, &loads, LENGTH_MS, seed);
+        let traces = simulate(FLEET, &loads, LENGTH_MS, seed);
         let short = short_teams(&traces, WARM_MS);
         shortages.extend(short.iter().map(|short| format!("seed {seed}: {short:?}")));
     }
@@ -151,7 +151,7 @@
     moving.moves = Some((12_000, (50, 1)));
     loads.push(moving);
     for seed in 0..4 {
-        let traces = play(fleet, &loads, 16_000, seed);
+        let traces = simulate(fleet, &loads, 16_000, seed);
         // Three seconds, starting one second after the move. Normal teams leave the rest to two
         // teams.
         let served: f64 = traces.last().unwrap().served[26..].iter().sum();
@@ -175,7 +175,7 @@
     loads.push(TeamLoad::flood((3, 1), 20_000.0, 3_000, 500_000.0));
     loads.push(TeamLoad::flood((0, 8), 20_000.0, 7_000, 900_000.0));
     for seed in 0..4 {
-        let short = short_teams(&play(fleet, &loads, LENGTH_MS, seed), WARM_MS);
+        let short = short_teams(&simulate(fleet, &loads, LENGTH_MS, seed), WARM_MS);
         assert!(short.is_empty(), "seed {seed}: {short:#?}");
     }
 }
