--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -185,22 +185,22 @@
 #[test]
 fn clumps_of_usual_teams_are_no_floods() {
     let mut watch = SurgeDetector::default();
-    let clump = TeamFlow {
+    let burst = TeamFlow {
         asked: 20_000.0,
         asked_recently: 80_000.0,
         served: 20_000.0,
     };
-    let fits = watch.demand(clump, clump, f64::INFINITY);
+    let fits = watch.demand(burst, burst, f64::INFINITY);
     assert!(!watch.is_surging());
     assert!((fits.asked - 20_000.0).abs() < 1.0);
-    watch.demand(clump, clump, 50_000.0);
+    watch.demand(burst, burst, 50_000.0);
     assert!(
         !watch.is_surging(),
         "four times its mean, less than two levels"
     );
     let flood = TeamFlow {
         asked_recently: 150_000.0,
-        ..clump
+        ..burst
     };
     let pressing = watch.demand(flood, flood, 50_000.0);
     assert!(watch.is_surging());
