--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -202,9 +202,9 @@
         asked_recently: 150_000.0,
         ..burst
     };
-    let pressing = watch.demand(flood, flood, 50_000.0);
+    let surging = watch.demand(flood, flood, 50_000.0);
     assert!(watch.is_surging());
-    assert!((pressing.asked - 150_000.0).abs() < 1.0);
+    assert!((surging.asked - 150_000.0).abs() < 1.0);
 }
 
 /// One update lacks the digests of the routers through which a flood comes. If that ended the
