--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -40,14 +40,14 @@
 
 /// Teams that ask less than their shares. They leave about 0.4 million tokens a second to each of
 /// two flooding teams.
-fn usual_teams() -> Vec<TeamLoad> {
+fn normal_teams() -> Vec<TeamLoad> {
     let all = (0, FLEET.routers);
     (0..12).map(|_| TeamLoad::steady(all, 160_000.0)).collect()
 }
 
 /// Teams that got too little in simulations of a load with several seeds.
 fn shortages(floods: &[TeamLoad]) -> Vec<String> {
-    let mut loads = usual_teams();
+    let mut loads = normal_teams();
     loads.extend_from_slice(floods);
     let mut shortages = Vec::new();
     for seed in 0..2 {
