--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -94,8 +94,8 @@
         published: 1_500_000.0,
         engines,
     };
-    let usual = (0..12).map(|_| TeamLoad::steady((0, fleet.routers), 60_000.0));
-    (fleet, usual.collect())
+    let normal = (0..12).map(|_| TeamLoad::steady((0, fleet.routers), 60_000.0));
+    (fleet, normal.collect())
 }
 
 /// Guards against oscillation between two teams beyond their shares: each in turn gets all of the
