--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -274,7 +274,7 @@
 #[test]
 fn demand_of_the_last_moments_stands_for_routers_not_heard_of_late() {
     let mut peers = PeerTable::default();
-    let told = |sequence: u64, rate: f64| RouterDigest {
+    let digest = |sequence: u64, rate: f64| RouterDigest {
         incarnation: 1,
         sequence,
         demands: DemandColumns::of(&BTreeMap::from([(
@@ -294,7 +294,7 @@
         let router = u32::try_from(step % 90).unwrap();
         let rate = if step < 90 { 0.0 } else { 30_000.0 };
         let now = Moment(step * 20_000);
-        peers.take(now, address(router), told(step + 1, rate));
+        peers.take(now, address(router), digest(step + 1, rate));
     }
     let flows = peers.flows(Moment(110 * 20_000), TimeSpan::from_millis(5_000));
     let flow = flows.values().next().unwrap();
