--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -183,7 +183,7 @@
 /// Teams ask a tenth less than the published rate, in bursts. If a burst counted as a flood, its
 /// team would be limited and refused although all demands fit over the share window.
 #[test]
-fn clumps_of_usual_teams_are_no_floods() {
+fn bursts_of_normal_teams_are_not_floods() {
     let mut watch = SurgeDetector::default();
     let burst = TeamFlow {
         asked: 20_000.0,
