--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -229,7 +229,7 @@
 /// requests and its small prompts fit at nearly any endpoint. It must need an emptier endpoint than
 /// the other one, or it gets more and more of the capacity beyond the published rate.
 #[test]
-fn who_has_twice_what_another_pressing_team_gets_needs_an_emptier_endpoint() {
+fn a_team_with_twice_the_service_of_another_needs_an_emptier_endpoint() {
     let service_ratio = |least: f64| {
         let (team, mut shares) = (TeamKey(SmolStr::new("suva")), table());
         let ahead = TeamFlow {
