--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -210,7 +210,7 @@
 /// One update lacks the digests of the routers through which a flood comes. If that ended the
 /// surge, the team would count as within its share at every router until the next update.
 #[test]
-fn a_look_that_misses_the_busy_routers_ends_no_surge() {
+fn an_update_without_the_busy_routers_does_not_end_a_surge() {
     let mut watch = SurgeDetector::default();
     let flow = |lately: f64| TeamFlow {
         asked: 20_000.0,
