--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -272,7 +272,7 @@
 /// seconds. The latest digests, scaled up for the routers not heard from, must approximate the
 /// total demand long before all digests have arrived.
 #[test]
-fn demand_of_the_last_moments_stands_for_routers_not_heard_of_late() {
+fn recent_demand_is_scaled_up_for_routers_not_heard_from() {
     let mut peers = PeerTable::default();
     let digest = |sequence: u64, rate: f64| RouterDigest {
         incarnation: 1,
