--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -64,7 +64,7 @@
 /// the second team counted as within its share at every router and took all that the engines could
 /// start.
 #[test]
-fn a_flood_through_all_routers_leaves_half_to_one_that_pressed_before() {
+fn a_flood_through_all_routers_leaves_half_to_an_earlier_flood() {
     let floods = [
         TeamLoad::flood((14, 2), 100_000.0, 3_000, 1_400_000.0),
         TeamLoad::flood((0, 90), 50_000.0, 8_000, 4_000_000.0),
