--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -77,7 +77,7 @@
 /// one's initial seconds was deducted from its share for four seconds, in which the other was not
 /// limited yet.
 #[test]
-fn what_a_team_got_before_it_was_held_is_not_paid_back_to_the_next_flood() {
+fn service_before_a_limit_is_not_deducted_from_the_share() {
     let floods = [
         TeamLoad::flood((0, 90), 100_000.0, 5_000, 5_000_000.0),
         TeamLoad::flood((0, 90), 50_000.0, 8_000, 3_000_000.0),
