--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -163,7 +163,7 @@
 /// A small fleet in which every router receives all digests in each round. One team floods through
 /// one router of eight, and later another floods through all of them.
 #[test]
-fn floods_through_one_router_and_through_all_of_a_small_fleet_get_alike() {
+fn floods_through_one_router_and_through_all_of_a_small_fleet_get_equal_service() {
     let fleet = FleetShape {
         routers: 8,
         published: 540_000.0,
