--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -85,7 +85,7 @@
 /// served one and a half times its share. If the same queue admitted both, service would be
 /// proportional to the number of requests that a team sends.
 #[test]
-fn the_same_queue_refuses_who_has_five_shares_and_not_who_has_one_and_a_half() {
+fn the_same_queue_refuses_five_shares_and_admits_one_and_a_half() {
     let mut core = three_engines();
     let (route, service, shape, team) = (route("r", 800), service(), engine_service(), nadi());
     for part in 0..3 {
