--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -123,7 +123,7 @@
 /// router's part of its share, but together they serve it twice its share. With counts per router
 /// it would take capacity that is due to a team with one router.
 #[test]
-fn what_other_routers_serve_counts_as_served() {
+fn service_by_other_routers_counts() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
     let flow = TeamFlow {
         asked: 90_000.0,
