--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -162,7 +162,7 @@
 
 /// A team is over its share because of its demand at other routers.
 #[test]
-fn what_other_routers_are_asked_counts() {
+fn demand_at_other_routers_counts() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
     let team = nadi();
     let elsewhere = BTreeMap::from([(team.hash(), asked(90_000.0)), (1, asked(5_000.0))]);
