--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -205,7 +205,7 @@
 /// calls. With equal allowances the second got less than half of the first one's service. The
 /// allowance at each router must be corrected by the service at all routers.
 #[test]
-fn what_all_routers_serve_a_team_steers_its_allowance() {
+fn service_by_all_routers_corrects_the_allowance() {
     let (little, even, much) = (
         used_within(40_000.0),
         used_within(90_000.0),
