--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -219,7 +219,7 @@
 /// once. After half a second each team was served several times its share of that time, so idle
 /// engines refused it for three seconds, until the share window was covered.
 #[test]
-fn a_fleet_that_has_just_started_holds_little_against_its_teams() {
+fn service_just_after_a_start_weighs_little() {
     let standing_after = |millis: u64| {
         let (team, mut shares) = (nadi(), ShareTable::new(TimeSpan::from_millis(4_000)));
         let flow = TeamFlow {
