--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -247,7 +247,7 @@
 /// in full, the team would get almost nothing for four seconds, while another team with an equal
 /// flood gets four times as much.
 #[test]
-fn what_a_floods_first_second_got_is_not_paid_back_in_full() {
+fn the_first_second_of_a_flood_is_not_deducted_in_full() {
     let (after_flood, even) = (used_within(900_000.0), used_within(90_000.0));
     assert!(after_flood > 0.5 * even, "{after_flood} {even}");
 }
