--- a/tests/gateway_shares.rs
+++ b/tests/gateway_shares.rs
@@ -255,7 +255,7 @@
 /// Log lines of single calls may be omitted under load. The log of shares must still show since
 /// when a team was limited, and what it and the others got.
 #[test]
-fn the_account_of_shares_names_the_teams_that_are_held() {
+fn the_log_of_shares_names_the_limited_teams() {
     let mut shares = ShareTable::new(TimeSpan::from_millis(4_000));
     let (large, larger) = (nadi(), TeamKey(SmolStr::new("suva")));
     for step in 0..100 {
