--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -32,7 +32,7 @@
 /// Guards against a notice that is lost with its row: the entry is missing for minutes while the
 /// store is unavailable, and reappears as ready.
 #[test]
-fn a_word_outlives_a_list_without_its_endpoint() {
+fn a_notice_outlives_a_list_without_its_endpoint() {
     let all = endpoints("engine", 3);
     let mut core = router_with(&all);
     let leaving = all.values().next().unwrap();
