--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -45,7 +45,7 @@
 
 /// Guards against a notice that is tied to the address or the key: the next process must take work.
 #[test]
-fn a_word_ends_with_its_process() {
+fn a_notice_ends_with_its_process() {
     let mut all = endpoints("engine", 3);
     let mut core = router_with(&all);
     let first = all.values_mut().next().unwrap();
