--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -59,7 +59,7 @@
 /// Guards against a router whose list takes precedence over the notice: the revision is the same,
 /// and the notice arrived from another router before the endpoint was listed here.
 #[test]
-fn what_others_were_told_holds_whatever_the_list_says() {
+fn notices_from_other_routers_take_precedence_over_the_list() {
     let all = endpoints("engine", 3);
     let (mut told, mut other) = (router_with(&all), router_with(&BTreeMap::new()));
     told.endpoints
