--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -75,7 +75,7 @@
 
 /// Guards against messages that grow with the fleet when hundreds of endpoints leave at once.
 #[test]
-fn words_take_little_of_a_message() {
+fn notices_take_a_bounded_part_of_a_message() {
     let all = endpoints("engine", 300);
     let mut core = router_with(&all);
     for entry in all.values() {
