--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -136,7 +136,7 @@
 /// A foreign sender in the routers' network reports thousands of suspects, which must not fill the
 /// table or the messages.
 #[test]
-fn what_a_message_names_is_bounded() {
+fn suspects_in_a_message_are_bounded() {
     let mut core = router();
     let foreign =
         (0..10_000).map(
