--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -237,7 +237,7 @@
     #[prost(fixed32, repeated, tag = "13")]
     pub left: Vec<u32>,
     /// Endpoints that said in answers that they leave, whatever list the sender has; see
-    /// [`super::decide::words`]. Hashes of their lives: what one is taken for stays so.
+    /// [`super::decide::notices`]. Hashes of their lives: what one is taken for stays so.
     #[prost(fixed64, repeated, tag = "14")]
     pub said_leaving: Vec<u64>,
 }
