--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -127,9 +127,9 @@
         let mut best = [0; HOME_PROBABILITIES.len()];
         for row in rows {
             let mut rank = rank_of(row, part);
-            for kept in &mut best {
-                if rank > *kept {
-                    std::mem::swap(kept, &mut rank);
+            for entry in &mut best {
+                if rank > *entry {
+                    std::mem::swap(entry, &mut rank);
                 }
             }
         }
@@ -152,7 +152,7 @@
     /// Tokens to read in shared parts.
     shared: f64,
     /// Tokens of shared parts that are expected to be cached.
-    kept: f64,
+    cached: f64,
 }
 
 /// Returns the reading work of a prompt at one endpoint. A part is assumed to be cached there, with
@@ -165,19 +165,19 @@
     now: Moment,
 ) -> ReadingWork {
     let mut shared = 0.0;
-    let mut kept = 0.0_f64;
+    let mut cached = 0.0_f64;
     for (part, home) in prompt.parts.iter().zip(homes) {
         shared += f64::from(part.tokens);
         let seen = row.parts.get(&part.id);
         let recent = seen.is_some_and(|at| now.since(*at) < PART_CACHED_FOR);
         let probability = if recent { 1.0 } else { home.probability(row) };
-        kept = kept.max(shared * probability);
+        cached = cached.max(shared * probability);
     }
     let total = f64::from(prompt.prompt_tokens).max(shared);
     ReadingWork {
-        tokens: total - kept,
-        shared: shared - kept,
-        kept,
+        tokens: total - cached,
+        shared: shared - cached,
+        cached,
     }
 }
 
@@ -189,7 +189,7 @@
 #[derive(Debug, Clone, Copy)]
 struct PartHolder<'a> {
     row: &'a EndpointRow,
-    kept: f64,
+    cached: f64,
     ms_per_token: f64,
 }
 
@@ -198,11 +198,11 @@
         let ms_per_token = engine?.fetch_ms_per_token()?;
         let most = rows
             .iter()
-            .max_by(|(_, left), (_, right)| left.kept.total_cmp(&right.kept))?;
-        let (row, ReadingWork { kept, .. }) = *most;
-        (kept >= LEAST_FETCH).then_some(Self {
+            .max_by(|(_, left), (_, right)| left.cached.total_cmp(&right.cached))?;
+        let (row, ReadingWork { cached, .. }) = *most;
+        (cached >= LEAST_FETCH).then_some(Self {
             row,
-            kept,
+            cached,
             ms_per_token,
         })
     }
@@ -210,7 +210,7 @@
     /// Returns what an engine with this reading work would fetch; `None` if a fetch is not worth
     /// it.
     fn fetch(&self, row: &EndpointRow, work: ReadingWork) -> Option<PartFetch> {
-        let tokens = self.kept - work.kept;
+        let tokens = self.cached - work.cached;
         if tokens < LEAST_FETCH || row.entry.key == self.row.entry.key {
             return None;
         }
