--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -36,7 +36,7 @@
 }
 
 impl BandCounts {
-    fn part(&self) -> f64 {
+    fn served_fraction(&self) -> f64 {
         if self.asked <= 0.0 {
             return 1.0;
         }
@@ -115,6 +115,8 @@
             return false;
         };
         let band = sizes.band(tokens);
-        band > 0 && sizes.bands[band].part() < MIN_SERVED_FRACTION * sizes.whole().part()
+        band > 0
+            && sizes.bands[band].served_fraction()
+                < MIN_SERVED_FRACTION * sizes.whole().served_fraction()
     }
 }
