--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -36,7 +36,7 @@
 use verbenaturn::units::TimeSpan;
 
 /// Prompt tokens that an engine reads per ms.
-pub const READING: f64 = 50.0;
+pub const READ_TOKENS_PER_MS: f64 = 50.0;
 /// Number of engines.
 const ENGINES: usize = 18;
 /// Number of routers.
@@ -278,7 +278,8 @@
         }
         engine.kept.insert(part, now);
         anywhere.insert(part, now);
-        engine.reads_until = engine.reads_until.max(as_float(now)) + reads / READING * 1e3;
+        engine.reads_until =
+            engine.reads_until.max(as_float(now)) + reads / READ_TOKENS_PER_MS * 1e3;
         let first_at = micros(engine.reads_until) + 10_000;
         if first_at - now <= kind.objective_ms * 1_000 {
             result.in_time[index] += 1;
