--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -44,7 +44,7 @@
 /// Requests that an engine runs at once.
 const SLOTS: u32 = 32;
 /// Time for which an engine caches an unused part, in us.
-const KEPT_US: u64 = 10_000_000;
+const CACHE_US: u64 = 10_000_000;
 /// Interval between two digests of a router, in us.
 const DIGEST_US: u64 = 100_000;
 
@@ -269,8 +269,8 @@
             .as_ref()
             .map_or(&keys[turn % keys.len()], |ticket| &ticket.entry.key);
         let engine = engines.entry(key.clone()).or_default();
-        let has = engine.kept.get(&part).is_some_and(|at| now - at < KEPT_US);
-        let elsewhere = anywhere.get(&part).is_some_and(|at| now - at < KEPT_US);
+        let has = engine.kept.get(&part).is_some_and(|at| now - at < CACHE_US);
+        let elsewhere = anywhere.get(&part).is_some_and(|at| now - at < CACHE_US);
         let shared = f64::from(kind.shared_tokens);
         let reads = if has { own } else { own + shared };
         if !has && elsewhere {
