--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -248,13 +248,13 @@
         let (prompt, part) = prompt_of(&kind, index, &mut rng);
         let own = f64::from(prompt.prompt_tokens) - f64::from(kind.shared_tokens);
         let is_long = index == 0 && own > 2.3 * kind.own_tokens;
-        let taker = rng.random_range(0..ROUTERS);
+        let receiver = rng.random_range(0..ROUTERS);
         result.asked[index] += 1;
         result.longest.0 += u32::from(is_long);
         let call = ask(&routes[index], &service, &shape, &team, &prompt);
-        let standing = cores[taker].arrived(Moment(now), &call);
+        let standing = cores[receiver].arrived(Moment(now), &call);
         let ticket = match policy {
-            PlacementPolicy::Gateway => match cores[taker].admit(Moment(now), &call, standing) {
+            PlacementPolicy::Gateway => match cores[receiver].admit(Moment(now), &call, standing) {
                 Admission::Send(ticket) => Some(ticket),
                 Admission::Refuse { .. } => {
                     result.refused[index] += 1;
@@ -286,7 +286,7 @@
         }
         if let Some(ticket) = ticket {
             running.push(Running {
-                router: taker,
+                router: receiver,
                 ticket,
                 first_at,
                 ends_at: first_at + 1_000_000,
