--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -341,7 +341,7 @@
 
 /// Delivers every router's load to all others.
 fn exchange(cores: &mut [GatewayCore]) {
-    let told: Vec<BTreeMap<u32, PeerLoad>> = cores
+    let digests: Vec<BTreeMap<u32, PeerLoad>> = cores
         .iter()
         .map(|core| {
             let rows = core.endpoints.rows();
@@ -358,7 +358,11 @@
         .collect();
     for (index, core) in cores.iter_mut().enumerate() {
         let mut sums: BTreeMap<u32, PeerLoad> = BTreeMap::new();
-        for loads in told.iter().enumerate().filter(|(other, _)| *other != index) {
+        for loads in digests
+            .iter()
+            .enumerate()
+            .filter(|(other, _)| *other != index)
+        {
             for (endpoint, load) in loads.1 {
                 let sum = sums.entry(*endpoint).or_default();
                 sum.active += load.active;
