--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -236,7 +236,7 @@
         advance(&mut cores, &mut running, now);
         if now >= next_digest {
             next_digest = now + DIGEST_US;
-            exchange(&mut cores);
+            exchange_loads(&mut cores);
         }
         let mut draw = rng.random::<f64>() * total;
         let index = kinds.iter().position(|kind| {
@@ -340,7 +340,7 @@
 }
 
 /// Delivers every router's load to all others.
-fn exchange(cores: &mut [GatewayCore]) {
+fn exchange_loads(cores: &mut [GatewayCore]) {
     let digests: Vec<BTreeMap<u32, PeerLoad>> = cores
         .iter()
         .map(|core| {
