--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -270,10 +270,10 @@
             .map_or(&keys[turn % keys.len()], |ticket| &ticket.entry.key);
         let engine = engines.entry(key.clone()).or_default();
         let is_cached = engine.kept.get(&part).is_some_and(|at| now - at < CACHE_US);
-        let elsewhere = anywhere.get(&part).is_some_and(|at| now - at < CACHE_US);
+        let is_cached_elsewhere = anywhere.get(&part).is_some_and(|at| now - at < CACHE_US);
         let shared = f64::from(kind.shared_tokens);
         let reads = if is_cached { own } else { own + shared };
-        if !is_cached && elsewhere {
+        if !is_cached && is_cached_elsewhere {
             result.read_again += shared;
         }
         engine.kept.insert(part, now);
