--- a/tests/floods/mod.rs
+++ b/tests/floods/mod.rs
@@ -212,8 +212,8 @@
                 left -= 1.0;
                 let size = tokens(&mut rng);
                 let (first, count) = load.routers_at(ms);
-                let taker = (first + rng.random_range(0..count)) % fleet.routers;
-                let router = &mut fleet_routers[taker];
+                let receiver = (first + rng.random_range(0..count)) % fleet.routers;
+                let router = &mut fleet_routers[receiver];
                 let team = team_key(index);
                 router.recent_tokens += size;
                 let standing = router.shares.ask(now, &team, size);
