--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -212,9 +212,9 @@
 #[test]
 fn an_update_without_the_busy_routers_does_not_end_a_surge() {
     let mut watch = SurgeDetector::default();
-    let flow = |lately: f64| TeamFlow {
+    let flow = |recent: f64| TeamFlow {
         asked: 20_000.0,
-        asked_recently: lately,
+        asked_recently: recent,
         served: 0.0,
     };
     watch.demand(flow(10_000.0), flow(400_000.0), 50_000.0);
