--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -184,26 +184,26 @@
 /// team would be limited and refused although all demands fit over the share window.
 #[test]
 fn bursts_of_normal_teams_are_not_floods() {
-    let mut watch = SurgeDetector::default();
+    let mut detector = SurgeDetector::default();
     let burst = TeamFlow {
         asked: 20_000.0,
         asked_recently: 80_000.0,
         served: 20_000.0,
     };
-    let fits = watch.demand(burst, burst, f64::INFINITY);
-    assert!(!watch.is_surging());
+    let fits = detector.demand(burst, burst, f64::INFINITY);
+    assert!(!detector.is_surging());
     assert!((fits.asked - 20_000.0).abs() < 1.0);
-    watch.demand(burst, burst, 50_000.0);
+    detector.demand(burst, burst, 50_000.0);
     assert!(
-        !watch.is_surging(),
+        !detector.is_surging(),
         "four times its mean, less than two levels"
     );
     let flood = TeamFlow {
         asked_recently: 150_000.0,
         ..burst
     };
-    let surging = watch.demand(flood, flood, 50_000.0);
-    assert!(watch.is_surging());
+    let surging = detector.demand(flood, flood, 50_000.0);
+    assert!(detector.is_surging());
     assert!((surging.asked - 150_000.0).abs() < 1.0);
 }
 
@@ -211,16 +211,16 @@
 /// surge, the team would count as within its share at every router until the next update.
 #[test]
 fn an_update_without_the_busy_routers_does_not_end_a_surge() {
-    let mut watch = SurgeDetector::default();
+    let mut detector = SurgeDetector::default();
     let flow = |recent: f64| TeamFlow {
         asked: 20_000.0,
         asked_recently: recent,
         served: 0.0,
     };
-    watch.demand(flow(10_000.0), flow(400_000.0), 50_000.0);
+    detector.demand(flow(10_000.0), flow(400_000.0), 50_000.0);
     for _ in 0..3 {
-        let demand = watch.demand(flow(10_000.0), flow(10_000.0), 50_000.0);
-        assert!(watch.is_surging());
+        let demand = detector.demand(flow(10_000.0), flow(10_000.0), 50_000.0);
+        assert!(detector.is_surging());
         assert!(demand.asked > 250_000.0, "{demand:?}");
     }
 }
