--- a/tests/floods/mod.rs
+++ b/tests/floods/mod.rs
@@ -307,8 +307,8 @@
                 .chunks(second)
                 .all(|second| second.iter().sum::<u32>() > 0);
             let asked = sum(&trace.asked);
-            let owed = asked.min(best) / 2.0 - SLACK_REQUESTS * MOST_TOKENS;
-            if waits && served[team] < owed {
+            let due = asked.min(best) / 2.0 - SLACK_REQUESTS * MOST_TOKENS;
+            if waits && served[team] < due {
                 short.push(ShortTeam {
                     team,
                     from_ms: from as u64 * BUCKET_MS,
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -155,8 +155,8 @@
         // Three seconds, starting one second after the move. Normal teams leave the rest to two
         // teams.
         let served: f64 = traces.last().unwrap().served[26..].iter().sum();
-        let owed = 3.0 * (fleet.published - 12.0 * 60_000.0) / 2.0;
-        assert!(served > 0.75 * owed, "seed {seed}: {served} of {owed}");
+        let due = 3.0 * (fleet.published - 12.0 * 60_000.0) / 2.0;
+        assert!(served > 0.75 * due, "seed {seed}: {served} of {due}");
     }
 }
 
