--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -320,14 +320,14 @@
         let (begun, window) = (self.begun, self.window);
         let asked_s = counted_s(now, begun, window);
         #[allow(clippy::cast_precision_loss)]
-        let lately_s = RECENT_WINDOW.0 as f64 / 1e6;
+        let recent_s = RECENT_WINDOW.0 as f64 / 1e6;
         self.teams
             .iter_mut()
             .map(|(team, counts)| {
                 let served_s = counted_s(now, counts.limited_since.or(begun), window);
                 let flow = TeamFlow {
                     asked: counts.asked.sum(now) / asked_s,
-                    asked_recently: counts.asked_recently.sum(now) / lately_s,
+                    asked_recently: counts.asked_recently.sum(now) / recent_s,
                     served: counts.served.sum(now) / served_s,
                 };
                 (team.clone(), flow)
