--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -258,10 +258,10 @@
     pub fn ask(&mut self, now: Moment, team: &TeamKey, tokens: f64) -> ShareStanding {
         self.begun.get_or_insert(now);
         self.mean_tokens += SIZE_WEIGHT * (tokens - self.mean_tokens);
-        let most_tokens = MAX_SIZE_MEANS * self.mean_tokens;
+        let max_tokens = MAX_SIZE_MEANS * self.mean_tokens;
         let counts = self.counts(team);
         counts.asked.add(now, tokens);
-        let short = tokens.min(most_tokens);
+        let short = tokens.min(max_tokens);
         counts.asked_recently.add(now, short);
         counts.asked_capped.add(now, short);
         if counts.allowed.is_none() {
