--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -261,9 +261,9 @@
         let max_tokens = MAX_SIZE_MEANS * self.mean_tokens;
         let counts = self.counts(team);
         counts.asked.add(now, tokens);
-        let short = tokens.min(max_tokens);
-        counts.asked_recently.add(now, short);
-        counts.asked_capped.add(now, short);
+        let capped = tokens.min(max_tokens);
+        counts.asked_recently.add(now, capped);
+        counts.asked_capped.add(now, capped);
         if counts.allowed.is_none() {
             return ShareStanding::Within;
         }
