--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -136,9 +136,9 @@
     /// Returns suspects of recent crashes for the next message, in rotation, and drops old records.
     pub fn suspects_to_send(&mut self, now: Moment) -> Vec<CrashSuspect> {
         self.table.shrink(now, &self.config);
-        let late = self.table.records_mut();
-        let late = late.filter(|record| now.since(record.seen_at) < SUSPECT_GOSSIP_PERIOD);
-        let suspects: Vec<CrashSuspect> = late
+        let recent = self.table.records_mut();
+        let recent = recent.filter(|record| now.since(record.seen_at) < SUSPECT_GOSSIP_PERIOD);
+        let suspects: Vec<CrashSuspect> = recent
             .flat_map(|record| {
                 record.suspects.iter().map(|fingerprint| CrashSuspect {
                     endpoint: record.endpoint,
