--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -30,7 +30,7 @@
 use super::placement;
 use super::placement::EngineModel;
 use super::placement::Placement;
-use super::placement::PlacementAsk;
+use super::placement::PlacementRequest;
 use super::quarantine::CrashQuarantine;
 use super::shares::LimitedTeam;
 use super::shares::ShareStanding;
@@ -390,7 +390,7 @@
         let Some(placement) = self.find_placement(now, request, engine) else {
             return self.refuse_without_endpoint(now, request.service);
         };
-        let limit = self.limit_ms(request, standing, placement.alone_ms);
+        let limit = self.limit_ms(request, standing, placement.unqueued_ms);
         #[allow(clippy::cast_precision_loss)]
         let expected = request.waited.0 as f64 / 1e3 + placement.first_ms;
         if expected > limit {
@@ -439,7 +439,7 @@
             tokens_per_ms: self.prefill_tokens_per_ms,
             hold_ms: self.hold_ms(request.service),
         };
-        let placement_ask = PlacementAsk {
+        let placement_ask = PlacementRequest {
             prompt: request.prompt.filter(|_| engine.is_some()),
             engine,
             tried: request.tried,
@@ -463,7 +463,7 @@
         &self,
         request: &AdmissionRequest<'_>,
         standing: ShareStanding,
-        alone_ms: f64,
+        unqueued_ms: f64,
     ) -> f64 {
         let objective = request.route.objective_ms as f64;
         let part = match standing {
@@ -472,12 +472,12 @@
         };
         let left = request.left.0 as f64 / 1e3;
         let mut limit = objective * part;
-        let has_turn = request.prompt.is_some_and(|prompt| {
+        let is_underserved = request.prompt.is_some_and(|prompt| {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.has_turn(&request.route.name, tokens)
+            self.sizes.is_underserved(&request.route.name, tokens)
         });
-        if has_turn && standing == ShareStanding::Within {
-            limit = limit.max(alone_ms + objective * self.config.long_wait_part);
+        if is_underserved && standing == ShareStanding::Within {
+            limit = limit.max(unqueued_ms + objective * self.config.long_wait_part);
         }
         limit.min(left)
     }
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -16,8 +16,8 @@
 use super::departures::DepartureTable;
 use super::health::EndpointHealth;
 use super::health::PeerHealth;
-use super::words::EndpointWords;
-use super::words::WordTable;
+use super::notices::EndpointNotices;
+use super::notices::NoticeTable;
 
 /// First and longest pause after a failed connection, in ms. An endpoint restarts within seconds; a
 /// retry every 2 s notices it soon and costs few connections.
@@ -75,7 +75,7 @@
     /// True if another router with a newer endpoint list reports that the endpoint left.
     is_reported_departed: bool,
     /// What the endpoint process announced about itself in its answers.
-    words: EndpointWords,
+    notices: EndpointNotices,
     /// Consecutive failed connections.
     failed_connections: u32,
     /// When this router last sent each shared prompt part to the endpoint.
@@ -99,7 +99,7 @@
             paused_until: Moment(0),
             used_until: None,
             is_reported_departed: false,
-            words: EndpointWords::default(),
+            notices: EndpointNotices::default(),
             failed_connections: 0,
             parts: BTreeMap::new(),
         }
@@ -112,7 +112,7 @@
     /// stuck.
     #[must_use]
     pub fn is_ready(&self, now: Moment) -> bool {
-        self.is_listed_ready(now) && self.words.takes_work(now)
+        self.is_listed_ready(now) && self.notices.takes_work(now)
     }
 
     /// Returns true if the endpoint may get new work according to the endpoint lists.
@@ -124,14 +124,14 @@
     /// Returns true if the endpoint announced that it is leaving.
     #[must_use]
     pub fn announced_leaving(&self) -> bool {
-        self.words.is_leaving
+        self.notices.is_leaving
     }
 
     /// Returns the rest of the pause that the endpoint asked for, if nothing else keeps work from
     /// it.
     fn pause_left(&self, now: Moment) -> Option<TimeSpan> {
-        let is_paused = !self.words.is_leaving && now < self.words.paused_until;
-        (is_paused && self.is_listed_ready(now)).then(|| self.words.paused_until.since(now))
+        let is_paused = !self.notices.is_leaving && now < self.notices.paused_until;
+        (is_paused && self.is_listed_ready(now)).then(|| self.notices.paused_until.since(now))
     }
 
     /// Returns true if the endpoint is registered as ready.
@@ -186,7 +186,7 @@
     pub departures: DepartureTable,
     /// What endpoint processes announced about themselves, including processes that no list has at
     /// the moment.
-    words: WordTable,
+    notices: NoticeTable,
 }
 
 impl EndpointTable {
@@ -230,14 +230,14 @@
             }
             let places = self.services.entry(entry.service.clone()).or_default();
             places.push(self.rows.len());
-            let words = self.words.of(row.life_hash);
-            self.rows.push(EndpointRow { words, ..row });
+            let notices = self.notices.of(row.life_hash);
+            self.rows.push(EndpointRow { notices, ..row });
         }
         for row in known.into_values() {
             self.departures.mark_departed(now, row.life);
         }
         let known: BTreeSet<u64> = self.rows.iter().map(|row| row.life_hash).collect();
-        self.words.forget(now, |life| known.contains(&life));
+        self.notices.forget(now, |life| known.contains(&life));
         replaced
     }
 
@@ -247,17 +247,17 @@
         &mut self,
         now: Moment,
         entry: &EndpointEntry,
-        words: SpokenWords,
+        notices: SpokenWords,
     ) -> bool {
-        let SpokenWords { is_leaving, pause } = words;
+        let SpokenWords { is_leaving, pause } = notices;
         let life = entry.life().hash();
         if let Some(pause) = pause {
-            self.words.wants_pause(now, life, pause);
+            self.notices.record_pause(now, life, pause);
         }
-        let is_news = is_leaving && self.words.leaves(now, life);
-        let words = self.words.of(life);
+        let is_news = is_leaving && self.notices.record_leaving(now, life);
+        let notices = self.notices.of(life);
         if let Some(row) = self.of_attempt(entry) {
-            row.words = words;
+            row.notices = notices;
         }
         is_news
     }
@@ -268,18 +268,18 @@
     /// would have to send it a call, which it may cut, to find out.
     pub fn apply_reported_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
-            if self.words.leaves(now, *life) {
+            if self.notices.record_leaving(now, *life) {
                 self.refresh_announcement(*life);
             }
         }
     }
 
     fn refresh_announcement(&mut self, life: u64) {
-        let words = self.words.of(life);
+        let notices = self.notices.of(life);
         for row in self.rows.iter_mut().filter(|row| row.life_hash == life) {
             let (key, born) = (&row.entry.key, row.entry.born);
             spdlog::info!("endpoint: key={key} born={born} is leaving, reported by another router");
-            row.words = words;
+            row.notices = notices;
         }
     }
 
--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -35,7 +35,7 @@
     flows: &BTreeMap<u64, TeamFlow>,
 ) -> impl Iterator<Item = &TeamFlow> {
     let flows = flows.values();
-    flows.filter(move |flow| flow.asked > level && flow.asked_lately > level)
+    flows.filter(move |flow| flow.asked > level && flow.asked_recently > level)
 }
 
 /// Returns what each team above the level may get beyond it; `None` if fewer than two teams are
--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -1,10 +1,10 @@
-//! Which endpoint serves a request first.
+//! Selection of the endpoint that is tried next for a request.
 //!
-//! The load that this answers: prompts of very different length that share long parts. The time
-//! to a first token is the prompt work queued at the engine plus one's own, so endpoints are
-//! compared by that work and not by their number of requests. A shared part that an endpoint has
-//! read costs nothing there; every router ranks endpoints alike for a part (rendezvous hashing),
-//! so that the part stays in few caches without the routers asking each other.
+//! Load pattern: prompts of very different length that share long parts. The time to a first token
+//! is the prompt work queued at the engine plus the request's own, so endpoints are compared by
+//! that work and not by their number of requests. A shared part in an endpoint's prefix cache
+//! costs nothing there. Every router ranks endpoints for a part in the same way (rendezvous
+//! hashing), so that the part stays in few caches without coordination between routers.
 
 use std::net::SocketAddr;
 
@@ -20,91 +20,92 @@
 use super::super::routes::EngineShape;
 use super::endpoints::EndpointRow;
 
-/// How sure it is that the first and second endpoint in a part's rendezvous order keep it. The
-/// second gets what the first has no room for.
-const HOME_BELIEF: [f64; 2] = [1.0, 0.5];
+/// Assumed probability that the first and second endpoint in a part's rendezvous order have it
+/// cached. The second gets requests for which the first has no room.
+const HOME_PROBABILITIES: [f64; 2] = [1.0, 0.5];
 
-/// What re-reading a shared part counts beside the time that it takes, in multiples of that time:
-/// every request that waits at the engine waits for it too.
+/// Extra cost of re-reading a shared part, in multiples of the time that it takes: every request
+/// queued at the engine waits for it too.
 const REREAD_WEIGHT: f64 = 4.0;
 
-/// Time for which an endpoint is taken to keep a part that this router sent there.
-const PART_KEPT: TimeSpan = TimeSpan::from_millis(8_000);
+/// Time for which an endpoint is assumed to cache a part that this router sent there.
+const PART_CACHED_FOR: TimeSpan = TimeSpan::from_millis(8_000);
 
-/// Time to a first token on an idle engine beside the prompt's own, in ms: connection, one batch
-/// step and the way back.
+/// Time to a first token on an idle engine in addition to reading the prompt, in ms: connection,
+/// one batch step and the response's way back.
 const IDLE_FIRST_TOKEN_MS: f64 = 12.0;
 
-/// What a request in another failure domain is taken to cost more, in ms: the longer way, and
-/// the price of bytes between domains.
+/// Extra cost of a request to another failure domain, in ms: longer network path, and the price
+/// of traffic between domains.
 const DOMAIN_PENALTY_MS: f64 = 4.0;
 
-/// What fetching a shared part from another engine counts beside the time that it takes, in
-/// multiples of that time: the memory's way over two links delays whatever is fetched after it.
+/// Extra cost of fetching a shared part from another engine, in multiples of the time that it
+/// takes: the transfer occupies two links and delays later fetches.
 const FETCH_WEIGHT: f64 = 1.0;
 
-/// Time that a fetch takes beside its bytes, in ms: two ways between engines and its set-up.
+/// Fixed time of a fetch in addition to the transfer, in ms: one round trip between the engines
+/// and the set-up.
 const FETCH_START_MS: f64 = 5.0;
 
-/// How much longer a fetch from another failure domain takes.
-const FETCH_AWAY_FACTOR: f64 = 2.0;
+/// Factor by which a fetch from another failure domain takes longer.
+const CROSS_DOMAIN_FETCH_FACTOR: f64 = 2.0;
 
-/// Shared tokens below which nothing is fetched: reading them takes about as long.
+/// Least number of shared tokens that is fetched; reading fewer takes about as long as a fetch.
 const LEAST_FETCH: f64 = 256.0;
 
-/// What a failing endpoint is taken to cost more, in ms for a rate of one: a failed attempt costs
-/// the caller about as much as a late answer.
+/// Extra cost of an endpoint at a failure rate of one, in ms: a failed attempt costs the caller
+/// about as much as a late answer.
 const FAILURE_PENALTY_MS: f64 = 1_500.0;
 
-/// Failures beyond those of the best endpoint that say nothing. Requests that fail by themselves
-/// come up to one in seven, and all routers know the same sums: a smaller difference would send
-/// the whole fleet's work to whichever endpoint had the fewest of late.
+/// Failure rate above that of the best endpoint that is ignored. Up to one in seven requests
+/// fail regardless of the endpoint, and all routers use the same sums: with a smaller tolerance the
+/// whole fleet would send its work to the endpoint with the fewest recent failures.
 const FAILURE_TOLERANCE: f64 = 0.15;
 
-/// What the model of an engine needs to know.
+/// Parameters of the engine model that predicts waiting times.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineModel {
-    /// Prompt tokens that an engine reads in a ms while it also generates.
+    /// Prompt tokens that an engine reads per ms while it also generates.
     pub tokens_per_ms: f64,
-    /// Time that a request stays on an engine, in ms.
+    /// Time for which a request occupies an engine slot, in ms.
     pub hold_ms: f64,
 }
 
-/// What a full batch is taken to cost beside its queue, in ms: each token takes longer the more
+/// Extra cost of a full batch in addition to its queue, in ms. Each token takes longer the more
 /// requests run, so of two engines without a queue the emptier one is better.
 const FULL_BATCH_MS: f64 = 2.0;
 
-/// What is asked for.
+/// Input of a placement.
 #[derive(Debug)]
-pub struct PlacementAsk<'a> {
+pub struct PlacementRequest<'a> {
     /// The prompt, for model engines.
     pub prompt: Option<&'a PromptShape>,
     /// The engine's published shape.
     pub engine: Option<EngineShape>,
-    /// Endpoints that were tried already.
+    /// Endpoints that were already tried.
     pub tried: &'a [EndpointKey],
     /// The router's own failure domain.
     pub domain: &'a SmolStr,
 }
 
-/// Where a request goes.
+/// The endpoint selected for a request, and its predicted cost.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Predicted time to the first output, in ms.
     pub first_ms: f64,
-    /// The part of it that would remain on an idle engine, in ms.
-    pub alone_ms: f64,
+    /// Predicted time to the first output if the engine were idle, in ms.
+    pub unqueued_ms: f64,
     /// Prompt tokens that the endpoint must read.
     pub uncached: f64,
-    /// Those of them that other requests share.
+    /// Those of them in parts that other requests share.
     pub reread: f64,
-    /// The engine from which the shared parts are fetched that this one lacks.
+    /// The engine from which missing shared parts are fetched.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// The parts that other requests may share: all but the last.
+/// Parts of a prompt that other requests may share: all but the last.
 #[must_use]
 pub fn shared_parts(prompt: &PromptShape) -> &[PromptPart] {
     let shared = prompt.parts.len().saturating_sub(1);
@@ -118,44 +119,45 @@
 /// The first endpoints in a part's rendezvous order, by rank.
 struct HomeRanks {
     part: u64,
-    best: [u64; HOME_BELIEF.len()],
+    best: [u64; HOME_PROBABILITIES.len()],
 }
 
 impl HomeRanks {
     fn of(rows: &[&EndpointRow], part: u64) -> Self {
-        let mut best = [0; HOME_BELIEF.len()];
+        let mut best = [0; HOME_PROBABILITIES.len()];
         for row in rows {
             let mut rank = rank_of(row, part);
-            for kept in &mut best {
-                if rank > *kept {
-                    std::mem::swap(kept, &mut rank);
+            for entry in &mut best {
+                if rank > *entry {
+                    std::mem::swap(entry, &mut rank);
                 }
             }
         }
         Self { part, best }
     }
 
-    /// How sure it is that the endpoint keeps the part, from 0 to 1.
-    fn belief(&self, row: &EndpointRow) -> f64 {
+    /// Assumed probability that the endpoint has the part cached, from 0 to 1.
+    fn probability(&self, row: &EndpointRow) -> f64 {
         let rank = rank_of(row, self.part);
         let place = self.best.iter().position(|best| *best == rank);
-        place.map_or(0.0, |place| HOME_BELIEF[place])
+        place.map_or(0.0, |place| HOME_PROBABILITIES[place])
     }
 }
 
-/// Prompt tokens that an endpoint is expected to read.
+/// Prompt tokens that an endpoint is expected to read, and those that it has cached.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadingWork {
-    /// All of them.
+    /// All tokens to read.
     tokens: f64,
-    /// Those of shared parts.
+    /// Tokens to read in shared parts.
     shared: f64,
-    /// Tokens of shared parts that it is expected to keep.
-    kept: f64,
+    /// Tokens of shared parts that are expected to be cached.
+    cached: f64,
 }
 
-/// The reading work of a prompt at one endpoint. A part is kept there with all parts before it
-/// if the endpoint is a home of it or this router sent it there a short while ago.
+/// Returns the reading work of a prompt at one endpoint. A part is assumed to be cached there, with
+/// all parts before it, if the endpoint is among the first in the part's rendezvous order or this
+/// router sent it there within [`PART_CACHED_FOR`].
 fn reading_work(
     row: &EndpointRow,
     prompt: &PromptShape,
@@ -163,30 +165,31 @@
     now: Moment,
 ) -> ReadingWork {
     let mut shared = 0.0;
-    let mut kept = 0.0_f64;
+    let mut cached = 0.0_f64;
     for (part, home) in prompt.parts.iter().zip(homes) {
         shared += f64::from(part.tokens);
         let seen = row.parts.get(&part.id);
-        let recent = seen.is_some_and(|at| now.since(*at) < PART_KEPT);
-        let belief = if recent { 1.0 } else { home.belief(row) };
-        kept = kept.max(shared * belief);
+        let recent = seen.is_some_and(|at| now.since(*at) < PART_CACHED_FOR);
+        let probability = if recent { 1.0 } else { home.probability(row) };
+        cached = cached.max(shared * probability);
     }
     let total = f64::from(prompt.prompt_tokens).max(shared);
     ReadingWork {
-        tokens: total - kept,
-        shared: shared - kept,
-        kept,
+        tokens: total - cached,
+        shared: shared - cached,
+        cached,
     }
 }
 
-/// The engine that keeps most of a prompt's shared parts.
+/// The engine that is expected to cache most tokens of a prompt's shared parts.
 ///
-/// Fetched from there, a part costs another engine the time of its bytes, a seventh of its
-/// reading, so that a request goes to the engine with the least queue wherever its parts lie.
+/// Another engine can fetch a part from there in the time of the transfer, a seventh of the time to
+/// read it, so that a request can go to the engine with the shortest queue wherever its parts are
+/// cached.
 #[derive(Debug, Clone, Copy)]
 struct PartHolder<'a> {
     row: &'a EndpointRow,
-    kept: f64,
+    cached: f64,
     ms_per_token: f64,
 }
 
@@ -195,23 +198,28 @@
         let ms_per_token = engine?.fetch_ms_per_token()?;
         let most = rows
             .iter()
-            .max_by(|(_, left), (_, right)| left.kept.total_cmp(&right.kept))?;
-        let (row, ReadingWork { kept, .. }) = *most;
-        (kept >= LEAST_FETCH).then_some(Self {
+            .max_by(|(_, left), (_, right)| left.cached.total_cmp(&right.cached))?;
+        let (row, ReadingWork { cached, .. }) = *most;
+        (cached >= LEAST_FETCH).then_some(Self {
             row,
-            kept,
+            cached,
             ms_per_token,
         })
     }
 
-    /// What an engine that has this much to read would fetch; nothing if it is not worth it.
+    /// Returns what an engine with this reading work would fetch; `None` if a fetch is not worth
+    /// it.
     fn fetch(&self, row: &EndpointRow, work: ReadingWork) -> Option<PartFetch> {
-        let tokens = self.kept - work.kept;
+        let tokens = self.cached - work.cached;
         if tokens < LEAST_FETCH || row.entry.key == self.row.entry.key {
             return None;
         }
-        let is_away = row.entry.domain != self.row.entry.domain;
-        let factor = if is_away { FETCH_AWAY_FACTOR } else { 1.0 };
+        let crosses_domain = row.entry.domain != self.row.entry.domain;
+        let factor = if crosses_domain {
+            CROSS_DOMAIN_FETCH_FACTOR
+        } else {
+            1.0
+        };
         Some(PartFetch {
             from: self.row.entry.address,
             tokens,
@@ -220,7 +228,7 @@
     }
 }
 
-/// Shared parts that an engine gets from another one in place of reading them.
+/// Fetch of shared parts from another engine, which replaces reading them.
 #[derive(Debug, Clone, Copy)]
 struct PartFetch {
     from: SocketAddr,
@@ -228,7 +236,7 @@
     ms: f64,
 }
 
-/// Time that a request waits for a slot, in ms.
+/// Predicted time that a request waits for a slot, in ms.
 fn slot_wait(row: &EndpointRow, slots: u32, hold_ms: f64) -> f64 {
     let active = row.total_active();
     if active < slots {
@@ -239,7 +247,7 @@
 
 fn predicted_ms(
     row: &EndpointRow,
-    ask: &PlacementAsk<'_>,
+    ask: &PlacementRequest<'_>,
     model: &EngineModel,
     uncached: f64,
     now: Moment,
@@ -253,14 +261,14 @@
     IDLE_FIRST_TOKEN_MS + (waiting + reading) * row.health.slowness(now)
 }
 
-/// The endpoint with the least predicted time to a first output, and what it costs there.
+/// Selects the endpoint with the lowest cost: the predicted time to a first output plus penalties.
+/// Returns `None` if no endpoint is left.
 ///
-/// `rows` are those of the service; each is looked at once, which is a few hundred at the size
-/// to design for.
+/// `rows` are the endpoints of the service, a few hundred at the design size.
 #[must_use]
 pub fn place(
     rows: &[&EndpointRow],
-    ask: &PlacementAsk<'_>,
+    ask: &PlacementRequest<'_>,
     model: &EngineModel,
     now: Moment,
 ) -> Option<Placement> {
@@ -292,13 +300,13 @@
         work.shared -= fetched;
         let first_ms = predicted_ms(row, ask, model, work.tokens, now) + fetch_ms;
         let reread_ms = REREAD_WEIGHT * work.shared / model.tokens_per_ms;
-        let side_ms = side_cost(row, ask, now, lowest) + FETCH_WEIGHT * fetch_ms;
-        let cost = first_ms + reread_ms + side_ms;
+        let penalty_ms = penalties(row, ask, now, lowest) + FETCH_WEIGHT * fetch_ms;
+        let cost = first_ms + reread_ms + penalty_ms;
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             let placement = Placement {
                 endpoint: row.entry.key.clone(),
                 first_ms,
-                alone_ms: IDLE_FIRST_TOKEN_MS + fetch_ms + work.tokens / model.tokens_per_ms,
+                unqueued_ms: IDLE_FIRST_TOKEN_MS + fetch_ms + work.tokens / model.tokens_per_ms,
                 uncached: work.tokens,
                 reread: work.shared,
                 fetch_from: fetch.map(|fetch| fetch.from),
@@ -309,9 +317,9 @@
     best.map(|(_, placement)| placement)
 }
 
-/// Endpoints that may get the request. If all of them are paused or silent, that doesn't count: a
-/// short refusal by the only endpoints left must not refuse what comes just after it, and a fleet
-/// of endpoints that seems silent as a whole is still used.
+/// Endpoints that may get the request. Pauses and silence are ignored if they affect all endpoints
+/// left: a short refusal by the last endpoints must not cause the next requests to be refused, and
+/// a fleet whose endpoints all seem silent is still used.
 fn usable_rows<'a>(
     rows: &[&'a EndpointRow],
     tried: &[EndpointKey],
@@ -327,8 +335,9 @@
     if unpaused.is_empty() { ready } else { unpaused }
 }
 
-/// What speaks against an endpoint beside its time to a first output, in ms.
-fn side_cost(row: &EndpointRow, ask: &PlacementAsk<'_>, now: Moment, lowest: f64) -> f64 {
+/// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
+/// domain, failures and a busy batch.
+fn penalties(row: &EndpointRow, ask: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
     let away = if row.entry.domain == *ask.domain {
         0.0
     } else {
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -1,11 +1,11 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! The load that this answers: a request that takes down each engine that begins to run it, whose
-//! caller sends it again to any router. An attempt that is lost says little by itself, links break
-//! too; together with a sign that its endpoint's process ended it makes the request a suspect of
-//! that crash. Routers tell each other of suspects, and a request in three crashes is refused by
-//! all of them. Three, since innocents run beside a guilty one: of 64 requests that ran in one
-//! crash few run in a second, and hardly any in a third, while each engine more that is lost costs
+//! Load pattern: a request crashes each engine that starts to run it, and its caller retries it at
+//! any router. A lost attempt alone proves little, since links break too. Together with a sign that
+//! the endpoint's process ended, it makes the request a suspect of that crash. Routers exchange
+//! suspects, and all of them refuse a request that was running in three crashes. The limit is three
+//! because other requests run beside the one that causes the crash: of 64 requests that ran in one
+//! crash few run in a second one and hardly any in a third, while each further engine lost costs
 //! the work of all its requests.
 
 use crate::configs::quarantine::QuarantineConfig;
@@ -21,33 +21,32 @@
 /// Crashes after which a request is refused.
 const CRASHES: u32 = 3;
 
-/// Time for which a crash is told to other routers: callers whose request was lost send it again
-/// within seconds.
-const TOLD_FOR: TimeSpan = TimeSpan::from_millis(10_000);
+/// Time for which a crash is sent to other routers: callers retry a lost request within seconds.
+const SUSPECT_GOSSIP_PERIOD: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// Suspects told in one message; the next message tells the next ones.
-const MOST_TOLD: usize = 6;
+/// Most suspects in one message; the next message carries the next ones.
+const MAX_SENT_SUSPECTS: usize = 6;
 
-/// Suspects that one router may name to another at once; a stranger could name any number.
-const MOST_TAKEN: usize = 64;
+/// Most suspects accepted from one message, since a foreign sender could list any number.
+const MAX_RECEIVED_SUSPECTS: usize = 64;
 
-/// A request that was running in a crash, as routers tell each other of it.
+/// A request that was running in a crash, as exchanged between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CrashSuspect {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its process that ended.
+    /// Hash of the endpoint process that ended.
     pub life: u64,
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
 }
 
-/// What is known of crashes.
+/// Crashes, their suspects and the requests refused because of them.
 #[derive(Debug)]
 pub struct CrashQuarantine {
     config: QuarantineConfig,
     table: CrashTable,
-    /// Place of the next suspect to tell of.
+    /// Position of the next suspect to send.
     next: usize,
 }
 
@@ -65,36 +64,37 @@
     }
 }
 
-/// The number of an endpoint in the crash table: the low half of its key's hash. Two endpoints
-/// with one number would be taken for one, which tells their lives apart all the same.
+/// Returns the id of an endpoint in the crash table: the low half of its key's hash. Two endpoints
+/// with the same id share an entry, in which `life` still distinguishes their processes.
 #[allow(clippy::cast_possible_truncation)]
-fn number_of(entry: &EndpointEntry) -> EndpointId {
+fn endpoint_id(entry: &EndpointEntry) -> EndpointId {
     EndpointId(entry.key.hash() as u32)
 }
 
 impl CrashQuarantine {
-    /// An attempt broke off; whether its endpoint crashed is not known yet.
-    pub fn lost(&mut self, now: Moment, entry: &EndpointEntry, print: RequestFingerprint) {
-        let endpoint = number_of(entry);
+    /// Records an attempt that broke off. Whether its endpoint crashed may not be known yet.
+    pub fn lost(&mut self, now: Moment, entry: &EndpointEntry, fingerprint: RequestFingerprint) {
+        let endpoint = endpoint_id(entry);
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let life = entry.life().hash();
         match self.table.find_record(endpoint, life, now, window) {
-            Some(record) => self.suspect(now, record, print),
-            None => self.table.note_loss(endpoint, print, now),
+            Some(record) => self.suspect(now, record, fingerprint),
+            None => self.table.note_loss(endpoint, fingerprint, now),
         }
     }
 
-    /// A sign that an endpoint's process ended: nothing listens there, or another one registered.
+    /// Records a sign that an endpoint's process ended: nothing listens at its address, or a new
+    /// process registered. Attempts recently lost there become suspects.
     pub fn ended(&mut self, now: Moment, entry: &EndpointEntry) {
-        let endpoint = number_of(entry);
+        let endpoint = endpoint_id(entry);
         if !self.table.has_losses(endpoint) {
             return;
         }
         let oldest = Moment(now.0.saturating_sub(self.config.evidence_ms * 1_000));
         let losses = self.table.take_losses(endpoint, oldest);
         let record = self.record(now, endpoint, entry.life().hash());
-        for print in losses {
-            self.suspect(now, record, print);
+        for fingerprint in losses {
+            self.suspect(now, record, fingerprint);
         }
     }
 
@@ -107,50 +107,53 @@
         })
     }
 
-    fn suspect(&mut self, now: Moment, record: u64, print: RequestFingerprint) {
-        if self.table.add_suspect(record, print, now, &self.config) {
-            spdlog::warn!("quarantine: fingerprint={print} refused crashes={CRASHES}");
+    fn suspect(&mut self, now: Moment, record: u64, fingerprint: RequestFingerprint) {
+        if self
+            .table
+            .add_suspect(record, fingerprint, now, &self.config)
+        {
+            spdlog::warn!("quarantine: fingerprint={fingerprint} refused crashes={CRASHES}");
         }
     }
 
-    /// Time for which a request is still refused, if it is.
+    /// Time for which a request is still refused; `None` if it is not refused.
     #[must_use]
-    pub fn refused_for(&self, now: Moment, print: RequestFingerprint) -> Option<TimeSpan> {
-        let until = self.table.refused_until(print, now)?;
+    pub fn refused_for(&self, now: Moment, fingerprint: RequestFingerprint) -> Option<TimeSpan> {
+        let until = self.table.refused_until(fingerprint, now)?;
         Some(until.since(now))
     }
 
-    /// A request was answered whole.
-    pub fn answered(&mut self, print: RequestFingerprint) {
-        self.table.clear(print);
+    /// Clears a request that got a complete answer.
+    pub fn answered(&mut self, fingerprint: RequestFingerprint) {
+        self.table.clear(fingerprint);
     }
 
-    /// Takes over what another router tells.
-    pub fn take_told(&mut self, now: Moment, told: impl Iterator<Item = CrashSuspect>) {
-        for suspect in told.take(MOST_TAKEN) {
+    /// Merges suspects from another router's message.
+    pub fn merge_suspects(&mut self, now: Moment, received: impl Iterator<Item = CrashSuspect>) {
+        for suspect in received.take(MAX_RECEIVED_SUSPECTS) {
             let record = self.record(now, suspect.endpoint, suspect.life);
             self.suspect(now, record, suspect.fingerprint);
         }
     }
 
-    /// Some suspects of late crashes to tell of, others each time, and forgets what is old.
-    pub fn telling(&mut self, now: Moment) -> Vec<CrashSuspect> {
+    /// Returns suspects of recent crashes for the next message, in rotation, and drops old records.
+    pub fn suspects_to_send(&mut self, now: Moment) -> Vec<CrashSuspect> {
         self.table.shrink(now, &self.config);
-        let late = self.table.records_mut();
-        let late = late.filter(|record| now.since(record.seen_at) < TOLD_FOR);
-        let suspects: Vec<CrashSuspect> = late
+        let recent = self.table.records_mut();
+        let recent = recent.filter(|record| now.since(record.seen_at) < SUSPECT_GOSSIP_PERIOD);
+        let suspects: Vec<CrashSuspect> = recent
             .flat_map(|record| {
-                record.suspects.iter().map(|print| CrashSuspect {
+                record.suspects.iter().map(|fingerprint| CrashSuspect {
                     endpoint: record.endpoint,
                     life: record.life,
-                    fingerprint: *print,
+                    fingerprint: *fingerprint,
                 })
             })
             .collect();
-        let count = suspects.len().min(MOST_TOLD);
+        let count = suspects.len().min(MAX_SENT_SUSPECTS);
         let first = self.next % suspects.len().max(1);
         self.next = self.next.wrapping_add(count);
-        let turned = suspects.iter().cycle().skip(first);
-        turned.take(count).copied().collect()
+        let rotated = suspects.iter().cycle().skip(first);
+        rotated.take(count).copied().collect()
     }
 }
--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -113,7 +113,7 @@
     pub tokens_per_s: u32,
     /// Tokens a second that it is served there.
     pub served_per_s: u32,
-    /// Tokens a second that it asked in the last moments, see [`super::decide::shares::LATELY`].
+    /// Tokens a second that it asked in the last moments, see [`super::decide::shares::RECENT_WINDOW`].
     pub lately_per_s: u32,
 }
 
@@ -127,7 +127,7 @@
     #[prost(uint32, repeated, tag = "5")]
     served: Vec<u32>,
     #[prost(uint32, repeated, tag = "6")]
-    asked_lately: Vec<u32>,
+    asked_recently: Vec<u32>,
 }
 
 impl DemandColumns {
@@ -142,14 +142,14 @@
                 team: team.hash(),
                 tokens_per_s: flow.asked as u32,
                 served_per_s: flow.served as u32,
-                lately_per_s: flow.asked_lately as u32,
+                lately_per_s: flow.asked_recently as u32,
             })
             .collect()
     }
 
     /// The rows, as those of [`LoadColumns::entries`].
     pub fn entries(&self) -> impl Iterator<Item = DemandEntry> + '_ {
-        let asked = self.asked.iter().zip(&self.asked_lately);
+        let asked = self.asked.iter().zip(&self.asked_recently);
         let rates = asked.zip(&self.served);
         self.teams
             .iter()
@@ -174,7 +174,7 @@
             columns.teams.push(entry.team);
             columns.asked.push(rate_steps(entry.tokens_per_s));
             columns.served.push(rate_steps(entry.served_per_s));
-            columns.asked_lately.push(rate_steps(entry.lately_per_s));
+            columns.asked_recently.push(rate_steps(entry.lately_per_s));
         }
         columns
     }
@@ -237,7 +237,7 @@
     #[prost(fixed32, repeated, tag = "13")]
     pub left: Vec<u32>,
     /// Endpoints that said in answers that they leave, whatever list the sender has; see
-    /// [`super::decide::words`]. Hashes of their lives: what one is taken for stays so.
+    /// [`super::decide::notices`]. Hashes of their lives: what one is taken for stays so.
     #[prost(fixed64, repeated, tag = "14")]
     pub announced_leaving: Vec<u64>,
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -165,7 +165,7 @@
                 let is_new = !self.peers.knows_life(&from.ip(), digest.incarnation);
                 let suspects = digest.suspects.iter().map(told_suspect);
                 let mut core = self.shared.core();
-                core.quarantine.take_told(now, suspects);
+                core.quarantine.merge_suspects(now, suspects);
                 core.endpoints
                     .apply_reported_leaving(now, &digest.announced_leaving);
                 drop(core);
@@ -224,7 +224,7 @@
             || !self.newcomers.is_empty()
             || self.round.is_multiple_of(ADDRESS_ROUNDS);
         let mut core = self.shared.core();
-        let suspects = core.quarantine.telling(now);
+        let suspects = core.quarantine.suspects_to_send(now);
         let turned_away = core.shares.turned_away_per_s(now);
         let flows = core.shares.flows(now);
         let left = core.endpoints.departures.departures_to_report(now);
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -1,4 +1,4 @@
-//! What a fleet of many routers serves teams that press at the same time, without a network.
+//! Fairness between teams that flood a fleet of many routers at the same time, without a network.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -9,7 +9,7 @@
 use verbenaturn::gateway::decide::shares::ShareStanding;
 use verbenaturn::gateway::decide::shares::ShareTable;
 use verbenaturn::gateway::decide::shares::TeamFlow;
-use verbenaturn::gateway::decide::surge::SurgeWatch;
+use verbenaturn::gateway::decide::surge::SurgeDetector;
 use verbenaturn::gateway::digest::DemandColumns;
 use verbenaturn::gateway::digest::RouterDigest;
 use verbenaturn::gateway::peer_table::PeerTable;
@@ -22,49 +22,49 @@
 use self::floods::FleetShape;
 use self::floods::SpareRoom;
 use self::floods::TeamLoad;
-use self::floods::play;
-use self::floods::play_with;
 use self::floods::short_teams;
+use self::floods::simulate;
+use self::floods::simulate_with;
 
-/// Ninety routers of which each tells five others a round, and engines that can begin twice as much as
-/// is published, as those do that keep most of their prompts.
+/// Ninety routers, each of which sends to five others per gossip round, and engines that can start
+/// twice the published rate, as engines do whose prompts are mostly cached.
 const FLEET: FleetShape = FleetShape {
     routers: 90,
     published: 2_700_000.0,
     engines: 6_000_000.0,
 };
 
-/// Length of a play, in ms, and what of it is left out: a fleet that has just started.
+/// Length of a simulation, in ms, and its warm-up that is not checked, in ms.
 const LENGTH_MS: u64 = 16_000;
 const WARM_MS: u64 = 2_000;
 
-/// Teams that ask less than their shares. They leave some 0.4 million tokens a second to each of two
-/// that flood.
-fn usual_teams() -> Vec<TeamLoad> {
+/// Teams that ask less than their shares. They leave about 0.4 million tokens a second to each of
+/// two flooding teams.
+fn normal_teams() -> Vec<TeamLoad> {
     let all = (0, FLEET.routers);
     (0..12).map(|_| TeamLoad::steady(all, 160_000.0)).collect()
 }
 
-/// Teams that were short in any of some plays of a load.
+/// Teams that got too little in simulations of a load with several seeds.
 fn shortages(floods: &[TeamLoad]) -> Vec<String> {
-    let mut loads = usual_teams();
+    let mut loads = normal_teams();
     loads.extend_from_slice(floods);
     let mut shortages = Vec::new();
     for seed in 0..2 {
-        let traces = play(FLEET, &loads, LENGTH_MS, seed);
+        let traces = simulate(FLEET, &loads, LENGTH_MS, seed);
         let short = short_teams(&traces, WARM_MS);
         shortages.extend(short.iter().map(|short| format!("seed {seed}: {short:?}")));
     }
     shortages
 }
 
-/// A team presses through two routers. Seconds later another one begins to, through all ninety, and
-/// in the next six seconds gets three times as much. Its demand was a mean over four seconds, of which
-/// each router hears from another one each second or two: until the sum was known it
-/// was within its share at every router and took all that the engines could begin. The accounts of
-/// shares proved it: nearly all that it got was within, and it was held seconds after its flood began.
+/// A team floods through two routers. Seconds later another one floods through all ninety, and got
+/// three times as much in the next six seconds. Its demand was averaged over four seconds, and a
+/// router receives each other one's digest only every one or two seconds. Until the sum was known,
+/// the second team counted as within its share at every router and took all that the engines could
+/// start.
 #[test]
-fn a_flood_through_all_routers_leaves_half_to_one_that_pressed_before() {
+fn a_flood_through_all_routers_leaves_half_to_an_earlier_flood() {
     let floods = [
         TeamLoad::flood((14, 2), 100_000.0, 3_000, 1_400_000.0),
         TeamLoad::flood((0, 90), 50_000.0, 8_000, 4_000_000.0),
@@ -73,10 +73,11 @@
     assert!(shortages.is_empty(), "{shortages:#?}");
 }
 
-/// Both come through all routers, one three seconds after the other. What the first one got in its
-/// own first seconds was taken off its share for the next four, just when the other was not held yet.
+/// Two teams flood through all routers, one three seconds after the other. The service of the first
+/// one's initial seconds was deducted from its share for four seconds, in which the other was not
+/// limited yet.
 #[test]
-fn what_a_team_got_before_it_was_held_is_not_paid_back_to_the_next_flood() {
+fn service_before_a_limit_is_not_deducted_from_the_share() {
     let floods = [
         TeamLoad::flood((0, 90), 100_000.0, 5_000, 5_000_000.0),
         TeamLoad::flood((0, 90), 50_000.0, 8_000, 3_000_000.0),
@@ -85,19 +86,20 @@
     assert!(shortages.is_empty(), "{shortages:#?}");
 }
 
-/// A fleet of 78 routers before engines that can begin so many tokens a second, and twelve usual teams.
+/// A fleet of 78 routers, with engines that can start this many tokens a second, and twelve normal
+/// teams.
 fn smaller_fleet(engines: f64) -> (FleetShape, Vec<TeamLoad>) {
     let fleet = FleetShape {
         routers: 78,
         published: 1_500_000.0,
         engines,
     };
-    let usual = (0..12).map(|_| TeamLoad::steady((0, fleet.routers), 60_000.0));
-    (fleet, usual.collect())
+    let normal = (0..12).map(|_| TeamLoad::steady((0, fleet.routers), 60_000.0));
+    (fleet, normal.collect())
 }
 
-/// Guards against two teams whose service beyond their shares swings: each gets all of it by turns, and a
-/// third one that presses for a few seconds falls between.
+/// Guards against oscillation between two teams beyond their shares: each in turn gets all of the
+/// spare capacity, and a third team that floods for a few seconds gets too little.
 #[test]
 fn service_beyond_shares_is_spread_evenly_over_any_six_seconds() {
     let (fleet, mut loads) = smaller_fleet(3_000_000.0);
@@ -109,15 +111,16 @@
     loads.push(short_flood);
     let mut shortages = Vec::new();
     for seed in [2, 4, 6] {
-        let traces = play_with(fleet, SpareRoom::ByQueue, &loads, 30_000, seed);
+        let traces = simulate_with(fleet, SpareRoom::ByQueue, &loads, 30_000, seed);
         let short = short_teams(&traces, 6_000);
         shortages.extend(short.iter().map(|short| format!("seed {seed}: {short:?}")));
     }
     assert!(shortages.is_empty(), "{shortages:#?}");
 }
 
-/// Guards against a team that is held for seconds after its flood: its demand over the window is still many
-/// times its share, and the parts of it that routers see add up to less than the whole as it falls.
+/// Guards against a team that stays limited for seconds after its flood: its demand over the window
+/// is still many times its share, and the routers' parts of it add up to less than the whole as it
+/// falls.
 #[test]
 fn a_team_whose_flood_is_over_gets_what_it_asks() {
     let (fleet, mut loads) = smaller_fleet(3_000_000.0);
@@ -127,17 +130,17 @@
     ended.phases.push((10_000, 120_000.0));
     loads.push(ended);
     for seed in 0..4 {
-        let traces = play_with(fleet, SpareRoom::ByQueue, &loads, 16_000, seed);
+        let traces = simulate_with(fleet, SpareRoom::ByQueue, &loads, 16_000, seed);
         let trace = traces.last().unwrap();
-        // From a second and a half after the flood, when its news has been everywhere.
+        // From a second and a half after the flood, when its end has reached all routers.
         let asked: f64 = trace.asked[23..].iter().sum();
         let served: f64 = trace.served[23..].iter().sum();
         assert!(served > 0.9 * asked, "seed {seed}: {served} of {asked}");
     }
 }
 
-/// Guards against a team whose share stays where its callers were: they move to another router while its
-/// flood falls, and the part of its demand that this one sees is small against the mean.
+/// Guards against a share that stays at the router that the callers left: they move to another
+/// router while the flood falls, and the demand at the new router is small compared with the mean.
 #[test]
 fn a_team_that_moves_to_another_router_takes_its_share_along() {
     let (fleet, mut loads) = smaller_fleet(1_600_000.0);
@@ -148,18 +151,19 @@
     moving.moves = Some((12_000, (50, 1)));
     loads.push(moving);
     for seed in 0..4 {
-        let traces = play(fleet, &loads, 16_000, seed);
-        // Three seconds, from one after the move; usual teams leave the rest to two.
+        let traces = simulate(fleet, &loads, 16_000, seed);
+        // Three seconds, starting one second after the move. Normal teams leave the rest to two
+        // teams.
         let served: f64 = traces.last().unwrap().served[26..].iter().sum();
-        let owed = 3.0 * (fleet.published - 12.0 * 60_000.0) / 2.0;
-        assert!(served > 0.75 * owed, "seed {seed}: {served} of {owed}");
+        let due = 3.0 * (fleet.published - 12.0 * 60_000.0) / 2.0;
+        assert!(served > 0.75 * due, "seed {seed}: {served} of {due}");
     }
 }
 
-/// The same where every router hears from every other one in each round: one that floods through one
-/// router of eight against one that begins through all of them.
+/// A small fleet in which every router receives all digests in each round. One team floods through
+/// one router of eight, and later another floods through all of them.
 #[test]
-fn floods_through_one_router_and_through_all_of_a_small_fleet_get_alike() {
+fn floods_through_one_router_and_through_all_of_a_small_fleet_get_equal_service() {
     let fleet = FleetShape {
         routers: 8,
         published: 540_000.0,
@@ -171,66 +175,66 @@
     loads.push(TeamLoad::flood((3, 1), 20_000.0, 3_000, 500_000.0));
     loads.push(TeamLoad::flood((0, 8), 20_000.0, 7_000, 900_000.0));
     for seed in 0..4 {
-        let short = short_teams(&play(fleet, &loads, LENGTH_MS, seed), WARM_MS);
+        let short = short_teams(&simulate(fleet, &loads, LENGTH_MS, seed), WARM_MS);
         assert!(short.is_empty(), "seed {seed}: {short:#?}");
     }
 }
 
-/// Teams ask a tenth less than is published, in clumps. A clump that counted as a flood would have its
-/// team held and refused on a day on which all demands fit over the window of shares.
+/// Teams ask a tenth less than the published rate, in bursts. If a burst counted as a flood, its
+/// team would be limited and refused although all demands fit over the share window.
 #[test]
-fn clumps_of_usual_teams_are_no_floods() {
-    let mut watch = SurgeWatch::default();
-    let clump = TeamFlow {
+fn bursts_of_normal_teams_are_not_floods() {
+    let mut detector = SurgeDetector::default();
+    let burst = TeamFlow {
         asked: 20_000.0,
-        asked_lately: 80_000.0,
+        asked_recently: 80_000.0,
         served: 20_000.0,
     };
-    let fits = watch.demand(clump, clump, f64::INFINITY);
-    assert!(!watch.is_surging());
+    let fits = detector.demand(burst, burst, f64::INFINITY);
+    assert!(!detector.is_surging());
     assert!((fits.asked - 20_000.0).abs() < 1.0);
-    watch.demand(clump, clump, 50_000.0);
+    detector.demand(burst, burst, 50_000.0);
     assert!(
-        !watch.is_surging(),
+        !detector.is_surging(),
         "four times its mean, less than two levels"
     );
     let flood = TeamFlow {
-        asked_lately: 150_000.0,
-        ..clump
+        asked_recently: 150_000.0,
+        ..burst
     };
-    let pressing = watch.demand(flood, flood, 50_000.0);
-    assert!(watch.is_surging());
-    assert!((pressing.asked - 150_000.0).abs() < 1.0);
+    let surging = detector.demand(flood, flood, 50_000.0);
+    assert!(detector.is_surging());
+    assert!((surging.asked - 150_000.0).abs() < 1.0);
 }
 
-/// One look hears none of the routers through which a flood comes. It must not end the surge: the team
-/// would be within its share at every router until the next look.
+/// One update lacks the digests of the routers through which a flood comes. If that ended the
+/// surge, the team would count as within its share at every router until the next update.
 #[test]
-fn a_look_that_misses_the_busy_routers_ends_no_surge() {
-    let mut watch = SurgeWatch::default();
-    let flow = |lately: f64| TeamFlow {
+fn an_update_without_the_busy_routers_does_not_end_a_surge() {
+    let mut detector = SurgeDetector::default();
+    let flow = |recent: f64| TeamFlow {
         asked: 20_000.0,
-        asked_lately: lately,
+        asked_recently: recent,
         served: 0.0,
     };
-    watch.demand(flow(10_000.0), flow(400_000.0), 50_000.0);
+    detector.demand(flow(10_000.0), flow(400_000.0), 50_000.0);
     for _ in 0..3 {
-        let demand = watch.demand(flow(10_000.0), flow(10_000.0), 50_000.0);
-        assert!(watch.is_surging());
+        let demand = detector.demand(flow(10_000.0), flow(10_000.0), 50_000.0);
+        assert!(detector.is_surging());
         assert!(demand.asked > 250_000.0, "{demand:?}");
     }
 }
 
-/// Two teams press and one has twice what the other gets, as it asks ten times as often and small prompts find
-/// room at nearly any endpoint. It must need an emptier endpoint than the other one, or it gets more
-/// and more of what endpoints do beyond the published rate.
+/// Two teams are over their shares and one gets twice as much, since it sends ten times as many
+/// requests and its small prompts fit at nearly any endpoint. It must need an emptier endpoint than
+/// the other one, or it gets more and more of the capacity beyond the published rate.
 #[test]
-fn who_has_twice_what_another_pressing_team_gets_needs_an_emptier_endpoint() {
-    let served_part = |least: f64| {
+fn a_team_with_twice_the_service_of_another_needs_an_emptier_endpoint() {
+    let service_ratio = |least: f64| {
         let (team, mut shares) = (TeamKey(SmolStr::new("suva")), table());
         let ahead = TeamFlow {
             asked: 900_000.0,
-            asked_lately: 900_000.0,
+            asked_recently: 900_000.0,
             served: 100_000.0,
         };
         let behind = TeamFlow {
@@ -255,7 +259,7 @@
             }
         }
     };
-    let (alike, twice) = (served_part(100_000.0), served_part(50_000.0));
+    let (alike, twice) = (service_ratio(100_000.0), service_ratio(50_000.0));
     assert!((1.9..2.1).contains(&alike), "{alike}");
     assert!((3.8..4.2).contains(&twice), "{twice}");
 }
@@ -264,37 +268,39 @@
     ShareTable::new(TimeSpan::from_millis(4_000))
 }
 
-/// A team floods through routers of which each hears from another one once in two seconds. What the last
-/// ones told, each taken for those not heard, must come near what all are asked, long before all have told.
+/// A team floods through a fleet in which a router receives each other one's digest every two
+/// seconds. The latest digests, scaled up for the routers not heard from, must approximate the
+/// total demand long before all digests have arrived.
 #[test]
-fn demand_of_the_last_moments_stands_for_routers_not_heard_of_late() {
+fn recent_demand_is_scaled_up_for_routers_not_heard_from() {
     let mut peers = PeerTable::default();
-    let told = |sequence: u64, rate: f64| RouterDigest {
+    let digest = |sequence: u64, rate: f64| RouterDigest {
         incarnation: 1,
         sequence,
         demands: DemandColumns::of(&BTreeMap::from([(
             TeamKey(SmolStr::new("suva")),
             TeamFlow {
                 asked: 10_000.0,
-                asked_lately: rate,
+                asked_recently: rate,
                 served: 0.0,
             },
         )])),
         ..RouterDigest::default()
     };
     let address = |router: u32| IpAddr::V4(Ipv4Addr::from(0x0a00_0001 + router));
-    // Ninety routers, one each 20 ms. From the second turn on each is asked 30,000 tokens a second.
+    // Ninety routers, one digest every 20 ms. From the second round on, the demand at each router
+    // is 30,000 tokens a second.
     for step in 0..110_u64 {
         let router = u32::try_from(step % 90).unwrap();
         let rate = if step < 90 { 0.0 } else { 30_000.0 };
         let now = Moment(step * 20_000);
-        peers.take(now, address(router), told(step + 1, rate));
+        peers.take(now, address(router), digest(step + 1, rate));
     }
     let flows = peers.flows(Moment(110 * 20_000), TimeSpan::from_millis(5_000));
     let flow = flows.values().next().unwrap();
     let asked = 90.0 * 30_000.0;
     assert!(
-        (0.8 * asked..1.2 * asked).contains(&flow.asked_lately),
+        (0.8 * asked..1.2 * asked).contains(&flow.asked_recently),
         "{flow:?}"
     );
     assert!((890_000.0..910_000.0).contains(&flow.asked), "{flow:?}");
--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash the engines that run them, seen by several routers without a network.
+//! Quarantine of requests that crash the engines that run them, at several routers without a
+//! network.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +27,7 @@
 use self::engines::engine_service;
 use self::engines::route;
 
-const GUILTY: RequestFingerprint = RequestFingerprint(7);
+const CRASHING: RequestFingerprint = RequestFingerprint(7);
 
 fn ms(millis: u64) -> Moment {
     Moment(millis * 1_000)
@@ -69,34 +70,34 @@
     }
 }
 
-/// The engine runs the request, breaks off, and registers with a later start.
+/// Runs a request on an engine that breaks off and registers with a later start.
 fn crash(core: &mut GatewayCore, at: u64, fingerprint: RequestFingerprint) {
     let ticket = sent(core, ms(at), fingerprint);
     core.ended(ms(at + 50), ticket, AttemptEnd::Lost(fingerprint));
     core.set_endpoints(ms(at + 100), &engines_of(at + 100));
 }
 
-fn tell(from: &mut GatewayCore, to: &mut GatewayCore, now: Moment) {
-    let told = from.quarantine.telling(now);
-    to.quarantine.take_told(now, told.into_iter());
+fn send_suspects(from: &mut GatewayCore, to: &mut GatewayCore, now: Moment) {
+    let suspects = from.quarantine.suspects_to_send(now);
+    to.quarantine.merge_suspects(now, suspects.into_iter());
 }
 
-/// A caller sends a request that crashes engines again and again, each time through another
-/// router. No router sees more than one crash; without each other's word they would give it every
-/// engine of the fleet.
+/// A caller repeats a request that crashes engines, each time through another router. No router
+/// sees more than one crash, so without exchanging suspects they would send it to every engine of
+/// the fleet.
 #[test]
 fn a_request_in_three_crashes_is_refused_by_every_router() {
     let mut routers = [router(), router(), router(), router()];
     for (turn, at) in [1_000, 3_000, 5_000].into_iter().enumerate() {
-        crash(&mut routers[turn], at, GUILTY);
+        crash(&mut routers[turn], at, CRASHING);
         for other in (0..routers.len()).filter(|other| *other != turn) {
             let [from, to] = routers.get_disjoint_mut([turn, other]).unwrap();
             to.set_endpoints(ms(at + 100), &engines_of(at + 100));
-            tell(from, to, ms(at + 200));
+            send_suspects(from, to, ms(at + 200));
         }
     }
     for core in &mut routers {
-        let refusal = admitted(core, ms(6_000), GUILTY);
+        let refusal = admitted(core, ms(6_000), CRASHING);
         let cause = match refusal {
             Admission::Refuse { cause, .. } => cause,
             Admission::Send(_) => panic!("sent to a fourth engine"),
@@ -106,37 +107,38 @@
     }
 }
 
-/// A link resets connections of an engine that lives on. Requests that are lost there have
-/// crashed nothing, however often it happens.
+/// A link resets connections of an engine whose process keeps running. Requests lost that way must
+/// not count as crashes, however many there are.
 #[test]
 fn attempts_lost_on_links_are_no_crashes() {
     let mut core = router();
     for turn in 0..10 {
         let at = ms(1_000 + turn * 100);
-        let ticket = sent(&mut core, at, GUILTY);
-        core.ended(at, ticket, AttemptEnd::Lost(GUILTY));
+        let ticket = sent(&mut core, at, CRASHING);
+        core.ended(at, ticket, AttemptEnd::Lost(CRASHING));
     }
-    drop(sent(&mut core, ms(9_000), GUILTY));
-    assert!(core.quarantine.telling(ms(9_000)).is_empty());
+    drop(sent(&mut core, ms(9_000), CRASHING));
+    assert!(core.quarantine.suspects_to_send(ms(9_000)).is_empty());
 }
 
-/// An innocent request ran beside a guilty one in two crashes and is then answered: a third crash,
-/// weeks of traffic later, must not count together with those.
+/// A harmless request runs beside a crashing one in two crashes and is then answered. A third
+/// crash, weeks later, must not be added to these two.
 #[test]
 fn an_answer_clears_a_suspect() {
     let mut core = router();
-    crash(&mut core, 1_000, GUILTY);
-    crash(&mut core, 3_000, GUILTY);
-    core.quarantine.answered(GUILTY);
-    crash(&mut core, 5_000, GUILTY);
-    drop(sent(&mut core, ms(6_000), GUILTY));
+    crash(&mut core, 1_000, CRASHING);
+    crash(&mut core, 3_000, CRASHING);
+    core.quarantine.answered(CRASHING);
+    crash(&mut core, 5_000, CRASHING);
+    drop(sent(&mut core, ms(6_000), CRASHING));
 }
 
-/// A stranger in the routers' network names thousands of requests.
+/// A foreign sender in the routers' network reports thousands of suspects, which must not fill the
+/// table or the messages.
 #[test]
-fn what_a_message_names_is_bounded() {
+fn suspects_in_a_message_are_bounded() {
     let mut core = router();
-    let strange =
+    let foreign =
         (0..10_000).map(
             |number| verbenaturn::gateway::decide::quarantine::CrashSuspect {
                 endpoint: verbenaturn::units::EndpointId(1),
@@ -144,6 +146,6 @@
                 fingerprint: RequestFingerprint(number),
             },
         );
-    core.quarantine.take_told(ms(0), strange);
-    assert!(core.quarantine.telling(ms(1)).len() <= 6);
+    core.quarantine.merge_suspects(ms(0), foreign);
+    assert!(core.quarantine.suspects_to_send(ms(1)).len() <= 6);
 }
