--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -1,8 +1,9 @@
-//! Who the routers are: the host list as a seed, connections as direct evidence, news of peers.
+//! Membership: which routers form the fleet and which of them are alive.
 //!
-//! A router that lost its connection or did not answer is suspected first and still counts as a
-//! member; it can refute. Only a suspicion that ran out makes it dead. What this router sees
-//! itself goes before what it is told.
+//! The host list provides the first addresses, connections are direct evidence, and gossip carries
+//! the observations of other routers. A router whose connection closed or that did not answer a
+//! ping becomes suspect first; it still counts as a member and can refute the suspicion. It is
+//! declared dead only when the suspicion times out. Direct evidence takes precedence over gossip.
 
 use crate::core::action::CoreAction;
 use crate::core::event::CoreEvent;
@@ -19,11 +20,11 @@
 use crate::wire::PeerBody;
 use crate::wire::gossip::MemberNews;
 
-/// Milliseconds since a direct sign of life within which news of a router's death is not
-/// believed but passed on to that router, so that it can refute.
+/// Milliseconds after the last message from a connected router during which gossip that it is
+/// suspect or dead is not applied but sent on to that router, so that it can refute it.
 const FRESH_MS: u64 = 500;
 
-/// Takes in the host list, connections, news and the passing of time.
+/// Handles the host list, connections, gossip and ticks.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::HostsListed { routers, .. } => hosts_listed(state, routers),
@@ -46,13 +47,13 @@
     }
 }
 
-/// True if the fleet is so small that each router keeps connections to all.
+/// Returns true if the fleet is small enough for each router to keep connections to all others.
 #[must_use]
 pub fn is_small(state: &CoreState) -> bool {
     state.members.len() <= state.config.membership.small_fleet
 }
 
-/// Keeps a connection to a router open from now on.
+/// Marks a connection to a router as needed from now on, and dials it unless it was marked before.
 pub fn want(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     if state.detector.wanted.insert(host.clone(), now).is_some() {
@@ -66,7 +67,8 @@
     state.act(CoreAction::Connect { host, address });
 }
 
-/// Begins to suspect a router. One that leaves keeps that state while it is suspected.
+/// Marks a router as suspect and starts its suspicion timer. A leaving router keeps the state
+/// `Leaving` while it is suspected.
 pub fn suspect(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     let Some(row) = state.members.get(host) else {
@@ -86,7 +88,7 @@
     watch.suspect_since.get_or_insert(now);
 }
 
-/// What is known of a router, to pass on.
+/// Returns what is known of a router as gossip to pass on; `None` if no incarnation is known.
 #[must_use]
 pub fn news_of(state: &CoreState, host: &HostName) -> Option<MemberNews> {
     let row = state.members.get(host)?;
@@ -106,7 +108,8 @@
     })
 }
 
-/// The list lags, so it only names routers to get in touch with; it never says who lives.
+/// Adds listed routers that are not known yet. The list lags behind the fleet, so it only provides
+/// addresses to connect to and never decides which routers are alive.
 fn hosts_listed(state: &mut CoreState, routers: &[ListedRouter]) {
     state.detector.listed = routers.iter().map(|router| router.host.clone()).collect();
     for router in routers {
@@ -127,8 +130,8 @@
             admit(state, &router.host);
             continue;
         };
-        // A host was replaced and has another address: dial that one. While a connection is
-        // open, the list is the one that is out of date.
+        // The host was replaced and has a new address: dial that one. While a connection is open,
+        // it is the list that is out of date.
         if !row.connected && row.state == MemberState::Dead && row.address != router.address {
             state.members.change(&router.host, |entry| {
                 entry.address = router.address.clone();
@@ -139,7 +142,8 @@
     }
 }
 
-/// Gets in touch with a router that was not known before.
+/// Processes the connection that a new member may have opened before it was known and, in a small
+/// fleet, connects to it.
 fn admit(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     if let Some(incarnation) = state.detector.strangers.remove(host) {
@@ -161,7 +165,8 @@
     }
 }
 
-/// A handshake is direct evidence of who lives at a host, whatever the news say.
+/// Records a completed handshake: direct evidence of the incarnation that runs on a host, which
+/// overrides gossip.
 fn peer_opened(state: &mut CoreState, host: &HostName, incarnation: RouterIncarnation) {
     if state.members.get(host).is_none() {
         state.detector.strangers.insert(host.clone(), incarnation);
@@ -174,8 +179,8 @@
         if !same_life {
             entry.refutation = 0;
         }
-        // Leaving holds for the whole life of a process: a link that breaks and reopens must
-        // not bring it back to work.
+        // A process that leaves never returns to service: a connection that breaks and reopens
+        // must not make it eligible for work again.
         if !(same_life && entry.state == MemberState::Leaving) {
             entry.state = MemberState::Alive;
         }
@@ -191,13 +196,14 @@
     if changed {
         state.detector.rumors.add(host.clone());
     }
-    // In a large fleet connections open for single pings: only a router that is new, or was taken
-    // for dead or suspect, is told everything.
+    // In a large fleet connections are opened for single pings: the full news is sent only to a
+    // router that is new, or was considered dead or suspect.
     let whole = changed || is_small(state);
     probing::greet(state, host, whole);
 }
 
-/// The loss of a connection that this router keeps is direct evidence: suspicion starts at once.
+/// Records a closed connection. If this router keeps that connection open, its loss is direct
+/// evidence and suspicion starts at once.
 fn peer_closed(state: &mut CoreState, host: &HostName) {
     state.detector.strangers.remove(host);
     let Some(row) = state.members.get(host) else {
@@ -205,8 +211,9 @@
     };
     let reachable = row.reachable;
     state.members.change(host, |entry| entry.connected = false);
-    // A router that others reach and this one doesn't would be suspected with each failed dial
-    // and refute each time; once is enough. From then on pings by way of others decide.
+    // A router that others reach and this one doesn't would be suspected after each failed dial
+    // and refute it each time; suspecting it once is enough. After that, indirect pings through
+    // other routers decide.
     if !state.detector.wanted.contains_key(host) || !reachable {
         return;
     }
@@ -371,7 +378,8 @@
     }
 }
 
-/// Somebody says that this router is suspect or dead: a higher count outdoes that everywhere.
+/// Refutes gossip that this router is suspect or dead by raising its refutation count, which
+/// overrides that gossip at all routers.
 fn refute(state: &mut CoreState, told: MemberRank) {
     let host = state.identity.host.clone();
     let Some(own) = state.members.get(&host).and_then(MemberEntry::rank) else {
@@ -404,8 +412,8 @@
     forget_dead(state);
 }
 
-/// This process slept: nobody could have reached it in that time, so no limit that ran out
-/// meanwhile says anything of the others. All limits start anew.
+/// Restarts all timeouts after this process was suspended. Nobody could reach it in that time, so
+/// a timeout that expired meanwhile says nothing about the other routers.
 fn forgive_pause(state: &mut CoreState) {
     let now = state.now;
     state.detector.round = None;
--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -1,10 +1,11 @@
-//! Which models endpoints serve.
+//! Orders that tell endpoints which model to serve.
 //!
-//! The owner of a pool that lacks slots wishes for an endpoint; the owner of the pool that the
-//! endpoint serves decides, since it knows what its own pool needs, and alone gives the order.
-//! Orders are fenced where endpoints check; where they don't, a router must have owned the pool
-//! for longer than anybody may believe the same wrongly, and an endpoint keeps a model for a
-//! least time, so that two orderers cost at most one load for each of these times.
+//! The owner of a pool that lacks slots sends a wish: a request for one endpoint, addressed to the
+//! owner of the pool that the endpoint serves now. That owner knows the demand of its own pool, so
+//! it decides, and it alone sends the order. Endpoints that check fencing numbers reject stale
+//! orders. For endpoints that don't, a router must have owned the pool for longer than a previous
+//! owner can wrongly believe that it still does, and an endpoint keeps a model for a minimum time,
+//! so that two routers that both give orders cause at most one model load in each such time.
 
 use crate::catalog::FenceCheck;
 use crate::core::action::CoreAction;
@@ -24,7 +25,7 @@
 use crate::wire::PeerBody;
 use crate::wire::orders::EndpointWish;
 
-/// Takes in load reports and wishes; wishes and repeats orders on ticks.
+/// Handles load reports and wishes; sends wishes and repeats orders on ticks.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::HostsListed { .. } => count_hosts(state),
@@ -44,8 +45,9 @@
     }
 }
 
-/// The store's rate is split by the most hosts ever known, whoever is an orderer in whose view.
-/// So the sum over all routers stays under the limit even if each believes itself alone.
+/// Updates the number of hosts by which the weight store's rate is split: the most ever known,
+/// whichever routers own pools in anyone's view. So the sum over all routers stays under the limit
+/// even if each router believes that it is alone.
 fn count_hosts(state: &mut CoreState) {
     let known = state.members.iter().count() as u64;
     let budget = &mut state.orders.budget;
@@ -72,7 +74,7 @@
     if fence > seen.fence {
         *seen = SeenFence { fence, since };
     }
-    // Followed, or overruled by a higher number: either way there is nothing to repeat.
+    // The order was followed, or superseded by a higher fencing number; there is nothing to repeat.
     let beaten = seen.fence;
     let is_over = |order: &OpenOrder| order.pool == active || order.fence.0 < beaten;
     if orders.open.get(&endpoint).is_some_and(is_over) {
@@ -84,8 +86,9 @@
     let now = state.now;
     let pause = TimeSpan::from_millis(state.config.orders.pause_ms);
     let orders = &mut state.orders;
-    // A process that slept still believes what was true before: seen as an order by a router
-    // that nobody takes for the owner any more. After a pause it has to earn its belief anew.
+    // A process that was suspended still assumes what was true before, so a router that no other
+    // router considers the owner any more would send an order. After a pause the time of ownership
+    // is counted from zero.
     if now.since(orders.ticked_at) >= pause {
         orders.owner_since.clear();
         orders.scarce_since.clear();
@@ -124,7 +127,8 @@
     }
 }
 
-/// Orders are idempotent: the same model under the same number, until a report shows it.
+/// Resends open orders until a load report shows that they were followed. An order is idempotent:
+/// it is repeated with the same model and the same fencing number.
 fn repeat_orders(state: &mut CoreState) {
     let now = state.now;
     let gap = TimeSpan::from_millis(state.config.orders.resend_ms);
@@ -164,8 +168,8 @@
     known.or(entry.pools.first().copied())
 }
 
-/// True if this router has owned the pool for longer than an earlier owner can believe that it
-/// still does.
+/// Returns true if this router has owned the pool for longer than a previous owner can wrongly
+/// believe that it still does.
 fn is_trusted_owner(state: &CoreState, pool: PoolId) -> bool {
     let belief = TimeSpan::from_millis(state.config.orders.belief_ms);
     let since = state.orders.owner_since.get(&pool);
@@ -179,7 +183,8 @@
     })
 }
 
-/// Wishes for one endpoint after the other, while the pool goes on lacking slots.
+/// Sends a wish if the pool has lacked slots for long enough. While the shortage lasts, successive
+/// wishes go through the candidate endpoints in turn.
 fn wish_if_due(state: &mut CoreState, pool: PoolId) {
     let now = state.now;
     let config = &state.config.orders;
@@ -235,7 +240,7 @@
     entry.is_some_and(|entry| entry.pools.contains(&pool) && !entry.leaving && !leaves)
 }
 
-/// Decides on a wish for an endpoint of a pool that this router owns.
+/// Decides on another owner's wish for an endpoint of a pool that this router owns.
 fn consider(state: &mut CoreState, wish: &EndpointWish) {
     let (endpoint, pool) = (EndpointId(wish.endpoint), PoolId(wish.pool));
     let Some(active) = active_pool(state, endpoint) else {
@@ -259,8 +264,9 @@
     }
 }
 
-/// True if the wishing pool is much more pressed, and still no less pressed afterwards than the
-/// giving one. The second keeps the endpoint from being wished back.
+/// Returns true if the requesting pool has much more demand per slot than the giving one, and still
+/// no less of it after the change. The second condition keeps the endpoint from being requested
+/// back.
 fn is_worth_it(
     state: &CoreState,
     endpoint: EndpointId,
@@ -283,7 +289,8 @@
     much_more && no_less && wanted > has
 }
 
-/// The next order, or nothing while another orderer that can't be seen may still have its say.
+/// Returns the next order, or `None` while another router that gave the last order and can't be
+/// seen from here may still control the endpoint.
 fn next_order(state: &CoreState, endpoint: EndpointId, pool: PoolId) -> Option<OpenOrder> {
     let entry = state.catalog.endpoints.get(&endpoint)?;
     let seen = state.orders.fences.get(&endpoint).copied();
@@ -303,8 +310,8 @@
     })
 }
 
-/// An orderer that is seen to live has handed the endpoint over, or else it would still own the
-/// pool that the endpoint serves.
+/// Returns true if the router that gave the last order is seen alive. It has then handed the
+/// endpoint over, or else it would still own the pool that the endpoint serves.
 fn is_live_holder(state: &CoreState, tag: u32) -> bool {
     state.members.iter().any(|(host, row)| {
         let holds = row.incarnation.is_some_and(|life| fence_tag(life) == tag);
--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -1,8 +1,9 @@
-//! Sharing out the slots of the pools that this router owns.
+//! Allocation of the slots of the pools that this router owns.
 //!
-//! Entry routers report demand; the owner works out fair targets (max-min by share, less for
-//! teams that are ahead), grants vacant slots and asks for surplus ones back. Slots and charges
-//! are told as grow-only or absolute numbers, so loss, doubling and reordering do no harm.
+//! Entry routers report demand; the owner computes fair targets (weighted max-min by share, less
+//! for teams that are ahead), grants vacant slots and asks for surplus ones back. Slots and charges
+//! are sent as grow-only or absolute counters, so lost, duplicated and reordered messages do no
+//! harm.
 
 mod grants;
 mod levels;
@@ -35,7 +36,7 @@
 use crate::wire::allotment::SlotAllotment;
 use crate::wire::demand::DemandReport;
 
-/// Takes in reports; shares slots out when that is due.
+/// Handles demand reports, and reallocates slots when that is due.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::Message {
@@ -60,10 +61,11 @@
     }
 }
 
-/// Fills the budget of all allotments, and each pool's own part of it.
+/// Refills the byte budget that all allotments share, and each pool's own part of it.
 ///
-/// The part guards against a pool of short calls whose slots lie idle: out of the common budget a pool
-/// with many routers and long queues takes all, and the other one is shared out a few times a second.
+/// The part guards against idle slots in a pool of short calls: a pool with many routers and long
+/// queues would use up the shared budget, and the other pool would be reallocated only a few times
+/// a second.
 fn fill_budgets(state: &mut CoreState) {
     let rate = state.config.ownership.bytes_per_s;
     state.allotment_budget.fill(state.now, rate);
@@ -79,8 +81,8 @@
     incarnation: RouterIncarnation,
     report: &DemandReport,
 ) {
-    // A report meant for an earlier life of this router counts slots that this life never
-    // granted. It is dropped; the sender begins a new epoch when it learns of this life.
+    // A report meant for an earlier incarnation of this router counts slots that this incarnation
+    // never granted. It is dropped; the sender begins a new epoch once it knows this incarnation.
     if report.epoch != epoch_of(state.identity.incarnation) {
         return;
     }
@@ -121,14 +123,16 @@
     note_urgency(pool, from);
 }
 
-/// Makes room for the counts of the report's term; false if they can't be taken in.
+/// Prepares the entry router's claim for the term of a report; returns false if the counts of the
+/// report can't be used.
 ///
-/// Slot counts mean something only while both ends count from the same start. One end may begin
-/// anew without the other: an entry router that turned to another owner and back, or an owner
-/// that gave up a silent router's claim while that one slept. Seen as slots that both believe
-/// the other one has, or that two routers use. The entry router numbers its starts: a report of
-/// a later term replaces the claim, one of an earlier term is late and dropped, and counts
-/// without their start make the owner ask for a new term.
+/// Slot counts are valid only while both sides count from the same start. One side may restart
+/// its counts without the other: an entry router that switched to another owner and back, or an
+/// owner that dropped the claim of a silent router while that router was suspended. The result
+/// would be slots that each side assumes the other has, or slots that two routers use. So the entry
+/// router numbers its starts as terms: a report of a later term replaces the claim, a report of an
+/// earlier term is late and dropped, and counts whose start is missing make the owner ask for a new
+/// term.
 fn follow_term(
     pool: &mut OwnedPool,
     from: &HostName,
@@ -162,7 +166,8 @@
     state.send(from, PeerBody::Allotment(allotment));
 }
 
-/// Returned slots are grow-only, so even an old report may be taken in.
+/// Records the slot counts of a report. Counts of returned slots only grow, so even an old report
+/// can be applied.
 fn take_slots(pool: &mut OwnedPool, from: &HostName, report: &DemandReport) {
     let rows = report
         .endpoints
@@ -177,7 +182,7 @@
     }
 }
 
-/// Takes in the demand rows and returns what was newly charged, in service units.
+/// Records the demand of each team and returns what was newly charged, in service units.
 fn take_teams(pool: &mut OwnedPool, from: &HostName, report: &DemandReport) -> Vec<(TeamId, i64)> {
     let Some(member) = pool.members.get_mut(from) else {
         return Vec::new();
@@ -197,15 +202,15 @@
             charged: *charged,
         };
         let before = member.teams.insert(team, demand);
-        // What was charged before this epoch is forgotten: the new owner starts all teams
-        // level, which adds at most one bound to the gap.
+        // Charges from before this epoch are ignored: a new owner starts all teams at the same
+        // virtual time, which adds at most one bound to the fairness gap.
         let known = before.map_or(*charged, |old| old.charged);
         charges.push((team, (*charged - known) * CHARGE_STEP));
     }
     charges
 }
 
-/// Slots are shared out soon if somebody waits who could be helped by it.
+/// Schedules an early reallocation if it could give slots to waiting requests.
 fn note_urgency(pool: &mut OwnedPool, from: &HostName) {
     let Some(member) = pool.members.get(from) else {
         return;
@@ -248,8 +253,9 @@
     let Some(pool) = state.owned.get(&pool_id) else {
         return;
     };
-    // Short calls near the number of slots make routers ask and give back many times a second.
-    // The budget bounds what that may cost; meanwhile each router goes on with what it holds.
+    // When about as many short calls run as there are slots, routers request and return slots many
+    // times a second. The budget bounds that traffic; while it is used up, each router continues
+    // with the slots that it holds.
     let is_open = state.allotment_budget.is_open() || pool.budget.is_open();
     let wait = match (is_open, pool.urgent) {
         (true, true) => config.share_gap_ms,
--- a/src/core/systems/ownership/grants.rs
+++ b/src/core/systems/ownership/grants.rs
@@ -1,12 +1,13 @@
-//! Granting slots that nobody holds.
+//! Grants of vacant slots, which no entry router holds.
 
 use crate::core::tables::owned_pool::OwnedPool;
 use crate::units::EndpointId;
 use crate::units::HostName;
 
-/// Grants vacant slots, to those furthest below their targets first: to routers with something
-/// waiting always, and to the others only if spare slots shall be `spread` now, since those cost
-/// messages that help nobody at once.
+/// Grants vacant slots, first to the entry routers that are furthest below their targets.
+///
+/// Routers with waiting requests are always considered; the others only if `spread` is true, since
+/// granting them spare slots costs messages that serve no waiting request.
 pub(super) fn grant_vacant(pool: &mut OwnedPool, spread: bool) {
     let mut hosts: Vec<(u32, HostName)> = pool
         .members
@@ -26,11 +27,12 @@
     }
 }
 
-/// Grants what is still vacant to routers with something waiting, above their targets.
+/// Grants slots that are still vacant to routers with waiting requests, beyond their targets.
 ///
-/// After a partition some endpoints are held beyond their limits for a while. Then all routers
-/// are above their targets although other endpoints have room; seen as vacant slots beside long
-/// queues until the last long request ends. The next share-out asks the surplus back.
+/// After a partition more slots of some endpoints are held than their limits allow, for a while.
+/// Then all routers are above their targets although other endpoints have vacant slots, and
+/// requests would wait beside them until the last long request ends. The next reallocation asks
+/// for the surplus back.
 pub(super) fn grant_leftover(pool: &mut OwnedPool) {
     let mut hosts: Vec<(u32, u32, HostName)> = pool
         .members
--- a/src/core/systems/ownership/levels.rs
+++ b/src/core/systems/ownership/levels.rs
@@ -1,4 +1,4 @@
-//! Each team's level against its pool's clock, and the weight that follows from it.
+//! Each team's virtual time relative to its pool's clock, and the weight derived from it.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,18 @@
 use crate::units::TeamId;
 use crate::units::TimeSpan;
 
-/// Seconds over which the pace of a pool's clock is smoothed.
+/// Seconds over which the speed of a pool's clock is smoothed.
 const PACE_MEMORY_S: f64 = 5.0;
-/// A team that waits as long counts for the pool's clock.
+/// Time for which a team must have waited to count for the pool's clock.
 const LASTING_WAIT: TimeSpan = TimeSpan::from_millis(1_000);
-/// Least and most that a lead or lag makes of a team's share.
+/// Smallest factor by which a lead reduces a team's share.
 const LEAST_FACTOR: f64 = 0.25;
+/// Largest factor by which a lag increases a team's share.
 const MOST_FACTOR: f64 = 2.0;
 
-/// Moves the pool's clock to the mean virtual time, weighted by share, of the teams that have
-/// waited for a while. Teams that wait only for moments would hold it back: they are served at
-/// once and gain little.
+/// Advances the pool's clock to the mean virtual time, weighted by share, of the teams that have
+/// waited for at least `LASTING_WAIT`. Teams that wait only for moments would hold it back: they
+/// are served at once and their virtual time grows little.
 #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
 pub(super) fn advance_clock(state: &CoreState, pool: &mut OwnedPool, passed: TimeSpan) {
     let now = state.now;
@@ -45,13 +46,13 @@
     pool.pace += (step / seconds - pool.pace) * part;
 }
 
-/// Sets teams that begin to wait to the clock at least, and clamps leads and lags.
+/// Raises the virtual time of teams that begin to wait to the clock, and clamps leads and lags.
 pub(super) fn level_accounts(
     state: &CoreState,
     pool: &mut OwnedPool,
     demands: &BTreeMap<TeamId, TeamDemand>,
 ) {
-    // With nobody waiting nobody is owed anything: all start level.
+    // While no team waits, no team is owed service: all are reset to the clock.
     let quiet = demands.values().all(|demand| demand.waiting == 0);
     let (now, clock) = (state.now, pool.clock);
     let debt = i64::try_from(state.config.ownership.debt_units).unwrap_or(i64::MAX);
@@ -59,23 +60,23 @@
         let account = pool.accounts.entry(*team).or_default();
         let waits = demand.waiting > 0;
         let waited = account.waits_since.is_some();
-        // Idle time banks no credit: a team that begins to wait starts at the clock.
+        // Idle time earns no credit: a team that begins to wait starts at the clock.
         if waits && !waited {
             account.time = account.time.max(clock);
         }
         if quiet {
             account.time = clock;
         }
-        // A debt without bound would starve its team after a partition, and a credit without
-        // bound the others; both are clamped.
+        // After a partition, an unbounded lead would starve its team, and an unbounded lag would
+        // starve the other teams; both are clamped.
         let most = virtual_time(debt, state.catalog.share_of(*team));
         account.time = account.time.clamp(clock - most, clock + most);
         account.waits_since = waits.then(|| account.waits_since.unwrap_or(now));
     }
 }
 
-/// A team's share, less if it is ahead of the clock and more if it is behind, so that it would
-/// be level again after the correction time.
+/// Returns a team's share, reduced if the team is ahead of the clock and increased if it is behind,
+/// so that it would reach the clock after `correction_ms`.
 #[allow(clippy::cast_precision_loss)]
 pub(super) fn team_weight(state: &CoreState, pool: &OwnedPool, team: TeamId) -> f64 {
     let share = f64::from(state.catalog.share_of(team).0.max(1));
--- a/src/core/systems/ownership/targets.rs
+++ b/src/core/systems/ownership/targets.rs
@@ -1,4 +1,4 @@
-//! Limits of endpoints, and each entry router's target and quotas.
+//! Slot limits of endpoints, and each entry router's target and quotas.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,8 @@
 use crate::units::PoolId;
 use crate::units::TeamId;
 
-/// Limits of the endpoints that serve this pool now; 0 for one that leaves or serves another.
+/// Sets the slot limit of each of the pool's endpoints: 0 for one that leaves or serves another
+/// pool now.
 pub(super) fn set_limits(state: &mut CoreState, pool_id: PoolId) {
     let Some(entry) = state.catalog.pools.get(&pool_id) else {
         return;
@@ -50,7 +51,7 @@
     }
 }
 
-/// Sets each entry router's target from fair shares of the teams it has.
+/// Sets each entry router's target from the fair shares of the teams that have demand there.
 pub(super) fn set_targets(
     state: &CoreState,
     pool: &mut OwnedPool,
@@ -85,7 +86,7 @@
         member.waiting() > 0 && member.held <= running
     });
     for (member, target) in pool.members.values_mut().zip(targets) {
-        // While nobody lacks slots nothing is asked back, so that quiet times cost no messages.
+        // While no router lacks slots, none are asked back, so that an idle pool costs no messages.
         let target = if needy || pool.scarce || member.draining {
             target
         } else {
@@ -115,7 +116,8 @@
         .collect()
 }
 
-/// An entry router's part of each team's share, in proportion to the demand that it has of it.
+/// Returns an entry router's part of each team's share, in proportion to its part of the team's
+/// demand.
 fn member_quotas(
     member: &MemberClaim,
     shares: &BTreeMap<TeamId, f64>,
--- a/src/core/systems/ownership/telling.rs
+++ b/src/core/systems/ownership/telling.rs
@@ -1,4 +1,4 @@
-//! Telling entry routers of grants, targets and the order of teams.
+//! Allotments: messages that send grants, targets and the order of teams to entry routers.
 
 use prost::Message;
 
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -1,13 +1,13 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! Every request that was running on an endpoint when it crashed is a suspect, fleet-wide and by
-//! its fingerprint. A suspect runs apart from the other suspects of its crash, all its copies on
-//! one and the same endpoint, one after the other, so that innocents clear themselves and a guilty
-//! one takes down one endpoint more. A request in two crashes is refused for a time, whichever
-//! router it comes to.
+//! Every request that was running on an endpoint when it crashed is a suspect, fleet-wide and
+//! identified by its fingerprint. Suspects of the same crash are isolated from each other: all
+//! copies of one suspect run on the same endpoint, one after the other, so that harmless requests
+//! are cleared by completing and a harmful one crashes only one more endpoint. A request that was
+//! running in two crashes is refused for a time, at all routers.
 //!
-//! From the loss of a copy to the sign of what became of its endpoint, all routers hold back the
-//! other copies.
+//! From the loss of a copy until it is known whether its endpoint crashed, all routers hold back
+//! the other copies.
 
 mod notices;
 mod trials;
@@ -34,10 +34,10 @@
 use crate::units::TimeSpan;
 use crate::wire::PeerBody;
 
-/// Age that a lost attempt must have before a load report proves that its endpoint lives on.
+/// Minimum age of a lost attempt at which a load report proves that its endpoint still runs.
 const REPORT_GRACE: TimeSpan = TimeSpan::from_millis(50);
 
-/// Takes in lost attempts, signs of crashes and what peers say; starts suspects apart.
+/// Handles lost attempts, signs of crashes and notices from peers; starts isolated suspects.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::AttemptEnded {
@@ -99,8 +99,9 @@
     }
 }
 
-/// A lost attempt alone may be the link's fault. It counts only together with a sign that the
-/// endpoint itself went down: nothing listens there any more, or it has begun another life.
+/// Records a lost attempt. On its own it may be a network failure; it counts only together with a
+/// sign that the endpoint itself crashed: its port refuses connections, or it reports a new
+/// incarnation.
 fn lost(state: &mut CoreState, endpoint: EndpointId, fingerprint: RequestFingerprint) {
     let (now, window) = (state.now, evidence_window(state));
     let known = state.crashes.find_record(endpoint, 0, now, window);
@@ -123,10 +124,10 @@
     }
 }
 
-/// Reads the life of an endpoint that is about to be used for the first time.
+/// Requests the incarnation of an endpoint that is about to be used for the first time.
 ///
-/// Guards against a crash that can't be told from a lost link: a router that reads the first life
-/// only after a loss there finds the life that follows the crash.
+/// A router that first reads the incarnation after a loss there may get the one that follows the
+/// crash, and then can't distinguish the crash from a network failure.
 pub fn learn_life(state: &mut CoreState, endpoint: EndpointId) {
     if life_of(state, endpoint) == 0 {
         limits::watch_load(state, endpoint, LoadWatcher::FirstLife, true);
@@ -145,8 +146,8 @@
     } else if before != 0 && before != life {
         crashed(state, endpoint, before, CrashProof::Seen);
     } else if before == life {
-        // The endpoint lives on, so the link was at fault. A report that was under way when the
-        // endpoint crashed would say the same; hence the grace.
+        // The endpoint still runs, so the loss was a network failure. A report that was already on
+        // its way when the endpoint crashed looks the same; hence the grace period.
         let lost_at = state.crashes.last_loss(endpoint);
         if lost_at.is_some_and(|at| state.now.since(at) >= REPORT_GRACE) {
             state.crashes.take_losses(endpoint, state.now);
@@ -154,7 +155,7 @@
     }
 }
 
-/// An endpoint's life has ended, or may have: all that was lost there lately is suspect.
+/// Records that an endpoint crashed, or may have: all requests lost there recently are suspects.
 fn crashed(state: &mut CoreState, endpoint: EndpointId, life: u64, proof: CrashProof) {
     let number = open_record(state, endpoint, life, proof);
     suspect_losses(state, endpoint, number);
@@ -177,7 +178,7 @@
     number
 }
 
-/// Makes suspects of what was lost on an endpoint lately.
+/// Marks the requests that were lost on an endpoint recently as suspects.
 fn suspect_losses(state: &mut CoreState, endpoint: EndpointId, number: u64) {
     let oldest = Moment(state.now.0.saturating_sub(evidence_window(state).0));
     let losses = state.crashes.take_losses(endpoint, oldest);
@@ -208,7 +209,7 @@
     refuse_waiting(state, fingerprint);
 }
 
-/// Ends what waits here under a fingerprint that is refused from now on.
+/// Refuses the requests waiting here that have a refused fingerprint.
 fn refuse_waiting(state: &mut CoreState, fingerprint: RequestFingerprint) {
     let Some(until) = state.crashes.refused_until(fingerprint, state.now) else {
         return;
@@ -224,7 +225,7 @@
     }
 }
 
-/// Takes what waits here under these fingerprints out of the common queue.
+/// Moves the requests queued here with these fingerprints out of the common queue into isolation.
 fn set_apart(state: &mut CoreState, fingerprints: &BTreeSet<RequestFingerprint>) {
     if fingerprints.is_empty() {
         return;
@@ -241,7 +242,8 @@
     }
 }
 
-/// Looks through all requests of this router; done only when attempts were lost.
+/// Returns the requests here with these fingerprints that are not running. It scans all requests
+/// of this router, which is done only when attempts were lost.
 fn waiting_with(state: &CoreState, fingerprints: &BTreeSet<RequestFingerprint>) -> Vec<RequestId> {
     state
         .requests
@@ -252,8 +254,8 @@
         .collect()
 }
 
-/// True while it is not known whether the endpoint that lost a request's last attempt crashed.
-/// A retry that did not wait for it would crash the next endpoint before anybody is a suspect.
+/// Returns true while it is not known whether the endpoint that lost a request's last attempt
+/// crashed. A retry before that could crash the next endpoint before any request is a suspect.
 #[must_use]
 pub fn awaits_sign(state: &CoreState, request: RequestId) -> bool {
     let entry = state.requests.get(request);
@@ -266,7 +268,8 @@
     state.now.since(lost_at) < check_window(state)
 }
 
-/// Takes over a request that would be queued, if it is a suspect.
+/// Isolates a request that is about to be queued if it is a suspect or a copy of it was just lost;
+/// returns true if so.
 pub fn isolates(state: &mut CoreState, request: RequestId) -> bool {
     let suspect = state
         .requests
@@ -279,8 +282,8 @@
     suspect
 }
 
-/// True while a lost copy of the request may turn out to have crashed its endpoint: another
-/// copy started now could crash the next one.
+/// Returns true while a lost copy of the request may turn out to have crashed its endpoint. Another
+/// copy started now could crash the next endpoint.
 fn is_in_doubt(state: &CoreState, fingerprint: RequestFingerprint) -> bool {
     let oldest = Moment(state.now.0.saturating_sub(check_window(state).0));
     state.crashes.is_in_doubt(fingerprint, oldest)
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of crashes, lost copies, suspects and refusals.
+//! Notices between routers about crashes, lost copies, suspects and refusals.
 
 use std::collections::BTreeSet;
 
@@ -12,13 +12,13 @@
 
 use super::trials;
 
-/// Requests told of in one notice as lost, so that a link that breaks under all of an endpoint's
-/// requests costs a bounded message. Those beyond are told in the next ticks.
+/// Lost requests named in one notice at most, so that the message stays bounded when a link breaks
+/// while an endpoint runs many requests. The rest follows in the next ticks.
 const MOST_LOST_TOLD: usize = 64;
 
-/// One notice for each crash and tick with news, and one for all other news, goes to each live
-/// router. It is not passed on, so one crash costs at most two notices for each pair of routers
-/// and tick in which attempts were lost.
+/// Sends one notice for each crash with new suspects, and one for all other changes, to each live
+/// router. Notices are not passed on, so one crash costs at most two notices for each pair of
+/// routers and tick in which attempts were lost.
 pub fn tell_peers(state: &mut CoreState) {
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
@@ -79,7 +79,7 @@
     numbers.iter().copied().map(RequestFingerprint).collect()
 }
 
-/// Takes in what another router, or this one as a home, tells.
+/// Handles a notice from another router, or from this one in its role as the home of a fingerprint.
 pub fn take_notice(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
     let suspects = fingerprints(&notice.fingerprints);
     remind(state, from, &suspects);
@@ -118,7 +118,7 @@
     super::suspect_losses(state, endpoint, number);
 }
 
-/// Copies of a request that another router lost are held until it is known why.
+/// Holds back copies of requests that another router lost until it is known why they were lost.
 fn take_losses(state: &mut CoreState, lost: &BTreeSet<RequestFingerprint>) {
     for fingerprint in lost {
         state.crashes.note_told_loss(*fingerprint, state.now);
@@ -126,8 +126,9 @@
     super::set_apart(state, lost);
 }
 
-/// A router that calls a refused request a mere suspect has restarted, or was cut off, when the
-/// refusal was told. It would let the request crash further endpoints; so it is told again.
+/// Sends the refusal again to a router that still treats a refused request as a suspect. That
+/// router had restarted, or was disconnected, when the refusal was sent, and would let the request
+/// crash more endpoints.
 fn remind(state: &mut CoreState, from: &HostName, suspects: &BTreeSet<RequestFingerprint>) {
     let refused: Vec<u64> = suspects
         .iter()
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -1,5 +1,5 @@
-//! Running suspects apart: one at a time on an endpoint, and one copy of a request at a time in
-//! the fleet.
+//! Isolated runs of suspects: one suspect at a time on an endpoint, and one copy of a request at a
+//! time in the fleet.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,8 +19,8 @@
 use crate::wire::PeerBody;
 use crate::wire::quarantine::QuarantineNotice;
 
-/// Tells homes which copies ended. What was lost with a copy is told a tick before, so that no
-/// home lends the right to the next one without knowing of it.
+/// Reports to the homes which copies ended. The loss of a copy is sent one tick earlier, so that no
+/// home grants the lease for the next copy before it knows of the loss.
 pub fn tell_ended(state: &mut CoreState) {
     let ended = state.trials.take_ended();
     tell_homes(state, ended, |notice, fingerprint| {
@@ -39,8 +39,9 @@
     })
 }
 
-/// Starts each waiting suspect on its own endpoint, and asks homes for the right to. A suspect
-/// takes no slot from the common order: an endpoint runs at most one request more for it.
+/// Starts waiting suspects on their own endpoints, and requests the leases for that from their
+/// homes. A suspect uses none of the allocated slots: an endpoint runs at most one additional
+/// request for it.
 pub fn start_isolated(state: &mut CoreState) {
     let span = super::check_window(state);
     let mut asked: BTreeSet<RequestFingerprint> =
@@ -55,7 +56,7 @@
     });
 }
 
-/// Starts one if it may start; what its home has to be asked for.
+/// Starts a suspect if it may start; returns its fingerprint if its home must be asked for a lease.
 fn start_or_ask(state: &mut CoreState, request: RequestId) -> Option<RequestFingerprint> {
     let Some(entry) = state.requests.get(request) else {
         state.trials.isolated.remove(&request);
@@ -63,8 +64,8 @@
     };
     let (pool_id, team) = (entry.facts.pool, entry.facts.team);
     let fingerprint = entry.facts.fingerprint;
-    // A copy that was still running when the verdict fell comes here after its own crash. It was
-    // not among those that waited then, and would take down endpoint after endpoint.
+    // A copy that was still running when its request was refused gets here after its own crash. It
+    // was not among the waiting copies refused then, and would crash one endpoint after another.
     if state
         .crashes
         .refused_until(fingerprint, state.now)
@@ -100,8 +101,9 @@
     }
 }
 
-/// True once this router has read a life of a suspect's place: a crash there could not be told
-/// from a lost link before. One that tells no life holds nobody up for longer than a check.
+/// Returns true once this router knows an incarnation of the endpoint chosen for a suspect; before
+/// that it could not distinguish a crash there from a network failure. An endpoint that reports no
+/// incarnation delays a suspect for `check_ms` at most.
 fn knows_life(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
     if super::life_of(state, endpoint) != 0 {
         return true;
@@ -140,7 +142,7 @@
     active == Some(pool_id) && !row.leaving
 }
 
-/// Sends each home one notice about its requests.
+/// Sends one notice to each home about the fingerprints that it manages.
 fn tell_homes(
     state: &mut CoreState,
     fingerprints: BTreeSet<RequestFingerprint>,
@@ -158,7 +160,7 @@
     }
 }
 
-/// As their home, takes back and lends the right to run copies.
+/// Returns and grants leases to run copies, as the home of their fingerprints.
 pub fn take_asks(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
     let span = super::check_window(state);
     for fingerprint in notice.ended.iter().copied().map(RequestFingerprint) {
@@ -182,7 +184,7 @@
     }
 }
 
-/// Takes in what homes answered.
+/// Records which leases homes granted or withheld.
 pub fn take_answers(state: &mut CoreState, notice: &QuarantineNotice) {
     let span = super::check_window(state);
     let lent = notice.lent.iter().map(|lent| (*lent, true));
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -1,9 +1,10 @@
-//! Unrepeatable requests: at most one execution per ticket.
+//! Tickets of unrepeatable requests: at most one execution per ticket.
 //!
-//! A ticket names the router life that minted it, and only that life runs it. So one process
-//! decides alone, with nothing to agree on: no clock, quorum or shared state is involved, and a
-//! partition, a pause or a restart can't lead to a second execution. What that life can't tell
-//! any more, or can't be asked because it is gone, is "unknown".
+//! A ticket names the router incarnation that minted it, and only that incarnation runs it. A
+//! single process thus decides alone, without consensus: no clock, quorum or shared state is
+//! involved, and a partition, a pause or a restart can't lead to a second execution. An outcome
+//! that this incarnation has forgotten, or that can't be asked for because it is gone, is
+//! "unknown".
 
 use crate::core::action::CoreAction;
 use crate::core::action::RefusalReason;
@@ -23,16 +24,17 @@
 use crate::units::RouterIncarnation;
 use crate::units::TimeSpan;
 
-/// What becomes of a request whose ticket was looked at.
+/// What to do with a request after its ticket was checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TicketVerdict {
-    /// It may be queued and run here.
+    /// The request may be queued and run here.
     Admit,
-    /// It was answered, joined to another, passed on, or waits for its minter to be known.
+    /// The request was answered, joined to another one, forwarded, or waits until the minter of its
+    /// ticket is known.
     Settled,
 }
 
-/// Takes in what the driver keeps of answers, callers that leave, and time.
+/// Handles kept answers, callers that disconnect, and ticks.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::AnswerKept { request, bytes } => {
@@ -49,7 +51,7 @@
     }
 }
 
-/// Looks at the ticket of a request that just arrived.
+/// Checks the ticket of a request that just arrived.
 pub fn present(state: &mut CoreState, facts: &RequestFacts) -> TicketVerdict {
     match facts.repeat {
         RepeatRule::Repeatable => TicketVerdict::Admit,
@@ -67,8 +69,8 @@
     }
 }
 
-/// A ticket is offered only if its request would be taken in now: callers learn of a full queue
-/// on the first try.
+/// Offers a ticket if its request would be admitted now, and refuses it otherwise, so that callers
+/// learn of a full queue on the first try.
 fn offer_or_refuse(state: &mut CoreState, facts: &RequestFacts) {
     if state.draining {
         draining::refuse(state, facts.request);
@@ -105,8 +107,8 @@
         return TicketVerdict::Settled;
     };
     if row.team != facts.team || row.fingerprint != facts.fingerprint {
-        // A ticket used for another request would be answered with an answer that is not the
-        // caller's own. The request that it was minted for is left as it is.
+        // With a ticket of another request, the caller would get the answer to a request that is
+        // not its own. The request that the ticket was minted for is not affected.
         let reason = RefusalReason::TicketMismatch;
         refuse(state, request, reason, RunOutcome::NotRun);
         return TicketVerdict::Settled;
@@ -141,8 +143,8 @@
     state.act(CoreAction::JoinAnswer { request, original });
 }
 
-/// Answers a request whose ticket has ended and whose answer is not kept. One that did not run,
-/// and never will under that ticket, gets a fresh ticket.
+/// Answers a request whose ticket has ended and whose answer is not kept. If the request did not
+/// run, and so never will under that ticket, it is offered a new ticket.
 fn answer_ended(state: &mut CoreState, facts: &RequestFacts, outcome: RunOutcome) {
     if outcome == RunOutcome::NotRun {
         offer_or_refuse(state, facts);
@@ -156,7 +158,7 @@
     });
 }
 
-/// Refuses a request that no table holds.
+/// Refuses a request that is in no table.
 fn refuse(state: &mut CoreState, request: RequestId, reason: RefusalReason, outcome: RunOutcome) {
     let retry_after = match reason {
         RefusalReason::TicketMismatch => TimeSpan(0),
@@ -170,7 +172,7 @@
     });
 }
 
-/// A ticket of another router life goes to the host that lives it.
+/// Forwards a request whose ticket another router incarnation minted to that router's host.
 fn present_foreign(state: &mut CoreState, facts: &RequestFacts, minter: RouterIncarnation) {
     match find_minter(state, minter) {
         MinterPlace::Reachable(host) if !facts.forwarded => {
@@ -179,8 +181,8 @@
                 host,
             });
         }
-        // A forwarded request that reaches the wrong life was sent by a router that lags. To
-        // forward it again could go on for ever; only its minter's answer counts.
+        // A forwarded request that reaches the wrong incarnation was sent by a router with an
+        // outdated view. Forwarding it again could loop forever; only its minter may decide.
         MinterPlace::Reachable(_) | MinterPlace::Gone => give_up_on_minter(state, facts.request),
         MinterPlace::NotHeardOf => {
             let wait = TimeSpan::from_millis(state.config.tickets.minter_wait_ms);
@@ -212,8 +214,8 @@
     }
 }
 
-/// The minter is gone, or is taken to be: whether it ran the request can't be proved here.
-/// Coming back helps if it was only cut off.
+/// Refuses a request whose minter is gone, or is considered gone: whether it ran the request can't
+/// be known here. A later retry can still get the answer if the minter was only disconnected.
 fn give_up_on_minter(state: &mut CoreState, request: RequestId) {
     refuse(
         state,
@@ -223,9 +225,12 @@
     );
 }
 
-/// A router that just started, or one whose ticket travels faster than the news of its new life,
-/// is not heard of yet: its tickets would be answered "unknown" for no need. They wait a short
-/// while. "Unknown" is always safe, so the wait is no matter of correctness.
+/// Handles waiting requests whose ticket's minter is known by now, or whose wait has expired.
+///
+/// A minter can be unknown here because this router just started, or because the ticket arrived
+/// before the gossip about the minter's new incarnation. The request waits a short while, since
+/// "unknown" would be an unnecessary answer. That answer is always safe, so correctness does not
+/// depend on the wait.
 fn look_for_minters(state: &mut CoreState) {
     let waits: Vec<MinterWait> = state.tickets.minter_waits.values().cloned().collect();
     for wait in waits {
@@ -252,7 +257,7 @@
     }
 }
 
-/// The request that held the ticket was answered whole.
+/// Ends a ticket whose request was answered completely, and completes the requests joined to it.
 pub fn completed(state: &mut CoreState, repeat: RepeatRule) {
     let Some(number) = own_number(state, repeat) else {
         return;
@@ -263,9 +268,9 @@
     shrink(state);
 }
 
-/// The request that held the ticket was refused or given up. Its callers are all told the same,
-/// and the ticket ends with that outcome: a "not run" that was told once stays true, also for a
-/// copy of the request that is still on its way.
+/// Ends a ticket whose request was refused or given up. All its callers get the same outcome, and
+/// the ticket keeps it: once "not run" was sent it stays true, also for a copy of the request that
+/// is still on its way.
 pub fn refused(
     state: &mut CoreState,
     repeat: RepeatRule,
@@ -287,8 +292,9 @@
     shrink(state);
 }
 
-/// True if the request goes on though its caller left: others wait for its answer, or it may
-/// have run and a resend shall find its answer. Else its ticket can be used again.
+/// Returns true if a request continues although its caller disconnected: other callers wait for its
+/// answer, or it may have run and a resend must find the answer. Otherwise its ticket can be used
+/// again.
 pub fn outlives_caller(state: &mut CoreState, repeat: RepeatRule, may_have_run: bool) -> bool {
     let Some(number) = own_number(state, repeat) else {
         return false;
--- a/tests/crashing_copies.rs
+++ b/tests/crashing_copies.rs
@@ -1,4 +1,4 @@
-//! Copies of a request that crashes endpoints, at several routers at once.
+//! Copies of a request that crashes endpoints, sent to several routers at once.
 
 mod cores;
 
@@ -18,7 +18,7 @@
 use self::cores::pool;
 
 const ENDPOINTS: usize = 6;
-/// Milliseconds for which a lost copy waits for a sign, as the settings have it by default.
+/// Milliseconds for which a lost copy waits for a sign of a crash: the default of `check_ms`.
 const CHECK_MS: u64 = 600;
 
 #[derive(Debug, Clone, Copy)]
@@ -39,7 +39,7 @@
     }
 }
 
-/// All routers have read the first life of all endpoints.
+/// Returns a fleet whose routers have read the first incarnation of all endpoints.
 fn fleet_that_knows_lives(routers: usize) -> CoreFleet {
     let mut fleet = CoreFleet::new(routers, catalog(ENDPOINTS, 4));
     for router in 0..routers {
@@ -64,7 +64,7 @@
     );
 }
 
-/// What a router dispatches within a time.
+/// Returns what a router dispatches within `millis`.
 fn dispatches(fleet: &mut CoreFleet, router: usize, millis: u64) -> Vec<Dispatched> {
     let mut runs = Vec::new();
     for _ in 0..=millis / 5 {
@@ -106,8 +106,8 @@
     })
 }
 
-/// Guards against a resend through another router, which crashes the next endpoint before the
-/// router that lost the first copy has read what became of the first.
+/// Guards against a resend through another router that crashes the next endpoint before the router
+/// that lost the first copy has learned whether the first endpoint crashed.
 #[test]
 fn a_copy_lost_at_one_router_holds_back_those_at_others() {
     let mut fleet = fleet_that_knows_lives(2);
@@ -122,8 +122,8 @@
     assert_eq!(late.len(), 1, "held back for ever");
 }
 
-/// Guards against a copy that is already queued when another one is lost: the slot that the lost
-/// one frees is given to it at once.
+/// Guards against running a copy that is already queued when another one is lost: it would get the
+/// slot that the lost one frees at once.
 #[test]
 fn a_copy_that_waits_for_a_slot_is_held_back_as_well() {
     let mut fleet = CoreFleet::new(1, catalog(1, 1));
@@ -136,8 +136,8 @@
     assert!(early.is_empty(), "{early:?}");
 }
 
-/// Guards against one crash for each router: all of them choose the same endpoint for a suspect's
-/// copies, and each starts its own there.
+/// Guards against one crash per router: all routers choose the same endpoint for a suspect's
+/// copies, and each would start its own there.
 #[test]
 fn copies_of_a_suspect_run_one_at_a_time_in_the_fleet() {
     const ROUTERS: usize = 4;
@@ -169,8 +169,8 @@
     }
 }
 
-/// Guards against a crash without a before: a router that reads an endpoint's first life after a
-/// loss there took the crash for a lost link, and the request went on to crash others.
+/// Guards against a missed crash: a router that first read an endpoint's incarnation after a loss
+/// there mistook the crash for a network failure, and the request went on to crash other endpoints.
 #[test]
 fn a_loss_before_the_first_life_is_read_and_a_crash_refuse_a_request() {
     let mut fleet = CoreFleet::new(1, catalog(ENDPOINTS, 4));
@@ -188,8 +188,8 @@
     assert!(is_refused(&mut fleet, 0, 1));
 }
 
-/// Guards against an innocent that is refused for ten minutes, since a switch dropped its
-/// connections twice before the router had read any endpoint's life.
+/// Guards against refusing a harmless request for ten minutes because a switch dropped its
+/// connections twice before the router had read any endpoint's incarnation.
 #[test]
 fn two_losses_before_first_lives_are_read_refuse_nobody() {
     let mut fleet = CoreFleet::new(1, catalog(ENDPOINTS, 4));
@@ -205,8 +205,8 @@
     assert_eq!(suspects(&fleet, 0), 0);
 }
 
-/// Guards against a crash that one router can't prove and another one can, which counted as
-/// unproven for those who heard of it from the first.
+/// Guards against a crash that one router can prove and another can't, and that stayed unproven for
+/// the routers that got the notice of the latter.
 #[test]
 fn a_crash_that_one_router_can_prove_is_proven_for_all() {
     let mut fleet = CoreFleet::new(3, catalog(ENDPOINTS, 4));
@@ -239,8 +239,8 @@
     assert!(until.is_some());
 }
 
-/// Guards against an innocent that stays a suspect at other routers after it was answered, and is
-/// refused when a second endpoint crashes under it by another's fault.
+/// Guards against a harmless request that stays a suspect at other routers after it was answered,
+/// and is refused when another request crashes a second endpoint that runs it.
 #[test]
 fn a_suspect_that_is_answered_whole_is_cleared_at_all_routers() {
     let mut fleet = fleet_that_knows_lives(2);
@@ -256,8 +256,8 @@
     assert_eq!((suspects(&fleet, 0), suspects(&fleet, 1)), (0, 0));
 }
 
-/// Guards against a request that waits for good since the router that lends the right to run its
-/// copies is gone and nobody knows yet.
+/// Guards against a request that waits forever because the router that grants the leases for its
+/// copies is gone and no router has noticed yet.
 #[test]
 fn a_silent_home_holds_no_copy_up_for_longer_than_a_check() {
     let mut fleet = fleet_that_knows_lives(2);
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! A request that crashes every endpoint that runs it, and its resends.
+//! Quarantine of a request that crashes every endpoint that runs it, and of its resends.
 
 mod cores;
 
@@ -33,7 +33,8 @@
     since: u64,
 }
 
-/// Endpoints that crash when they run the poison for a while, and come back a second later.
+/// A fleet whose endpoints crash after running the poison request for `CRASH_US` and are down for
+/// `DOWN_US`.
 struct CrashRun {
     fleet: CoreFleet,
     next_request: u64,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// What the drivers see when they read loads: a refused connection or a report.
+    /// Reports what drivers see when they read loads: a refused connection or a load report.
     fn report_loads(&mut self) {
         if !self.fleet.now.0.is_multiple_of(200_000) {
             return;
@@ -211,9 +212,9 @@
 
 #[test]
 fn one_request_takes_down_two_endpoints_and_innocents_are_answered() {
-    // A review with a broken prompt crashes the engine that runs it. The router tries it again
-    // elsewhere, its caller sends it again through every other router, and so on. Without a
-    // quarantine it takes down one engine after the other, and everybody's requests with them.
+    // A request with a broken prompt crashes the engine that runs it. The router retries it
+    // elsewhere, and its caller resends it through every other router. Without a quarantine it
+    // crashes one engine after the other, together with all requests that run there.
     let mut run = CrashRun::new(3);
     for number in 0..18 {
         run.send(usize::try_from(number % 3).unwrap(), innocent(number));
@@ -232,8 +233,8 @@
 
 #[test]
 fn copies_sent_at_once_after_a_first_crash_end_on_one_endpoint() {
-    // After the first crash the caller's library sends the same review through all routers at
-    // once. Each router alone would let it crash one more engine.
+    // After the first crash the client library resends the same request through all routers at
+    // once. Without coordination each router would let it crash one more engine.
     let mut run = CrashRun::new(4);
     run.send(0, POISON);
     run.run(250);
@@ -249,8 +250,8 @@
 
 #[test]
 fn a_router_that_restarts_learns_of_the_refusal_from_the_first_crash_it_reports() {
-    // A host is replaced while a request is refused fleet-wide. The new router knows nothing and
-    // runs it. It may cost one engine more, not two.
+    // A host is replaced while a request is refused fleet-wide. The new router does not know the
+    // refusal and runs the request. That may crash one more engine, not two.
     let mut run = CrashRun::new(3);
     run.send(0, POISON);
     run.run(3_000);
@@ -267,8 +268,8 @@
 
 #[test]
 fn a_lost_link_without_a_crash_makes_nobody_suspect() {
-    // A switch drops connections of a busy router twice. Its requests did nothing wrong, and
-    // must not be refused for ten minutes.
+    // A switch drops connections of a busy router twice. Its requests are harmless and must not be
+    // refused for ten minutes.
     let mut fleet = CoreFleet::new(1, catalog(3, 4));
     let report = |number| CoreEvent::EndpointLoad {
         endpoint: endpoint(number),
@@ -293,8 +294,9 @@
     }));
 }
 
-/// Guards against a crash that is taken for a lost link: a router that reads an endpoint's first
-/// life only after a loss there finds the next one, and the request goes on to crash others.
+/// Guards against a crash that is mistaken for a network failure: a router that first reads an
+/// endpoint's incarnation after a loss there gets the next one, and the request goes on to crash
+/// other endpoints.
 #[test]
 fn a_router_reads_the_life_of_an_endpoint_that_it_begins_to_use() {
     let mut fleet = CoreFleet::new(1, catalog(1, 4));
@@ -351,7 +353,7 @@
     }
 }
 
-/// Runs until the router asks to dispatch, for two seconds at most.
+/// Runs until the router dispatches a request, for two seconds at most.
 fn next_dispatch(fleet: &mut CoreFleet) -> Option<(u64, u32, EndpointId)> {
     for _ in 0..400 {
         for action in fleet.take(0) {
@@ -372,9 +374,9 @@
 
 #[test]
 fn a_copy_that_ran_while_its_request_was_refused_does_not_run_again() {
-    // A caller sends the same broken review twice. One copy crashes two engines and the request
-    // is refused fleet-wide; the other copy is still running at that moment and then crashes its
-    // own engine. It must be refused, not be tried on a fourth and fifth engine.
+    // A caller sends the same broken request twice. One copy crashes two engines and the request is
+    // refused fleet-wide; the other copy is still running at that moment and then crashes its own
+    // engine. It must be refused, not retried on a fourth and fifth engine.
     let mut fleet = CoreFleet::new(1, catalog(ENDPOINTS, 4));
     fleet.advance(500);
     let crash = |fleet: &mut CoreFleet, request: u64, attempt: u32, endpoint: EndpointId| {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is taken for a member while routers, links and processes fail.
+//! Membership while routers, links and processes fail.
 
 mod cores;
 
@@ -64,9 +64,9 @@
     assert_eq!(owners(&fleet, 0..8).len(), 1);
 }
 
-// A router process is killed. Requests in the pools that it owned wait until another router owns
-// them: its peers see the connection close, suspect it at once, confirm each other's suspicion
-// and take it for dead within the confirmed limit and one exchange of news.
+// A router process is killed, and requests in the pools that it owned wait until another router
+// owns them. Its peers see the connection close, suspect it at once, confirm each other's suspicion
+// and declare it dead within the confirmed limit and one gossip exchange.
 #[test]
 fn a_killed_router_is_dead_everywhere_within_a_second() {
     let mut fleet = fleet();
@@ -80,8 +80,8 @@
     }
 }
 
-// A router's host loses its network without closing a connection: nothing arrives, nothing is
-// refused. Only unanswered pings tell.
+// A router's host loses its network without closing a connection: nothing arrives and nothing is
+// refused, so only unanswered pings reveal the failure.
 #[test]
 fn a_silent_router_is_found_by_pings() {
     let mut fleet = fleet();
@@ -95,8 +95,8 @@
     assert_eq!(live_count(&fleet, 0), 7);
 }
 
-// One link is cut while both ends reach all others. The rest of the fleet must keep both; the
-// two ends can't use each other, so neither takes the other for a pool's owner.
+// One link is cut while both ends reach all other routers. The rest of the fleet must keep both as
+// members; the two ends can't use each other, so neither considers the other a pool's owner.
 #[test]
 fn a_single_cut_link_kills_nobody() {
     let mut fleet = fleet();
@@ -113,9 +113,9 @@
     assert_eq!(live_count(&fleet, 2), 8);
 }
 
-// The fleet is cut in two for a minute and joined again. Each side must go on alone, with an
-// owner for each pool on its own side, and after the rejoin all must agree on one again, though
-// both sides spread news of the others' death.
+// A partition splits the fleet for a minute. Each side must continue alone, with an owner for each
+// pool on its own side; after it heals all must agree on one owner again, although both sides
+// spread gossip that the other side is dead.
 #[test]
 fn a_partition_leaves_each_side_whole_and_heals() {
     let mut fleet = fleet();
@@ -143,8 +143,9 @@
     }
 }
 
-// A router restarts with nothing in memory while its peers still pass on news of its former
-// life. The new life must be a member, and no late news of the old one may touch it.
+// A router restarts with nothing in memory while its peers still pass on gossip about its former
+// incarnation. The new incarnation must be a member, and late gossip about the old one must not
+// affect it.
 #[test]
 fn a_restarted_router_is_a_new_member_whatever_is_said_of_its_old_life() {
     let mut fleet = fleet();
@@ -186,8 +187,8 @@
     }
 }
 
-// A process sleeps for half a minute and wakes up. All its time limits have run out while nobody
-// could have reached it; it must not take the whole fleet for dead and own every pool.
+// A process is suspended for half a minute and resumes. All its timeouts have expired while nobody
+// could reach it; it must not declare all other routers dead and own every pool.
 #[test]
 fn a_router_that_slept_does_not_bury_the_others() {
     let mut fleet = fleet();
@@ -211,8 +212,8 @@
     }
 }
 
-// The source's host list is an hour old: it names a router that was replaced, misses one that
-// runs, and calls a third one leaving. None of this may change who is taken for a member.
+// The host list is an hour old: it names a router that was replaced, misses one that runs, and
+// marks a third one as leaving. None of this may change who is a member.
 #[test]
 fn a_stale_host_list_changes_nothing_that_is_known() {
     let mut fleet = fleet();
@@ -240,8 +241,8 @@
     }
 }
 
-// Operators drain a router. It must own nothing from then on, at all routers, also when its
-// links break and reopen meanwhile.
+// An operator drains a router. From then on it must own nothing in the view of any router, even if
+// its connections break and reopen meanwhile.
 #[test]
 fn a_leaving_router_stays_leaving_for_its_whole_life() {
     let mut fleet = fleet();
@@ -329,7 +330,7 @@
     }
 }
 
-/// Membership bytes/s that each router of a quiet fleet sends, frames included.
+/// Membership bytes/s that each router of an idle fleet sends, frames included.
 fn quiet_bytes(routers: usize) -> u64 {
     let mut fleet = CoreFleet::new(routers, catalog(1, 2));
     fleet.advance_by(40_000, 50_000);
@@ -346,6 +347,7 @@
     println!("membership bytes/s per router: 8: {small}, 16: {most}, 128: {large}");
     assert!(small < 400);
     assert!(most <= small * 5 / 4);
-    // 128 routers that all started at once still pass on each other's news, at most six a ping.
+    // 128 routers that all started at once still pass on gossip about each other, at most six news
+    // items per ping.
     assert!(large < 600);
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to endpoints: demand is met without thrashing, fenced orders are never obeyed late,
-//! unfenced ones do a bounded harm, and the weight store's rate holds.
+//! Orders to endpoints: demand is met without thrashing, endpoints never follow stale fenced
+//! orders, the harm of unfenced ones is bounded, and the weight store's rate limit holds.
 
 mod cores;
 
@@ -40,7 +40,7 @@
     pool_named("answers")
 }
 
-/// Endpoints that can serve both pools and begin with plans.
+/// A catalog of endpoints that can serve both pools and begin with `plans`.
 fn two_pools(check: FenceCheck) -> FleetCatalog {
     let ids: Vec<EndpointId> = (1..=ENDPOINTS).map(endpoint).collect();
     let mut catalog = catalog(0, 0);
@@ -190,8 +190,8 @@
 
 #[test]
 fn endpoints_move_to_the_pool_that_lacks_them_and_stay() {
-    // In the morning stylists ask questions while all engines hold the model for plans. Engines
-    // must change over, but not to and fro, for a load takes the weight store's time.
+    // Demand moves to a pool while all engines hold the model of the other one. Engines must
+    // switch, but not back and forth, since each model load uses capacity of the weight store.
     let mut run = OrderRun::new(2, FenceCheck::Checked);
     run.demand(0, answers(), 60);
     run.demand(1, plans(), 8);
@@ -206,9 +206,9 @@
 
 #[test]
 fn with_fences_an_overruled_orderer_is_not_obeyed() {
-    // The fleet is cut in two, both halves reach all engines, and each wants another model on
-    // them. Both sides order. An engine must never follow an order that was decided before the
-    // last one it followed, and no model may be thrown out soon after it came.
+    // A partition splits the fleet, both halves reach all engines, and each orders a different
+    // model. An engine must never follow an order that was decided before the last one it followed,
+    // and no model may be replaced soon after it was loaded.
     let mut run = OrderRun::new(2, FenceCheck::Checked);
     run.fleet.part(0, 1);
     run.demand(0, answers(), 200);
@@ -233,9 +233,9 @@
 
 #[test]
 fn without_fences_two_orderers_cost_one_load_a_residence() {
-    // The same, with engines that ignore the number. Nothing can stop the older orderer, so the
-    // harm is bounded in time: an engine changes its model no more often than the least
-    // residence, as both orderers see it in its reports.
+    // The same partition with engines that ignore fencing numbers. Nothing stops the stale owner's
+    // orders, so the harm is bounded in time: both owners see in an engine's reports how long it
+    // has had its model, and leave it there for the minimum residence time.
     let mut run = OrderRun::new(2, FenceCheck::Ignored);
     run.fleet.part(0, 1);
     run.demand(0, answers(), 200);
@@ -248,8 +248,8 @@
 
 #[test]
 fn the_weight_stores_rate_holds_when_every_router_believes_itself_alone() {
-    // All routers lose each other and each takes itself for the owner of everything. If each
-    // used the store's whole rate, the store would be asked four times what it can give.
+    // All routers are disconnected from each other, and each considers itself the owner of every
+    // pool. If each used the weight store's whole rate, the store would get four times its limit.
     let mut run = OrderRun::new(4, FenceCheck::Ignored);
     for one in 0..4 {
         for other in one + 1..4 {
@@ -270,8 +270,9 @@
 
 #[test]
 fn a_paused_orderer_gives_no_order_when_it_wakes() {
-    // A router sleeps for minutes while it owns a pool. Meanwhile another one has taken over.
-    // When it wakes it still believes itself the owner; it must first find out.
+    // A router is suspended for minutes while it owns a pool, and another one takes over. When it
+    // resumes it still considers itself the owner; it must not send orders before it has owned the
+    // pool long enough again.
     let mut run = OrderRun::new(1, FenceCheck::Ignored);
     run.demand(0, answers(), 60);
     run.run(100);
@@ -290,7 +291,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = prop::collection::vec((0_usize..3, 0_u64..40, 0_usize..4), 1..60);
     let outcome = runner.run(&steps, |steps| {
-        // Three lives give orders, each by a report that may be several orders old.
+        // Three incarnations give orders, each based on a report that may be several orders old.
         let lives = [11, 22, 33].map(RouterIncarnation);
         let mut history = vec![0_u64];
         let mut owners: BTreeMap<u64, usize> = BTreeMap::new();
--- a/tests/slot_counters.rs
+++ b/tests/slot_counters.rs
@@ -1,4 +1,4 @@
-//! Slots of a pool under loss, doubling and reordering of control messages.
+//! Slots of a pool while control messages are lost, duplicated and reordered.
 
 mod cores;
 
@@ -31,12 +31,13 @@
 use self::cores::facts;
 use self::cores::host;
 
-/// Routers, slots of the one endpoint, and microseconds between two steps.
 const ROUTERS: usize = 3;
+/// Slots of the only endpoint.
 const SLOTS: u32 = 6;
+/// Microseconds between two steps.
 const STEP_US: u64 = 5_000;
 
-/// What becomes of the next message about slots.
+/// What happens to the next message about slots.
 #[derive(Debug, Clone, Copy)]
 enum MessageFate {
     Deliver,
@@ -45,7 +46,7 @@
     Delay,
 }
 
-/// Cores whose messages about slots meet the drawn fates; all others arrive at once.
+/// Cores whose messages about slots get the generated fates; all other messages arrive at once.
 struct SlotRig {
     cores: Vec<RouterCore>,
     now: u64,
@@ -66,7 +67,7 @@
         for router in 0..ROUTERS {
             rig.introduce(router);
         }
-        // All views agree and the owner has listened before faults begin.
+        // Before faults begin, all views agree and the owner has waited for `settle_ms`.
         for _ in 0..200 {
             rig.step();
         }
@@ -145,7 +146,7 @@
         }
     }
 
-    /// One tick of all cores; a delayed message arrives after later ones.
+    /// Advances all cores by one tick; delayed messages arrive after later ones.
     fn step(&mut self) {
         self.now += STEP_US;
         if (self.now / STEP_US).is_multiple_of(7)
@@ -200,10 +201,10 @@
     proptest::collection::vec(fate, 0..120)
 }
 
-// Reports and allotments are lost, doubled and overtake each other while requests come and go at
-// all routers. At no moment may the endpoint run more than its slots: a slot counted as returned
-// twice would show as an engine over its limit. Once messages flow again every slot is used: a
-// slot that both ends believe the other holds would stand idle for ever.
+// Reports and allotments are lost, duplicated and reordered while requests come and go at all
+// routers. The endpoint must never run more requests than it has slots: a slot counted as returned
+// twice would exceed the limit. Once messages arrive again, every slot must be used: a slot that
+// each side believes the other holds would stay idle forever.
 #[test]
 fn no_slot_is_doubled_and_none_is_leaked() {
     let config = Config {
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets: one execution, one answer for all who ask with the same ticket, bounded memory.
+//! Tickets: one execution, the same answer for all callers with the same ticket, bounded memory.
 
 mod cores;
 
@@ -66,8 +66,8 @@
 
 #[test]
 fn the_same_ticket_twice_at_once_runs_once_and_answers_both() {
-    // A stylist's tablet sends a mixing log, sees nothing for a while and sends it again while
-    // the first still runs. Cause: a slow service. Both must get the one answer.
+    // The service is slow, so a client resends a request while the first copy still runs. Both must
+    // get the same answer.
     let mut fleet = CoreFleet::new(1, catalog(1, 2));
     let ticket = fleet.get_ticket(0, 1);
     let first = fleet.present(0, 2, ticket);
@@ -99,8 +99,8 @@
 
 #[test]
 fn a_lost_link_ends_the_ticket_as_unknown() {
-    // A nurse's tag is sent to its service and the connection breaks. The tag may be on the
-    // list. She sends it again with the same ticket: it must not run a second time.
+    // The connection to the endpoint breaks after the request was sent, so it may have run. The
+    // caller resends it with the same ticket: it must not run a second time.
     let mut fleet = CoreFleet::new(1, catalog(2, 2));
     let ticket = fleet.get_ticket(0, 1);
     fleet.present(0, 2, ticket);
@@ -129,8 +129,8 @@
 
 #[test]
 fn a_ticket_is_good_for_its_team_and_request_only() {
-    // A ticket leaks into another team's hands, or a client reuses it for another tag. Without
-    // the check the second caller would get the first one's answer.
+    // A ticket leaks to another team, or a client reuses it for another request. Without the check
+    // the second caller would get the first one's answer.
     let mut fleet = CoreFleet::new(1, catalog(1, 2));
     let ticket = fleet.get_ticket(0, 1);
     fleet.present(0, 2, ticket);
@@ -148,9 +148,10 @@
 
 #[test]
 fn not_run_stays_true_for_a_copy_that_comes_later() {
-    // A tablet sends a log twice under one ticket by way of two routers. The first copy is told
-    // "not run", so the tablet logs the mixing anew. The second copy arrives late. Were it run,
-    // the mixing would be logged twice; instead it is offered a fresh ticket that nobody uses.
+    // A client sends a request twice with one ticket, through two routers. The first copy is
+    // answered "not run", so the client submits the work anew. If the second copy, which arrives
+    // late, ran, the work would be done twice; instead it is offered a new ticket, which nobody
+    // uses.
     let mut fleet = CoreFleet::new(1, catalog(1, 0));
     let ticket = fleet.get_ticket(0, 1);
     let mut facts = unrepeatable(2, Some(ticket));
@@ -171,8 +172,8 @@
 
 #[test]
 fn a_caller_that_leaves_finds_its_answer_when_it_comes_back() {
-    // A tablet loses its radio in the middle of a log and sends it again a little later. Its
-    // first call runs on, and the second gets that answer instead of "unknown".
+    // A client loses its connection while its request runs and resends it a little later. The
+    // first call continues, and the second gets its answer instead of "unknown".
     let mut fleet = CoreFleet::new(1, catalog(1, 2));
     let ticket = fleet.get_ticket(0, 1);
     fleet.present(0, 2, ticket);
@@ -185,8 +186,8 @@
 
 #[test]
 fn a_ticket_of_another_router_goes_there_and_of_a_gone_one_is_unknown() {
-    // The balancer sends a resend to another router than the first call. It must reach the
-    // router that minted the ticket; if that one was replaced, nobody can tell any more.
+    // The load balancer sends a resend to another router than the first call. It must be forwarded
+    // to the router that minted the ticket; if that one was replaced, the outcome is unknown.
     let mut fleet = CoreFleet::new(2, catalog(1, 2));
     let ticket = fleet.get_ticket(0, 1);
     let actions = fleet.present(1, 1, ticket);
@@ -267,7 +268,7 @@
             Ok(ticket) if ticket.name.minter == minter => {
                 prop_assert_eq!(signer.check(&ticket), Err(TicketError::Forged));
             }
-            // The name of another minter: that one will refuse it, its secret is another.
+            // The change names another minter, which rejects the ticket since its secret differs.
             Ok(ticket) => {
                 let other = TicketSigner::new(ticket.name.minter, [4; SECRET_BYTES]);
                 prop_assert_eq!(other.check(&ticket), Err(TicketError::Forged));
