--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -160,7 +160,7 @@
     }
 }
 
-/// Returns and grants leases to run copies, as the home of their fingerprints.
+/// Handles returned and requested leases to run copies, as the home of their fingerprints.
 pub fn take_asks(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
     let span = super::check_window(state);
     for fingerprint in notice.ended.iter().copied().map(RequestFingerprint) {
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -172,7 +172,8 @@
     });
 }
 
-/// Forwards a request whose ticket another router incarnation minted to that router's host.
+/// Handles a request whose ticket another router incarnation minted: it is forwarded to that
+/// router's host, refused, or held until that incarnation is known.
 fn present_foreign(state: &mut CoreState, facts: &RequestFacts, minter: RouterIncarnation) {
     match find_minter(state, minter) {
         MinterPlace::Reachable(host) if !facts.forwarded => {
