--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -22,7 +22,7 @@
 
 /// Milliseconds after the last message from a connected router during which gossip that it is
 /// suspect or dead is not applied but sent on to that router, so that it can refute it.
-const FRESH_MS: u64 = 500;
+const RECENT_CONTACT_MS: u64 = 500;
 
 /// Handles the host list, connections, gossip and ticks.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
@@ -310,7 +310,7 @@
         .watches
         .get(host)
         .and_then(|watch| watch.heard_at);
-    heard_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(FRESH_MS))
+    heard_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(RECENT_CONTACT_MS))
 }
 
 fn take_newcomer(state: &mut CoreState, host: &HostName, told: MemberRank, news: &MemberNews) {
