--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -294,7 +294,7 @@
         }
         return;
     }
-    if row.connected && told.state != MemberState::Leaving && is_fresh(state, &host) {
+    if row.connected && told.state != MemberState::Leaving && heard_recently(state, &host) {
         let worse = told.state >= MemberState::Suspect;
         if worse {
             probing::tell(state, &host, news.clone());
@@ -304,7 +304,7 @@
     apply(state, from, &host, told, news);
 }
 
-fn is_fresh(state: &CoreState, host: &HostName) -> bool {
+fn heard_recently(state: &CoreState, host: &HostName) -> bool {
     let heard_at = state
         .detector
         .watches
