--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -401,7 +401,7 @@
     let first = state.detector.last_tick == Moment(0);
     state.detector.last_tick = now;
     if !first && passed > TimeSpan::from_millis(state.config.membership.pause_ms) {
-        forgive_pause(state);
+        restart_timeouts(state);
     }
     tell_own_change(state);
     let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
@@ -414,7 +414,7 @@
 
 /// Restarts all timeouts after this process was suspended. Nobody could reach it in that time, so
 /// a timeout that expired meanwhile says nothing about the other routers.
-fn forgive_pause(state: &mut CoreState) {
+fn restart_timeouts(state: &mut CoreState) {
     let now = state.now;
     state.detector.round = None;
     state.detector.strain();
