--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -403,7 +403,7 @@
     if !first && passed > TimeSpan::from_millis(state.config.membership.pause_ms) {
         restart_timeouts(state);
     }
-    tell_own_change(state);
+    announce_own_state(state);
     let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
     for host in pending {
         check_limits(state, &host);
@@ -426,7 +426,7 @@
     }
 }
 
-fn tell_own_change(state: &mut CoreState) {
+fn announce_own_state(state: &mut CoreState) {
     let host = state.identity.host.clone();
     let Some(own) = state.members.get(&host).map(|row| row.state) else {
         return;
