--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -281,7 +281,7 @@
         return;
     }
     let Some(row) = state.members.get(&host) else {
-        take_newcomer(state, &host, told, news);
+        add_member_from_gossip(state, &host, told, news);
         return;
     };
     let known = row.rank();
@@ -313,7 +313,12 @@
     heard_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(RECENT_CONTACT_MS))
 }
 
-fn take_newcomer(state: &mut CoreState, host: &HostName, told: MemberRank, news: &MemberNews) {
+fn add_member_from_gossip(
+    state: &mut CoreState,
+    host: &HostName,
+    told: MemberRank,
+    news: &MemberNews,
+) {
     let Ok(domain) = news.domain.parse() else {
         return;
     };
