--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -35,7 +35,7 @@
             incarnation,
             message,
         } => {
-            heard_from(state, from, *incarnation);
+            record_contact(state, from, *incarnation);
             if let Some(PeerBody::Gossip(ping)) = &message.body {
                 for news in &ping.news {
                     take_news(state, from, news);
@@ -230,7 +230,7 @@
     }
 }
 
-fn heard_from(state: &mut CoreState, host: &HostName, incarnation: RouterIncarnation) {
+fn record_contact(state: &mut CoreState, host: &HostName, incarnation: RouterIncarnation) {
     let now = state.now;
     let Some(row) = state.members.get(host) else {
         return;
