--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -38,7 +38,7 @@
             record_contact(state, from, *incarnation);
             if let Some(PeerBody::Gossip(ping)) = &message.body {
                 for news in &ping.news {
-                    take_news(state, from, news);
+                    handle_news(state, from, news);
                 }
             }
         }
@@ -262,7 +262,7 @@
     }
 }
 
-fn take_news(state: &mut CoreState, from: &HostName, news: &MemberNews) {
+fn handle_news(state: &mut CoreState, from: &HostName, news: &MemberNews) {
     let Ok(host) = news.host.parse::<HostName>() else {
         return;
     };
