--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -54,7 +54,7 @@
 }
 
 /// Marks a connection to a router as needed from now on, and dials it unless it was marked before.
-pub fn want(state: &mut CoreState, host: &HostName) {
+pub fn keep_connected(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     if state.detector.wanted.insert(host.clone(), now).is_some() {
         return;
@@ -150,7 +150,7 @@
         peer_opened(state, host, incarnation);
     }
     if is_small(state) {
-        want(state, host);
+        keep_connected(state, host);
         let connected = state.members.get(host).is_some_and(|row| row.connected);
         if !connected {
             state.detector.watch(host).lost_at = Some(now);
@@ -161,7 +161,7 @@
 
 fn redial(state: &mut CoreState, host: &HostName) {
     if state.detector.wanted.remove(host).is_some() {
-        want(state, host);
+        keep_connected(state, host);
     }
 }
 
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -127,7 +127,7 @@
             .filter(|owner| *owner != state.identity.host)
             .collect();
         for owner in owners {
-            membership::want(state, &owner);
+            membership::keep_connected(state, &owner);
         }
     }
     let limit = TimeSpan::from_millis(state.config.membership.idle_ms);
@@ -206,7 +206,7 @@
     let row = state.members.get(&target);
     let connected = row.is_some_and(|row| row.connected);
     let dead = row.is_some_and(|row| row.state == MemberState::Dead);
-    membership::want(state, &target);
+    membership::keep_connected(state, &target);
     if connected {
         let ping = GossipPing {
             step: PING,
