--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -266,7 +266,7 @@
     let Ok(host) = news.host.parse::<HostName>() else {
         return;
     };
-    let told = MemberRank {
+    let received = MemberRank {
         incarnation: RouterIncarnation(news.incarnation),
         refutation: news.refutation,
         state: match news.state {
@@ -277,31 +277,31 @@
         },
     };
     if host == state.identity.host {
-        refute(state, told);
+        refute(state, received);
         return;
     }
     let Some(row) = state.members.get(&host) else {
-        add_member_from_gossip(state, &host, told, news);
+        add_member_from_gossip(state, &host, received, news);
         return;
     };
     let known = row.rank();
-    if row.connected && known.is_some_and(|known| known.incarnation != told.incarnation) {
+    if row.connected && known.is_some_and(|known| known.incarnation != received.incarnation) {
         return;
     }
-    if known.is_some_and(|known| known.merge(told) == known) {
-        if known == Some(told) && told.state == MemberState::Suspect {
+    if known.is_some_and(|known| known.merge(received) == known) {
+        if known == Some(received) && received.state == MemberState::Suspect {
             state.detector.watch(&host).confirmers.insert(from.clone());
         }
         return;
     }
-    if row.connected && told.state != MemberState::Leaving && heard_recently(state, &host) {
-        let worse = told.state >= MemberState::Suspect;
+    if row.connected && received.state != MemberState::Leaving && heard_recently(state, &host) {
+        let worse = received.state >= MemberState::Suspect;
         if worse {
             probing::tell(state, &host, news.clone());
             return;
         }
     }
-    apply(state, from, &host, told, news);
+    apply(state, from, &host, received, news);
 }
 
 fn heard_recently(state: &CoreState, host: &HostName) -> bool {
@@ -316,19 +316,19 @@
 fn add_member_from_gossip(
     state: &mut CoreState,
     host: &HostName,
-    told: MemberRank,
+    received: MemberRank,
     news: &MemberNews,
 ) {
     let Ok(domain) = news.domain.parse() else {
         return;
     };
-    if told.state == MemberState::Dead {
+    if received.state == MemberState::Dead {
         return;
     }
     let entry = MemberEntry {
-        incarnation: Some(told.incarnation),
-        state: told.state,
-        refutation: told.refutation,
+        incarnation: Some(received.incarnation),
+        state: received.state,
+        refutation: received.refutation,
         address: news.address.as_str().into(),
         domain,
         connected: false,
@@ -337,7 +337,7 @@
     state.members.insert(host.clone(), entry);
     state.detector.rumors.add(host.clone());
     admit(state, host);
-    if told.state == MemberState::Suspect {
+    if received.state == MemberState::Suspect {
         suspect(state, host);
     }
 }
@@ -346,7 +346,7 @@
     state: &mut CoreState,
     from: &HostName,
     host: &HostName,
-    told: MemberRank,
+    received: MemberRank,
     news: &MemberNews,
 ) {
     let domain = news.domain.parse().ok();
@@ -355,9 +355,9 @@
         .get(host)
         .is_some_and(|row| !row.connected && row.address != news.address);
     state.members.change(host, |entry| {
-        entry.incarnation = Some(told.incarnation);
-        entry.refutation = told.refutation;
-        entry.state = told.state;
+        entry.incarnation = Some(received.incarnation);
+        entry.refutation = received.refutation;
+        entry.state = received.state;
         if moved {
             entry.address = news.address.as_str().into();
         }
@@ -369,7 +369,7 @@
     if moved {
         redial(state, host);
     }
-    match told.state {
+    match received.state {
         MemberState::Suspect => {
             suspect(state, host);
             state.detector.watch(host).confirmers.insert(from.clone());
@@ -385,17 +385,17 @@
 
 /// Refutes gossip that this router is suspect or dead by raising its refutation count, which
 /// overrides that gossip at all routers.
-fn refute(state: &mut CoreState, told: MemberRank) {
+fn refute(state: &mut CoreState, received: MemberRank) {
     let host = state.identity.host.clone();
     let Some(own) = state.members.get(&host).and_then(MemberEntry::rank) else {
         return;
     };
-    if told.incarnation != own.incarnation || told <= own {
+    if received.incarnation != own.incarnation || received <= own {
         return;
     }
     state
         .members
-        .change(&host, |entry| entry.refutation = told.refutation + 1);
+        .change(&host, |entry| entry.refutation = received.refutation + 1);
     state.detector.strain();
     state.detector.rumors.add(host);
 }
