--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -175,13 +175,13 @@
     }
     let before = state.members.get(host).and_then(MemberEntry::rank);
     state.members.change(host, |entry| {
-        let same_life = entry.incarnation == Some(incarnation);
-        if !same_life {
+        let same_incarnation = entry.incarnation == Some(incarnation);
+        if !same_incarnation {
             entry.refutation = 0;
         }
         // A process that leaves never returns to service: a connection that breaks and reopens
         // must not make it eligible for work again.
-        if !(same_life && entry.state == MemberState::Leaving) {
+        if !(same_incarnation && entry.state == MemberState::Leaving) {
             entry.state = MemberState::Alive;
         }
         entry.incarnation = Some(incarnation);
--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -140,8 +140,8 @@
     report: &DemandReport,
 ) -> bool {
     if let Some(member) = pool.members.get(from) {
-        let same_life = member.incarnation == incarnation;
-        if same_life && member.term >= report.term {
+        let same_incarnation = member.incarnation == incarnation;
+        if same_incarnation && member.term >= report.term {
             return member.term == report.term;
         }
         pool.drop_member(from);
