--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -127,7 +127,7 @@
                 reachable: true,
             };
             state.members.insert(router.host.clone(), entry);
-            admit(state, &router.host);
+            connect_new_member(state, &router.host);
             continue;
         };
         // The host was replaced and has a new address: dial that one. While a connection is open,
@@ -144,7 +144,7 @@
 
 /// Processes the connection that a new member may have opened before it was known and, in a small
 /// fleet, connects to it.
-fn admit(state: &mut CoreState, host: &HostName) {
+fn connect_new_member(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     if let Some(incarnation) = state.detector.strangers.remove(host) {
         peer_opened(state, host, incarnation);
@@ -336,7 +336,7 @@
     };
     state.members.insert(host.clone(), entry);
     state.detector.rumors.add(host.clone());
-    admit(state, host);
+    connect_new_member(state, host);
     if received.state == MemberState::Suspect {
         suspect(state, host);
     }
