--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -374,7 +374,7 @@
             suspect(state, host);
             state.detector.watch(host).confirmers.insert(from.clone());
         }
-        MemberState::Dead => note_dead(state, host),
+        MemberState::Dead => mark_dead(state, host),
         MemberState::Alive | MemberState::Leaving => {
             let heard_at = state.detector.watch(host).heard_at;
             clear_suspicion(state, host);
@@ -463,7 +463,7 @@
             .members
             .change(host, |entry| entry.state = MemberState::Dead);
         state.detector.rumors.add(host.clone());
-        note_dead(state, host);
+        mark_dead(state, host);
     }
     let limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
     if lost_at.is_some_and(|since| now.since(since) >= limit) {
@@ -476,7 +476,7 @@
     }
 }
 
-fn note_dead(state: &mut CoreState, host: &HostName) {
+fn mark_dead(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     let watch = state.detector.watch(host);
     watch.suspect_since = None;
