--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -411,7 +411,7 @@
     announce_own_state(state);
     let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
     for host in pending {
-        check_limits(state, &host);
+        check_timeouts(state, &host);
     }
     probing::keep_connections(state);
     forget_dead(state);
@@ -443,7 +443,7 @@
     }
 }
 
-fn check_limits(state: &mut CoreState, host: &HostName) {
+fn check_timeouts(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     let config = &state.config.membership;
     let patience = state.detector.patience();
