--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -37,7 +37,7 @@
         } => take_load(state, *endpoint, *active, *fence),
         CoreEvent::Message { message, .. } => {
             if let Some(PeerBody::Wish(wish)) = &message.body {
-                consider(state, wish);
+                decide_on_wish(state, wish);
             }
         }
         CoreEvent::Tick => tick(state),
@@ -241,7 +241,7 @@
 }
 
 /// Decides on another owner's wish for an endpoint of a pool that this router owns.
-fn consider(state: &mut CoreState, wish: &EndpointWish) {
+fn decide_on_wish(state: &mut CoreState, wish: &EndpointWish) {
     let (endpoint, pool) = (EndpointId(wish.endpoint), PoolId(wish.pool));
     let Some(active) = active_pool(state, endpoint) else {
         return;
