--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -252,7 +252,7 @@
         && can_serve(state, endpoint, pool)
         && !state.orders.open.contains_key(&endpoint)
         && state.orders.is_settled(endpoint, state.now, residence)
-        && is_worth_it(state, endpoint, active, wish);
+        && is_transfer_justified(state, endpoint, active, wish);
     if !may {
         return;
     }
@@ -267,7 +267,7 @@
 /// Returns true if the requesting pool has much more demand per slot than the giving one, and still
 /// no less of it after the change. The second condition keeps the endpoint from being requested
 /// back.
-fn is_worth_it(
+fn is_transfer_justified(
     state: &CoreState,
     endpoint: EndpointId,
     active: PoolId,
