--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -98,7 +98,7 @@
     orders
         .budget
         .refill(now, state.config.orders.loads_per_minute);
-    note_owned(state);
+    track_ownership(state);
     repeat_orders(state);
     let scarce: Vec<PoolId> = state.orders.scarce_since.keys().copied().collect();
     for pool in scarce {
@@ -106,7 +106,7 @@
     }
 }
 
-fn note_owned(state: &mut CoreState) {
+fn track_ownership(state: &mut CoreState) {
     let now = state.now;
     let me = &state.identity.host;
     let members = &state.members;
