--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -143,7 +143,7 @@
         let Some(active) = active_pool(state, endpoint) else {
             continue;
         };
-        if is_trusted_owner(state, active) {
+        if has_owned_long_enough(state, active) {
             send_order(state, endpoint, order.pool, order);
         } else {
             state.orders.open.remove(&endpoint);
@@ -170,7 +170,7 @@
 
 /// Returns true if this router has owned the pool for longer than a previous owner can wrongly
 /// believe that it still does.
-fn is_trusted_owner(state: &CoreState, pool: PoolId) -> bool {
+fn has_owned_long_enough(state: &CoreState, pool: PoolId) -> bool {
     let belief = TimeSpan::from_millis(state.config.orders.belief_ms);
     let since = state.orders.owner_since.get(&pool);
     since.is_some_and(|since| state.now.since(*since) >= belief)
@@ -248,7 +248,7 @@
     };
     let residence = TimeSpan::from_millis(state.config.orders.residence_ms);
     let may = active != pool
-        && is_trusted_owner(state, active)
+        && has_owned_long_enough(state, active)
         && can_serve(state, endpoint, pool)
         && !state.orders.open.contains_key(&endpoint)
         && state.orders.is_settled(endpoint, state.now, residence)
