--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -300,7 +300,7 @@
     let foreign = reported != 0 && tag_of(reported) != fence_tag(life);
     let takeover = TimeSpan::from_millis(state.config.orders.takeover_ms);
     let waited = seen.is_none_or(|seen| state.now.since(seen.since) >= takeover);
-    if foreign && !waited && !is_live_holder(state, tag_of(reported)) {
+    if foreign && !waited && !is_fence_holder_alive(state, tag_of(reported)) {
         return None;
     }
     Some(OpenOrder {
@@ -312,7 +312,7 @@
 
 /// Returns true if the router that gave the last order is seen alive. It has then handed the
 /// endpoint over, or else it would still own the pool that the endpoint serves.
-fn is_live_holder(state: &CoreState, tag: u32) -> bool {
+fn is_fence_holder_alive(state: &CoreState, tag: u32) -> bool {
     state.members.iter().any(|(host, row)| {
         let holds = row.incarnation.is_some_and(|life| fence_tag(life) == tag);
         holds && state.members.is_live(host)
