--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -75,8 +75,8 @@
         *seen = SeenFence { fence, since };
     }
     // The order was followed, or superseded by a higher fencing number; there is nothing to repeat.
-    let beaten = seen.fence;
-    let is_over = |order: &OpenOrder| order.pool == active || order.fence.0 < beaten;
+    let highest_fence = seen.fence;
+    let is_over = |order: &OpenOrder| order.pool == active || order.fence.0 < highest_fence;
     if orders.open.get(&endpoint).is_some_and(is_over) {
         orders.open.remove(&endpoint);
     }
