--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -296,8 +296,8 @@
     let seen = state.orders.fences.get(&endpoint).copied();
     let seen = seen.filter(|_| entry.fence_check == FenceCheck::Checked);
     let reported = seen.map_or(0, |seen| seen.fence);
-    let life = state.identity.incarnation;
-    let foreign = reported != 0 && tag_of(reported) != fence_tag(life);
+    let incarnation = state.identity.incarnation;
+    let foreign = reported != 0 && tag_of(reported) != fence_tag(incarnation);
     let takeover = TimeSpan::from_millis(state.config.orders.takeover_ms);
     let waited = seen.is_none_or(|seen| state.now.since(seen.since) >= takeover);
     if foreign && !waited && !is_fence_holder_alive(state, tag_of(reported)) {
@@ -305,7 +305,7 @@
     }
     Some(OpenOrder {
         pool,
-        fence: next_fence(state.catalog.revision, reported, life),
+        fence: next_fence(state.catalog.revision, reported, incarnation),
         sent_at: Moment(0),
     })
 }
@@ -314,7 +314,9 @@
 /// endpoint over, or else it would still own the pool that the endpoint serves.
 fn is_fence_holder_alive(state: &CoreState, tag: u32) -> bool {
     state.members.iter().any(|(host, row)| {
-        let holds = row.incarnation.is_some_and(|life| fence_tag(life) == tag);
+        let holds = row
+            .incarnation
+            .is_some_and(|incarnation| fence_tag(incarnation) == tag);
         holds && state.members.is_live(host)
     })
 }
