--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -16,7 +16,7 @@
 use self::levels::level_accounts;
 use self::targets::set_limits;
 use self::targets::set_targets;
-use self::telling::tell_members;
+use self::telling::send_allotments;
 use crate::core::event::CoreEvent;
 use crate::core::state::CoreState;
 use crate::core::systems::limits;
@@ -283,6 +283,6 @@
     }
     grant_vacant(&mut pool, spread);
     grant_leftover(&mut pool);
-    tell_members(state, pool_id, &mut pool);
+    send_allotments(state, pool_id, &mut pool);
     state.owned.insert(pool_id, pool);
 }
--- a/src/core/systems/ownership/telling.rs
+++ b/src/core/systems/ownership/telling.rs
@@ -16,7 +16,7 @@
 use crate::wire::PeerBody;
 use crate::wire::allotment::SlotAllotment;
 
-pub(super) fn tell_members(state: &mut CoreState, pool_id: PoolId, pool: &mut OwnedPool) {
+pub(super) fn send_allotments(state: &mut CoreState, pool_id: PoolId, pool: &mut OwnedPool) {
     let now = state.now;
     let refresh = TimeSpan::from_millis(state.config.ownership.refresh_ms);
     let epoch = epoch_of(state.identity.incarnation);
