--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -13,7 +13,7 @@
 use self::grants::grant_leftover;
 use self::grants::grant_vacant;
 use self::levels::advance_clock;
-use self::levels::level_accounts;
+use self::levels::update_accounts;
 use self::targets::set_limits;
 use self::targets::set_targets;
 use self::telling::send_allotments;
@@ -274,7 +274,7 @@
     pool.urgent = false;
     advance_clock(state, &mut pool, passed);
     let demands = pool.team_demands();
-    level_accounts(state, &mut pool, &demands);
+    update_accounts(state, &mut pool, &demands);
     set_targets(state, &mut pool, &demands);
     let refresh = TimeSpan::from_millis(state.config.ownership.refresh_ms);
     let spread = now.since(pool.spread_at) >= refresh;
--- a/src/core/systems/ownership/levels.rs
+++ b/src/core/systems/ownership/levels.rs
@@ -47,7 +47,7 @@
 }
 
 /// Raises the virtual time of teams that begin to wait to the clock, and clamps leads and lags.
-pub(super) fn level_accounts(
+pub(super) fn update_accounts(
     state: &CoreState,
     pool: &mut OwnedPool,
     demands: &BTreeMap<TeamId, TeamDemand>,
