--- a/src/core/systems/ownership/levels.rs
+++ b/src/core/systems/ownership/levels.rs
@@ -10,7 +10,7 @@
 use crate::units::TimeSpan;
 
 /// Seconds over which the speed of a pool's clock is smoothed.
-const PACE_MEMORY_S: f64 = 5.0;
+const CLOCK_SMOOTHING_S: f64 = 5.0;
 /// Time for which a team must have waited to count for the pool's clock.
 const LASTING_WAIT: TimeSpan = TimeSpan::from_millis(1_000);
 /// Smallest factor by which a lead reduces a team's share.
@@ -42,7 +42,7 @@
     let step = (times / shares).max(0.0);
     pool.clock += step as i64;
     let seconds = passed.0 as f64 / 1e6;
-    let part = (seconds / PACE_MEMORY_S).min(1.0);
+    let part = (seconds / CLOCK_SMOOTHING_S).min(1.0);
     pool.pace += (step / seconds - pool.pace) * part;
 }
 
