--- a/src/core/systems/ownership/levels.rs
+++ b/src/core/systems/ownership/levels.rs
@@ -12,14 +12,14 @@
 /// Seconds over which the speed of a pool's clock is smoothed.
 const CLOCK_SMOOTHING_S: f64 = 5.0;
 /// Time for which a team must have waited to count for the pool's clock.
-const LASTING_WAIT: TimeSpan = TimeSpan::from_millis(1_000);
+const BACKLOGGED_AFTER: TimeSpan = TimeSpan::from_millis(1_000);
 /// Smallest factor by which a lead reduces a team's share.
 const LEAST_FACTOR: f64 = 0.25;
 /// Largest factor by which a lag increases a team's share.
 const MOST_FACTOR: f64 = 2.0;
 
 /// Advances the pool's clock to the mean virtual time, weighted by share, of the teams that have
-/// waited for at least `LASTING_WAIT`. Teams that wait only for moments would hold it back: they
+/// waited for at least `BACKLOGGED_AFTER`. Teams that wait only for moments would hold it back: they
 /// are served at once and their virtual time grows little.
 #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
 pub(super) fn advance_clock(state: &CoreState, pool: &mut OwnedPool, passed: TimeSpan) {
@@ -29,7 +29,7 @@
     for (team, account) in &pool.accounts {
         let lasts = account
             .waits_since
-            .is_some_and(|since| now.since(since) >= LASTING_WAIT);
+            .is_some_and(|since| now.since(since) >= BACKLOGGED_AFTER);
         if lasts {
             let share = f64::from(state.catalog.share_of(*team).0);
             shares += share;
