--- a/src/core/systems/ownership/levels.rs
+++ b/src/core/systems/ownership/levels.rs
@@ -16,7 +16,7 @@
 /// Smallest factor by which a lead reduces a team's share.
 const MIN_WEIGHT_FACTOR: f64 = 0.25;
 /// Largest factor by which a lag increases a team's share.
-const MOST_FACTOR: f64 = 2.0;
+const MAX_WEIGHT_FACTOR: f64 = 2.0;
 
 /// Advances the pool's clock to the mean virtual time, weighted by share, of the teams that have
 /// waited for at least `BACKLOGGED_AFTER`. Teams that wait only for moments would hold it back: they
@@ -84,5 +84,5 @@
     let lead = (time - pool.clock) as f64;
     let correction = state.config.ownership.correction_ms as f64 / 1e3;
     let ahead = lead / (pool.pace * correction).max(1.0);
-    share * (1.0 - ahead).clamp(MIN_WEIGHT_FACTOR, MOST_FACTOR)
+    share * (1.0 - ahead).clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR)
 }
