--- a/src/core/systems/ownership/targets.rs
+++ b/src/core/systems/ownership/targets.rs
@@ -81,13 +81,13 @@
         })
         .collect();
     let targets = round_shares(total, &wishes);
-    let needy = pool.members.values().any(|member| {
+    let slots_needed = pool.members.values().any(|member| {
         let running = member.demand() - member.waiting();
         member.waiting() > 0 && member.held <= running
     });
     for (member, target) in pool.members.values_mut().zip(targets) {
         // While no router lacks slots, none are asked back, so that an idle pool costs no messages.
-        let target = if needy || pool.scarce || member.draining {
+        let target = if slots_needed || pool.scarce || member.draining {
             target
         } else {
             target.max(member.held)
