--- a/src/core/systems/ownership/levels.rs
+++ b/src/core/systems/ownership/levels.rs
@@ -53,7 +53,7 @@
     demands: &BTreeMap<TeamId, TeamDemand>,
 ) {
     // While no team waits, no team is owed service: all are reset to the clock.
-    let quiet = demands.values().all(|demand| demand.waiting == 0);
+    let none_waiting = demands.values().all(|demand| demand.waiting == 0);
     let (now, clock) = (state.now, pool.clock);
     let debt = i64::try_from(state.config.ownership.debt_units).unwrap_or(i64::MAX);
     for (team, demand) in demands {
@@ -64,7 +64,7 @@
         if waits && !waited {
             account.time = account.time.max(clock);
         }
-        if quiet {
+        if none_waiting {
             account.time = clock;
         }
         // After a partition, an unbounded lead would starve its team, and an unbounded lag would
