--- a/src/core/systems/ownership/targets.rs
+++ b/src/core/systems/ownership/targets.rs
@@ -72,7 +72,7 @@
     for member in pool.members.values_mut() {
         member.quotas = member_quotas(member, &shares, &demands);
     }
-    let wishes: Vec<f64> = pool
+    let ideal_targets: Vec<f64> = pool
         .members
         .values()
         .map(|member| {
@@ -80,7 +80,7 @@
             spare + member.quotas.values().sum::<f64>()
         })
         .collect();
-    let targets = round_shares(total, &wishes);
+    let targets = round_shares(total, &ideal_targets);
     let slots_needed = pool.members.values().any(|member| {
         let running = member.demand() - member.waiting();
         member.waiting() > 0 && member.held <= running
