--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -114,7 +114,7 @@
         return;
     };
     if fresh {
-        let charges = take_teams(pool, from, report);
+        let charges = record_demand(pool, from, report);
         for (team, charge) in charges {
             let share = catalog.share_of(team);
             pool.accounts.entry(team).or_default().time += virtual_time(charge, share);
@@ -183,7 +183,11 @@
 }
 
 /// Records the demand of each team and returns what was newly charged, in service units.
-fn take_teams(pool: &mut OwnedPool, from: &HostName, report: &DemandReport) -> Vec<(TeamId, i64)> {
+fn record_demand(
+    pool: &mut OwnedPool,
+    from: &HostName,
+    report: &DemandReport,
+) -> Vec<(TeamId, i64)> {
     let Some(member) = pool.members.get_mut(from) else {
         return Vec::new();
     };
