--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -106,7 +106,7 @@
         member.heard_at = now;
         member.draining = report.draining;
     }
-    take_slots(pool, from, report);
+    record_slots(pool, from, report);
     if fresh {
         limits::take_pressure(state, from, report);
     }
@@ -168,7 +168,7 @@
 
 /// Records the slot counts of a report. Counts of returned slots only grow, so even an old report
 /// can be applied.
-fn take_slots(pool: &mut OwnedPool, from: &HostName, report: &DemandReport) {
+fn record_slots(pool: &mut OwnedPool, from: &HostName, report: &DemandReport) {
     let rows = report
         .endpoints
         .iter()
