--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -45,7 +45,7 @@
             message,
         } => {
             if let Some(PeerBody::Demand(report)) = &message.body {
-                take_report(state, from, *incarnation, report);
+                handle_report(state, from, *incarnation, report);
                 share_out_if_due(state, PoolId(report.pool));
             }
         }
@@ -75,7 +75,7 @@
     }
 }
 
-fn take_report(
+fn handle_report(
     state: &mut CoreState,
     from: &HostName,
     incarnation: RouterIncarnation,
