--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -93,7 +93,7 @@
         .owned
         .entry(PoolId(report.pool))
         .or_insert_with(|| OwnedPool::new(settles_at));
-    if !follow_term(pool, from, incarnation, report) {
+    if !sync_term(pool, from, incarnation, report) {
         ask_restart(state, from, incarnation, report);
         return;
     }
@@ -133,7 +133,7 @@
 /// router numbers its starts as terms: a report of a later term replaces the claim, a report of an
 /// earlier term is late and dropped, and counts whose start is missing make the owner ask for a new
 /// term.
-fn follow_term(
+fn sync_term(
     pool: &mut OwnedPool,
     from: &HostName,
     incarnation: RouterIncarnation,
