--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -94,7 +94,7 @@
         .entry(PoolId(report.pool))
         .or_insert_with(|| OwnedPool::new(settles_at));
     if !sync_term(pool, from, incarnation, report) {
-        ask_restart(state, from, incarnation, report);
+        request_restart(state, from, incarnation, report);
         return;
     }
     let member = pool.claim_of(from, incarnation);
@@ -149,7 +149,7 @@
     report.acked == 0
 }
 
-fn ask_restart(
+fn request_restart(
     state: &mut CoreState,
     from: &HostName,
     incarnation: RouterIncarnation,
