--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -120,7 +120,7 @@
             pool.accounts.entry(team).or_default().time += virtual_time(charge, share);
         }
     }
-    note_urgency(pool, from);
+    update_urgency(pool, from);
 }
 
 /// Prepares the entry router's claim for the term of a report; returns false if the counts of the
@@ -215,7 +215,7 @@
 }
 
 /// Schedules an early reallocation if it could give slots to waiting requests.
-fn note_urgency(pool: &mut OwnedPool, from: &HostName) {
+fn update_urgency(pool: &mut OwnedPool, from: &HostName) {
     let Some(member) = pool.members.get(from) else {
         return;
     };
