--- a/src/core/systems/ownership/telling.rs
+++ b/src/core/systems/ownership/telling.rs
@@ -71,7 +71,7 @@
         acked: member.report_seen,
         target: member.target,
         scarce,
-        clock: steps(clock),
+        clock: to_lead_steps(clock),
         ..SlotAllotment::default()
     };
     for (endpoint, claim) in &member.slots {
@@ -91,6 +91,6 @@
     allotment
 }
 
-fn steps(time: i64) -> u64 {
+fn to_lead_steps(time: i64) -> u64 {
     u64::try_from(time / LEAD_STEP).unwrap_or(0)
 }
