--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -128,7 +128,7 @@
 ///
 /// A router that first reads the incarnation after a loss there may get the one that follows the
 /// crash, and then can't distinguish the crash from a network failure.
-pub fn learn_life(state: &mut CoreState, endpoint: EndpointId) {
+pub fn watch_first_incarnation(state: &mut CoreState, endpoint: EndpointId) {
     if life_of(state, endpoint) == 0 {
         limits::watch_load(state, endpoint, LoadWatcher::FirstLife, true);
     }
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -108,7 +108,7 @@
     if super::life_of(state, endpoint) != 0 {
         return true;
     }
-    super::learn_life(state, endpoint);
+    super::watch_first_incarnation(state, endpoint);
     let since = state.trials.isolated.get(&request);
     let waited = since.map_or(TimeSpan(0), |since| state.now.since(*since));
     waited >= super::check_window(state)
