--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -117,7 +117,7 @@
 
 fn endpoint_refused(state: &mut CoreState, endpoint: EndpointId) {
     let (now, window) = (state.now, evidence_window(state));
-    let life = life_of(state, endpoint);
+    let life = endpoint_incarnation(state, endpoint);
     let known = state.crashes.find_record(endpoint, life, now, window);
     if known.is_some() || state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, life, CrashProof::Seen);
@@ -129,17 +129,17 @@
 /// A router that first reads the incarnation after a loss there may get the one that follows the
 /// crash, and then can't distinguish the crash from a network failure.
 pub fn watch_first_incarnation(state: &mut CoreState, endpoint: EndpointId) {
-    if life_of(state, endpoint) == 0 {
+    if endpoint_incarnation(state, endpoint) == 0 {
         limits::watch_load(state, endpoint, LoadWatcher::FirstLife, true);
     }
 }
 
-fn life_of(state: &CoreState, endpoint: EndpointId) -> u64 {
+fn endpoint_incarnation(state: &CoreState, endpoint: EndpointId) -> u64 {
     state.endpoints.get(endpoint).map_or(0, |row| row.life)
 }
 
 fn incarnation_seen(state: &mut CoreState, endpoint: EndpointId, life: u64) {
-    let before = life_of(state, endpoint);
+    let before = endpoint_incarnation(state, endpoint);
     limits::watch_load(state, endpoint, LoadWatcher::FirstLife, false);
     if before == 0 && state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, 0, CrashProof::Lacking);
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -105,7 +105,7 @@
 /// that it could not distinguish a crash there from a network failure. An endpoint that reports no
 /// incarnation delays a suspect for `check_ms` at most.
 fn knows_life(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
-    if super::life_of(state, endpoint) != 0 {
+    if super::endpoint_incarnation(state, endpoint) != 0 {
         return true;
     }
     super::watch_first_incarnation(state, endpoint);
