--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -76,7 +76,7 @@
         return None;
     }
     let endpoint = place_for(state, pool_id, fingerprint)?;
-    let is_known = knows_life(state, request, endpoint);
+    let is_known = knows_incarnation(state, request, endpoint);
     if !is_known || super::is_in_doubt(state, fingerprint) {
         return None;
     }
@@ -104,7 +104,7 @@
 /// Returns true once this router knows an incarnation of the endpoint chosen for a suspect; before
 /// that it could not distinguish a crash there from a network failure. An endpoint that reports no
 /// incarnation delays a suspect for `check_ms` at most.
-fn knows_life(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
+fn knows_incarnation(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
     if super::endpoint_incarnation(state, endpoint) != 0 {
         return true;
     }
