--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -110,7 +110,7 @@
     } else {
         state.crashes.note_loss(endpoint, fingerprint, now);
         state.crashes.untold_losses.insert(fingerprint);
-        set_apart(state, &[fingerprint].into());
+        isolate_queued(state, &[fingerprint].into());
         limits::watch_load(state, endpoint, LoadWatcher::CrashCheck, true);
     }
 }
@@ -201,7 +201,7 @@
             refuse_everywhere(state, *fingerprint);
         }
     }
-    set_apart(state, fingerprints);
+    isolate_queued(state, fingerprints);
 }
 
 fn refuse_everywhere(state: &mut CoreState, fingerprint: RequestFingerprint) {
@@ -226,7 +226,7 @@
 }
 
 /// Moves the requests queued here with these fingerprints out of the common queue into isolation.
-fn set_apart(state: &mut CoreState, fingerprints: &BTreeSet<RequestFingerprint>) {
+fn isolate_queued(state: &mut CoreState, fingerprints: &BTreeSet<RequestFingerprint>) {
     if fingerprints.is_empty() {
         return;
     }
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -123,7 +123,7 @@
     for fingerprint in lost {
         state.crashes.note_told_loss(*fingerprint, state.now);
     }
-    super::set_apart(state, lost);
+    super::isolate_queued(state, lost);
 }
 
 /// Sends the refusal again to a router that still treats a refused request as a suspect. That
