--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -134,7 +134,7 @@
     };
     entry.stage = RequestStage::Waiting;
     let (team, pool_id, urgency) = (entry.facts.team, entry.facts.pool, entry.urgency);
-    if quarantine::isolates(state, request) {
+    if quarantine::isolate_if_suspect(state, request) {
         return;
     }
     let Some(pool) = state.entries.get_mut(&pool_id) else {
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -270,7 +270,7 @@
 
 /// Isolates a request that is about to be queued if it is a suspect or a copy of it was just lost;
 /// returns true if so.
-pub fn isolates(state: &mut CoreState, request: RequestId) -> bool {
+pub fn isolate_if_suspect(state: &mut CoreState, request: RequestId) -> bool {
     let suspect = state
         .requests
         .get(request)
