--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -222,7 +222,7 @@
             .requests
             .get(request)
             .is_some_and(|entry| entry.stage == RequestStage::Backoff(until));
-        if waits && quarantine::awaits_sign(state, request) {
+        if waits && quarantine::awaits_crash_check(state, request) {
             back_off(state, request, 0);
         } else if waits {
             admission::enqueue_first(state, request);
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -257,7 +257,7 @@
 /// Returns true while it is not known whether the endpoint that lost a request's last attempt
 /// crashed. A retry before that could crash the next endpoint before any request is a suspect.
 #[must_use]
-pub fn awaits_sign(state: &CoreState, request: RequestId) -> bool {
+pub fn awaits_crash_check(state: &CoreState, request: RequestId) -> bool {
     let entry = state.requests.get(request);
     let Some(endpoint) = entry.and_then(|entry| entry.last_endpoint) else {
         return false;
