--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -172,7 +172,7 @@
     if proof == CrashProof::Seen {
         let config = &state.config.quarantine;
         for fingerprint in state.crashes.prove(number, now, config) {
-            refuse_everywhere(state, fingerprint);
+            refuse_fleet_wide(state, fingerprint);
         }
     }
     number
@@ -198,13 +198,13 @@
         let config = &state.config.quarantine;
         let now = state.now;
         if state.crashes.add_suspect(number, *fingerprint, now, config) {
-            refuse_everywhere(state, *fingerprint);
+            refuse_fleet_wide(state, *fingerprint);
         }
     }
     isolate_queued(state, fingerprints);
 }
 
-fn refuse_everywhere(state: &mut CoreState, fingerprint: RequestFingerprint) {
+fn refuse_fleet_wide(state: &mut CoreState, fingerprint: RequestFingerprint) {
     state.crashes.untold_refusals.insert(fingerprint);
     refuse_waiting(state, fingerprint);
 }
