--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -50,7 +50,7 @@
         CoreEvent::EndpointLoad { endpoint, life, .. } => incarnation_seen(state, *endpoint, *life),
         CoreEvent::Message { from, message, .. } => {
             if let Some(PeerBody::Quarantine(notice)) = &message.body {
-                notices::take_notice(state, from, notice);
+                notices::handle_notice(state, from, notice);
             }
         }
         CoreEvent::Tick => {
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -80,7 +80,7 @@
 }
 
 /// Handles a notice from another router, or from this one in its role as the home of a fingerprint.
-pub fn take_notice(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
+pub fn handle_notice(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
     let suspects = fingerprints(&notice.fingerprints);
     remind(state, from, &suspects);
     remind(state, from, &fingerprints(&notice.wanted));
