--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -54,7 +54,7 @@
             }
         }
         CoreEvent::Tick => {
-            notices::tell_peers(state);
+            notices::send_notices(state);
             trials::tell_ended(state);
             trials::start_isolated(state);
             forget_old(state);
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -19,7 +19,7 @@
 /// Sends one notice for each crash with new suspects, and one for all other changes, to each live
 /// router. Notices are not passed on, so one crash costs at most two notices for each pair of
 /// routers and tick in which attempts were lost.
-pub fn tell_peers(state: &mut CoreState) {
+pub fn send_notices(state: &mut CoreState) {
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
         refused: numbers(std::mem::take(&mut state.crashes.untold_refusals)),
