--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -82,8 +82,8 @@
 /// Handles a notice from another router, or from this one in its role as the home of a fingerprint.
 pub fn handle_notice(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
     let suspects = fingerprints(&notice.fingerprints);
-    remind(state, from, &suspects);
-    remind(state, from, &fingerprints(&notice.wanted));
+    resend_refusals(state, from, &suspects);
+    resend_refusals(state, from, &fingerprints(&notice.wanted));
     take_crash(state, notice, &suspects);
     for fingerprint in fingerprints(&notice.innocent) {
         state.crashes.clear(fingerprint);
@@ -129,7 +129,11 @@
 /// Sends the refusal again to a router that still treats a refused request as a suspect. That
 /// router had restarted, or was disconnected, when the refusal was sent, and would let the request
 /// crash more endpoints.
-fn remind(state: &mut CoreState, from: &HostName, suspects: &BTreeSet<RequestFingerprint>) {
+fn resend_refusals(
+    state: &mut CoreState,
+    from: &HostName,
+    suspects: &BTreeSet<RequestFingerprint>,
+) {
     let refused: Vec<u64> = suspects
         .iter()
         .filter(|suspect| state.crashes.refused_until(**suspect, state.now).is_some())
