--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -14,7 +14,7 @@
 
 /// Lost requests named in one notice at most, so that the message stays bounded when a link breaks
 /// while an endpoint runs many requests. The rest follows in the next ticks.
-const MOST_LOST_TOLD: usize = 64;
+const MAX_LOSSES_PER_NOTICE: usize = 64;
 
 /// Sends one notice for each crash with new suspects, and one for all other changes, to each live
 /// router. Notices are not passed on, so one crash costs at most two notices for each pair of
@@ -60,7 +60,7 @@
 }
 
 fn take_some(fingerprints: &mut BTreeSet<RequestFingerprint>) -> Vec<u64> {
-    let rest = fingerprints.iter().nth(MOST_LOST_TOLD).copied();
+    let rest = fingerprints.iter().nth(MAX_LOSSES_PER_NOTICE).copied();
     let rest = rest.map_or_else(BTreeSet::new, |first| fingerprints.split_off(&first));
     numbers(std::mem::replace(fingerprints, rest))
 }
