--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -24,7 +24,7 @@
     let others = QuarantineNotice {
         refused: numbers(std::mem::take(&mut state.crashes.untold_refusals)),
         innocent: numbers(std::mem::take(&mut state.crashes.untold_innocents)),
-        lost: take_some(&mut state.crashes.untold_losses),
+        lost: take_batch(&mut state.crashes.untold_losses),
         ..QuarantineNotice::default()
     };
     if others != QuarantineNotice::default() {
@@ -59,7 +59,7 @@
         .collect()
 }
 
-fn take_some(fingerprints: &mut BTreeSet<RequestFingerprint>) -> Vec<u64> {
+fn take_batch(fingerprints: &mut BTreeSet<RequestFingerprint>) -> Vec<u64> {
     let rest = fingerprints.iter().nth(MAX_LOSSES_PER_NOTICE).copied();
     let rest = rest.map_or_else(BTreeSet::new, |first| fingerprints.split_off(&first));
     numbers(std::mem::replace(fingerprints, rest))
