--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -95,7 +95,7 @@
         }
     }
     take_losses(state, &fingerprints(&notice.lost));
-    trials::take_asks(state, from, notice);
+    trials::handle_lease_requests(state, from, notice);
     trials::take_answers(state, notice);
 }
 
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -161,7 +161,7 @@
 }
 
 /// Handles returned and requested leases to run copies, as the home of their fingerprints.
-pub fn take_asks(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
+pub fn handle_lease_requests(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
     let span = super::check_window(state);
     for fingerprint in notice.ended.iter().copied().map(RequestFingerprint) {
         state.trials.give_back(fingerprint, from);
