--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -96,7 +96,7 @@
     }
     take_losses(state, &fingerprints(&notice.lost));
     trials::handle_lease_requests(state, from, notice);
-    trials::take_answers(state, notice);
+    trials::handle_lease_answers(state, notice);
 }
 
 fn take_crash(
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -185,7 +185,7 @@
 }
 
 /// Records which leases homes granted or withheld.
-pub fn take_answers(state: &mut CoreState, notice: &QuarantineNotice) {
+pub fn handle_lease_answers(state: &mut CoreState, notice: &QuarantineNotice) {
     let span = super::check_window(state);
     let lent = notice.lent.iter().map(|lent| (*lent, true));
     let withheld = notice.withheld.iter().map(|held| (*held, false));
