--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -55,7 +55,7 @@
         }
         CoreEvent::Tick => {
             notices::send_notices(state);
-            trials::tell_ended(state);
+            trials::report_ended_copies(state);
             trials::start_isolated(state);
             forget_old(state);
         }
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -21,7 +21,7 @@
 
 /// Reports to the homes which copies ended. The loss of a copy is sent one tick earlier, so that no
 /// home grants the lease for the next copy before it knows of the loss.
-pub fn tell_ended(state: &mut CoreState) {
+pub fn report_ended_copies(state: &mut CoreState) {
     let ended = state.trials.take_ended();
     tell_homes(state, ended, |notice, fingerprint| {
         notice.ended.push(fingerprint.0);
