--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -23,7 +23,7 @@
 /// home grants the lease for the next copy before it knows of the loss.
 pub fn report_ended_copies(state: &mut CoreState) {
     let ended = state.trials.take_ended();
-    tell_homes(state, ended, |notice, fingerprint| {
+    notify_homes(state, ended, |notice, fingerprint| {
         notice.ended.push(fingerprint.0);
     });
     for (endpoint, trial) in state.trials.running().collect::<Vec<_>>() {
@@ -51,7 +51,7 @@
             asked.insert(fingerprint);
         }
     }
-    tell_homes(state, asked, |notice, fingerprint| {
+    notify_homes(state, asked, |notice, fingerprint| {
         notice.wanted.push(fingerprint.0);
     });
 }
@@ -143,7 +143,7 @@
 }
 
 /// Sends one notice to each home about the fingerprints that it manages.
-fn tell_homes(
+fn notify_homes(
     state: &mut CoreState,
     fingerprints: BTreeSet<RequestFingerprint>,
     add: impl Fn(&mut QuarantineNotice, RequestFingerprint),
