--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -47,7 +47,7 @@
     let mut asked: BTreeSet<RequestFingerprint> =
         state.trials.renewals(state.now, span).into_iter().collect();
     for request in state.trials.isolated.keys().copied().collect::<Vec<_>>() {
-        if let Some(fingerprint) = start_or_ask(state, request) {
+        if let Some(fingerprint) = start_or_request_lease(state, request) {
             asked.insert(fingerprint);
         }
     }
@@ -57,7 +57,7 @@
 }
 
 /// Starts a suspect if it may start; returns its fingerprint if its home must be asked for a lease.
-fn start_or_ask(state: &mut CoreState, request: RequestId) -> Option<RequestFingerprint> {
+fn start_or_request_lease(state: &mut CoreState, request: RequestId) -> Option<RequestFingerprint> {
     let Some(entry) = state.requests.get(request) else {
         state.trials.isolated.remove(&request);
         return None;
