--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -75,7 +75,7 @@
         super::refuse_waiting(state, fingerprint);
         return None;
     }
-    let endpoint = place_for(state, pool_id, fingerprint)?;
+    let endpoint = endpoint_for(state, pool_id, fingerprint)?;
     let is_known = knows_incarnation(state, request, endpoint);
     if !is_known || super::is_in_doubt(state, fingerprint) {
         return None;
@@ -114,7 +114,7 @@
     waited >= super::check_window(state)
 }
 
-fn place_for(
+fn endpoint_for(
     state: &CoreState,
     pool_id: PoolId,
     fingerprint: RequestFingerprint,
