--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -176,7 +176,7 @@
 /// router's host, refused, or held until that incarnation is known.
 fn present_foreign(state: &mut CoreState, facts: &RequestFacts, minter: RouterIncarnation) {
     match find_minter(state, minter) {
-        MinterPlace::Reachable(host) if !facts.forwarded => {
+        MinterLookup::Reachable(host) if !facts.forwarded => {
             state.act(CoreAction::Forward {
                 request: facts.request,
                 host,
@@ -184,8 +184,8 @@
         }
         // A forwarded request that reaches the wrong incarnation was sent by a router with an
         // outdated view. Forwarding it again could loop forever; only its minter may decide.
-        MinterPlace::Reachable(_) | MinterPlace::Gone => give_up_on_minter(state, facts.request),
-        MinterPlace::NotHeardOf => {
+        MinterLookup::Reachable(_) | MinterLookup::Gone => give_up_on_minter(state, facts.request),
+        MinterLookup::NotHeardOf => {
             let wait = TimeSpan::from_millis(state.config.tickets.minter_wait_ms);
             let until = (state.now + wait).min(facts.deadline);
             let facts = facts.clone();
@@ -197,21 +197,21 @@
     }
 }
 
-enum MinterPlace {
+enum MinterLookup {
     Reachable(HostName),
     Gone,
     NotHeardOf,
 }
 
-fn find_minter(state: &CoreState, minter: RouterIncarnation) -> MinterPlace {
+fn find_minter(state: &CoreState, minter: RouterIncarnation) -> MinterLookup {
     let row = state
         .members
         .iter()
         .find(|(_, row)| row.incarnation == Some(minter));
     match row {
-        Some((_, row)) if row.state == MemberState::Dead => MinterPlace::Gone,
-        Some((host, _)) => MinterPlace::Reachable(host.clone()),
-        None => MinterPlace::NotHeardOf,
+        Some((_, row)) if row.state == MemberState::Dead => MinterLookup::Gone,
+        Some((host, _)) => MinterLookup::Reachable(host.clone()),
+        None => MinterLookup::NotHeardOf,
     }
 }
 
@@ -238,7 +238,7 @@
         let RepeatRule::Unrepeatable(Some(ticket)) = wait.facts.repeat else {
             continue;
         };
-        let known = !matches!(find_minter(state, ticket.minter), MinterPlace::NotHeardOf);
+        let known = !matches!(find_minter(state, ticket.minter), MinterLookup::NotHeardOf);
         if known {
             state.tickets.minter_waits.remove(&wait.facts.request);
             present_foreign(state, &wait.facts, ticket.minter);
