--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -185,7 +185,7 @@
         // A forwarded request that reaches the wrong incarnation was sent by a router with an
         // outdated view. Forwarding it again could loop forever; only its minter may decide.
         MinterLookup::Reachable(_) | MinterLookup::Gone => give_up_on_minter(state, facts.request),
-        MinterLookup::NotHeardOf => {
+        MinterLookup::NotYetKnown => {
             let wait = TimeSpan::from_millis(state.config.tickets.minter_wait_ms);
             let until = (state.now + wait).min(facts.deadline);
             let facts = facts.clone();
@@ -200,7 +200,7 @@
 enum MinterLookup {
     Reachable(HostName),
     Gone,
-    NotHeardOf,
+    NotYetKnown,
 }
 
 fn find_minter(state: &CoreState, minter: RouterIncarnation) -> MinterLookup {
@@ -211,7 +211,7 @@
     match row {
         Some((_, row)) if row.state == MemberState::Dead => MinterLookup::Gone,
         Some((host, _)) => MinterLookup::Reachable(host.clone()),
-        None => MinterLookup::NotHeardOf,
+        None => MinterLookup::NotYetKnown,
     }
 }
 
@@ -238,7 +238,7 @@
         let RepeatRule::Unrepeatable(Some(ticket)) = wait.facts.repeat else {
             continue;
         };
-        let known = !matches!(find_minter(state, ticket.minter), MinterLookup::NotHeardOf);
+        let known = !matches!(find_minter(state, ticket.minter), MinterLookup::NotYetKnown);
         if known {
             state.tickets.minter_waits.remove(&wait.facts.request);
             present_foreign(state, &wait.facts, ticket.minter);
