--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -14,7 +14,7 @@
 use crate::core::systems::limits;
 use crate::core::systems::quarantine;
 use crate::core::systems::tickets;
-use crate::core::systems::tickets::TicketVerdict;
+use crate::core::systems::tickets::TicketDecision;
 use crate::core::tables::requests::RequestEntry;
 use crate::core::tables::requests::RequestStage;
 use crate::units::RequestId;
@@ -43,7 +43,7 @@
     if draining::turn_away(state, facts) {
         return;
     }
-    if tickets::present(state, facts) == TicketVerdict::Settled {
+    if tickets::present(state, facts) == TicketDecision::Settled {
         return;
     }
     let urgency = urgency_of(state, facts);
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -26,7 +26,7 @@
 
 /// What to do with a request after its ticket was checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TicketVerdict {
+pub enum TicketDecision {
     /// The request may be queued and run here.
     Admit,
     /// The request was answered, joined to another one, forwarded, or waits until the minter of its
@@ -52,19 +52,19 @@
 }
 
 /// Checks the ticket of a request that just arrived.
-pub fn present(state: &mut CoreState, facts: &RequestFacts) -> TicketVerdict {
+pub fn present(state: &mut CoreState, facts: &RequestFacts) -> TicketDecision {
     match facts.repeat {
-        RepeatRule::Repeatable => TicketVerdict::Admit,
+        RepeatRule::Repeatable => TicketDecision::Admit,
         RepeatRule::Unrepeatable(None) => {
             offer_or_refuse(state, facts);
-            TicketVerdict::Settled
+            TicketDecision::Settled
         }
         RepeatRule::Unrepeatable(Some(ticket)) => {
             if ticket.minter == state.identity.incarnation {
                 return present_own(state, facts, ticket.number);
             }
             present_foreign(state, facts, ticket.minter);
-            TicketVerdict::Settled
+            TicketDecision::Settled
         }
     }
 }
@@ -100,23 +100,23 @@
     });
 }
 
-fn present_own(state: &mut CoreState, facts: &RequestFacts, number: u64) -> TicketVerdict {
+fn present_own(state: &mut CoreState, facts: &RequestFacts, number: u64) -> TicketDecision {
     let request = facts.request;
     let Some(row) = state.tickets.get(number) else {
         answer_ended(state, facts, state.tickets.outcome_of(number));
-        return TicketVerdict::Settled;
+        return TicketDecision::Settled;
     };
     if row.team != facts.team || row.fingerprint != facts.fingerprint {
         // With a ticket of another request, the caller would get the answer to a request that is
         // not its own. The request that the ticket was minted for is not affected.
         let reason = RefusalReason::TicketMismatch;
         refuse(state, request, reason, RunOutcome::NotRun);
-        return TicketVerdict::Settled;
+        return TicketDecision::Settled;
     }
     match (row.stage, row.answer) {
         (TicketStage::Offered, _) => {
             state.tickets.hold(number, request);
-            return TicketVerdict::Admit;
+            return TicketDecision::Admit;
         }
         (TicketStage::Held(original), _) => join(state, number, request, original),
         (TicketStage::Ended(RunOutcome::Ran), Some(original)) => {
@@ -125,7 +125,7 @@
         }
         (TicketStage::Ended(outcome), _) => answer_ended(state, facts, outcome),
     }
-    TicketVerdict::Settled
+    TicketDecision::Settled
 }
 
 fn join(state: &mut CoreState, number: u64, request: RequestId, original: RequestId) {
