--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -46,7 +46,7 @@
             state.tickets.leave(*request);
             state.tickets.minter_waits.remove(request);
         }
-        CoreEvent::Tick => look_for_minters(state),
+        CoreEvent::Tick => recheck_minter_waits(state),
         _ => {}
     }
 }
@@ -232,7 +232,7 @@
 /// before the gossip about the minter's new incarnation. The request waits a short while, since
 /// "unknown" would be an unnecessary answer. That answer is always safe, so correctness does not
 /// depend on the wait.
-fn look_for_minters(state: &mut CoreState) {
+fn recheck_minter_waits(state: &mut CoreState) {
     let waits: Vec<MinterWait> = state.tickets.minter_waits.values().cloned().collect();
     for wait in waits {
         let RepeatRule::Unrepeatable(Some(ticket)) = wait.facts.repeat else {
