--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -184,7 +184,7 @@
         }
         // A forwarded request that reaches the wrong incarnation was sent by a router with an
         // outdated view. Forwarding it again could loop forever; only its minter may decide.
-        MinterLookup::Reachable(_) | MinterLookup::Gone => give_up_on_minter(state, facts.request),
+        MinterLookup::Reachable(_) | MinterLookup::Gone => refuse_unknown(state, facts.request),
         MinterLookup::NotYetKnown => {
             let wait = TimeSpan::from_millis(state.config.tickets.minter_wait_ms);
             let until = (state.now + wait).min(facts.deadline);
@@ -217,7 +217,7 @@
 
 /// Refuses a request whose minter is gone, or is considered gone: whether it ran the request can't
 /// be known here. A later retry can still get the answer if the minter was only disconnected.
-fn give_up_on_minter(state: &mut CoreState, request: RequestId) {
+fn refuse_unknown(state: &mut CoreState, request: RequestId) {
     refuse(
         state,
         request,
@@ -244,7 +244,7 @@
             present_foreign(state, &wait.facts, ticket.minter);
         } else if state.now >= wait.until {
             state.tickets.minter_waits.remove(&wait.facts.request);
-            give_up_on_minter(state, wait.facts.request);
+            refuse_unknown(state, wait.facts.request);
         }
     }
 }
