--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -184,7 +184,7 @@
     };
     let (repeat, place) = (entry.facts.repeat, entry.stage);
     let sent = entry.may_have_run || matches!(place, RequestStage::Running { .. });
-    if tickets::outlives_caller(state, repeat, sent) {
+    if tickets::continues_without_caller(state, repeat, sent) {
         return;
     }
     match place {
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -296,7 +296,11 @@
 /// Returns true if a request continues although its caller disconnected: other callers wait for its
 /// answer, or it may have run and a resend must find the answer. Otherwise its ticket can be used
 /// again.
-pub fn outlives_caller(state: &mut CoreState, repeat: RepeatRule, may_have_run: bool) -> bool {
+pub fn continues_without_caller(
+    state: &mut CoreState,
+    repeat: RepeatRule,
+    may_have_run: bool,
+) -> bool {
     let Some(number) = own_number(state, repeat) else {
         return false;
     };
