--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -61,7 +61,7 @@
         }
         RepeatRule::Unrepeatable(Some(ticket)) => {
             if ticket.minter == state.identity.incarnation {
-                return present_own(state, facts, ticket.number);
+                return check_own_ticket(state, facts, ticket.number);
             }
             present_foreign(state, facts, ticket.minter);
             TicketDecision::Settled
@@ -100,7 +100,7 @@
     });
 }
 
-fn present_own(state: &mut CoreState, facts: &RequestFacts, number: u64) -> TicketDecision {
+fn check_own_ticket(state: &mut CoreState, facts: &RequestFacts, number: u64) -> TicketDecision {
     let request = facts.request;
     let Some(row) = state.tickets.get(number) else {
         answer_ended(state, facts, state.tickets.outcome_of(number));
