--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -63,7 +63,7 @@
             if ticket.minter == state.identity.incarnation {
                 return check_own_ticket(state, facts, ticket.number);
             }
-            present_foreign(state, facts, ticket.minter);
+            forward_to_minter(state, facts, ticket.minter);
             TicketDecision::Settled
         }
     }
@@ -174,7 +174,7 @@
 
 /// Handles a request whose ticket another router incarnation minted: it is forwarded to that
 /// router's host, refused, or held until that incarnation is known.
-fn present_foreign(state: &mut CoreState, facts: &RequestFacts, minter: RouterIncarnation) {
+fn forward_to_minter(state: &mut CoreState, facts: &RequestFacts, minter: RouterIncarnation) {
     match find_minter(state, minter) {
         MinterLookup::Reachable(host) if !facts.forwarded => {
             state.act(CoreAction::Forward {
@@ -241,7 +241,7 @@
         let known = !matches!(find_minter(state, ticket.minter), MinterLookup::NotYetKnown);
         if known {
             state.tickets.minter_waits.remove(&wait.facts.request);
-            present_foreign(state, &wait.facts, ticket.minter);
+            forward_to_minter(state, &wait.facts, ticket.minter);
         } else if state.now >= wait.until {
             state.tickets.minter_waits.remove(&wait.facts.request);
             refuse_unknown(state, wait.facts.request);
