--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -43,7 +43,7 @@
     if draining::turn_away(state, facts) {
         return;
     }
-    if tickets::present(state, facts) == TicketDecision::Settled {
+    if tickets::check_ticket(state, facts) == TicketDecision::Settled {
         return;
     }
     let urgency = urgency_of(state, facts);
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -52,7 +52,7 @@
 }
 
 /// Checks the ticket of a request that just arrived.
-pub fn present(state: &mut CoreState, facts: &RequestFacts) -> TicketDecision {
+pub fn check_ticket(state: &mut CoreState, facts: &RequestFacts) -> TicketDecision {
     match facts.repeat {
         RepeatRule::Repeatable => TicketDecision::Admit,
         RepeatRule::Unrepeatable(None) => {
