--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -5,18 +5,18 @@
 //! are sent as grow-only or absolute counters, so lost, duplicated and reordered messages do no
 //! harm.
 
+mod allotments;
 mod grants;
 mod levels;
 mod targets;
-mod telling;
 
+use self::allotments::send_allotments;
 use self::grants::grant_leftover;
 use self::grants::grant_vacant;
 use self::levels::advance_clock;
 use self::levels::update_accounts;
 use self::targets::set_limits;
 use self::targets::set_targets;
-use self::telling::send_allotments;
 use crate::core::event::CoreEvent;
 use crate::core::state::CoreState;
 use crate::core::systems::limits;
