--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -5,16 +5,16 @@
 //! are sent as grow-only or absolute counters, so lost, duplicated and reordered messages do no
 //! harm.
 
+mod accounts;
 mod allotments;
 mod grants;
-mod levels;
 mod targets;
 
+use self::accounts::advance_clock;
+use self::accounts::update_accounts;
 use self::allotments::send_allotments;
 use self::grants::grant_leftover;
 use self::grants::grant_vacant;
-use self::levels::advance_clock;
-use self::levels::update_accounts;
 use self::targets::set_limits;
 use self::targets::set_targets;
 use crate::core::event::CoreEvent;
--- a/src/core/systems/ownership/targets.rs
+++ b/src/core/systems/ownership/targets.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::levels::team_weight;
+use super::accounts::team_weight;
 use crate::core::share::ShareClaim;
 use crate::core::share::round_shares;
 use crate::core::share::water_fill;
