--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -147,7 +147,7 @@
 // incarnation. The new incarnation must be a member, and late gossip about the old one must not
 // affect it.
 #[test]
-fn a_restarted_router_is_a_new_member_whatever_is_said_of_its_old_life() {
+fn a_restarted_router_is_a_new_member_despite_gossip_about_its_old_incarnation() {
     let mut fleet = fleet();
     let old = fleet.life(3).unwrap();
     fleet.stop(3);
