--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -190,7 +190,7 @@
 // A process is suspended for half a minute and resumes. All its timeouts have expired while nobody
 // could reach it; it must not declare all other routers dead and own every pool.
 #[test]
-fn a_router_that_slept_does_not_bury_the_others() {
+fn a_resumed_router_does_not_declare_the_others_dead() {
     let mut fleet = fleet();
     fleet.part(0, 7);
     fleet.advance(20);
