--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -98,7 +98,7 @@
 // One link is cut while both ends reach all other routers. The rest of the fleet must keep both as
 // members; the two ends can't use each other, so neither considers the other a pool's owner.
 #[test]
-fn a_single_cut_link_kills_nobody() {
+fn a_single_cut_link_leaves_all_members_alive() {
     let mut fleet = fleet();
     fleet.part(2, 5);
     fleet.advance(10_000);
