--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -244,7 +244,7 @@
 // An operator drains a router. From then on it must own nothing in the view of any router, even if
 // its connections break and reopen meanwhile.
 #[test]
-fn a_leaving_router_stays_leaving_for_its_whole_life() {
+fn a_leaving_router_stays_leaving_until_it_restarts() {
     let mut fleet = fleet();
     fleet.tell(4, CoreEvent::DrainAsked);
     fleet.advance(1_000);
