--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -117,7 +117,7 @@
 // pool on its own side; after it heals all must agree on one owner again, although both sides
 // spread gossip that the other side is dead.
 #[test]
-fn a_partition_leaves_each_side_whole_and_heals() {
+fn a_partition_leaves_each_side_working_and_heals() {
     let mut fleet = fleet();
     for round in 0..2 {
         for left in 0..3 {
