--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -285,7 +285,7 @@
     })]
 
     #[test]
-    fn news_merges_alike_in_any_order_and_however_often(
+    fn news_merges_to_the_same_result_in_any_order_and_when_repeated(
         rows in proptest::collection::vec((0_u64..3, 0_u32..3, 0_u8..4), 1..12),
         turn in any::<usize>(),
     ) {
