--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -298,7 +298,7 @@
     }
 
     #[test]
-    fn no_gossip_of_a_peer_upsets_a_router(
+    fn arbitrary_gossip_does_not_affect_live_members(
         step in 0_u32..5,
         sequence in any::<u32>(),
         target in ".{0,12}",
