--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn pings_keep_their_load_as_the_fleet_grows() {
+fn gossip_bytes_per_router_stay_bounded_as_the_fleet_grows() {
     let small = quiet_bytes(8);
     let most = quiet_bytes(16);
     let large = quiet_bytes(128);
