--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn the_weight_stores_rate_holds_when_every_router_believes_itself_alone() {
+fn the_weight_store_rate_holds_when_all_routers_are_disconnected() {
     // All routers are disconnected from each other, and each considers itself the owner of every
     // pool. If each used the weight store's whole rate, the store would get four times its limit.
     let mut run = OrderRun::new(4, FenceCheck::Ignored);
