--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn with_fences_an_overruled_orderer_is_not_obeyed() {
+fn with_fences_a_stale_owner_is_not_obeyed() {
     // A partition splits the fleet, both halves reach all engines, and each orders a different
     // model. An engine must never follow an order that was decided before the last one it followed,
     // and no model may be replaced soon after it was loaded.
