--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn without_fences_two_orderers_cost_one_load_a_residence() {
+fn without_fences_two_owners_cause_one_load_per_residence() {
     // The same partition with engines that ignore fencing numbers. Nothing stops the stale owner's
     // orders, so the harm is bounded in time: both owners see in an engine's reports how long it
     // has had its model, and leave it there for the minimum residence time.
