--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_paused_orderer_gives_no_order_when_it_wakes() {
+fn a_suspended_owner_gives_no_order_when_it_resumes() {
     // A router is suspended for minutes while it owns a pool, and another one takes over. When it
     // resumes it still considers itself the owner; it must not send orders before it has owned the
     // pool long enough again.
