--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn numbers_of_two_lives_never_meet() {
+fn fencing_numbers_of_two_incarnations_never_collide() {
     let config = ProptestConfig::with_cases(1_024);
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
