--- a/tests/crashing_copies.rs
+++ b/tests/crashing_copies.rs
@@ -172,7 +172,7 @@
 /// Guards against a missed crash: a router that first read an endpoint's incarnation after a loss
 /// there mistook the crash for a network failure, and the request went on to crash other endpoints.
 #[test]
-fn a_loss_before_the_first_life_is_read_and_a_crash_refuse_a_request() {
+fn a_loss_before_the_first_incarnation_is_known_and_a_crash_refuse_a_request() {
     let mut fleet = CoreFleet::new(1, catalog(ENDPOINTS, 4));
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
