--- a/tests/crashing_copies.rs
+++ b/tests/crashing_copies.rs
@@ -191,7 +191,7 @@
 /// Guards against refusing a harmless request for ten minutes because a switch dropped its
 /// connections twice before the router had read any endpoint's incarnation.
 #[test]
-fn two_losses_before_first_lives_are_read_refuse_nobody() {
+fn two_losses_before_first_incarnations_are_known_refuse_nothing() {
     let mut fleet = CoreFleet::new(1, catalog(ENDPOINTS, 4));
     send(&mut fleet, 0, 1);
     for _ in 0..2 {
