--- a/tests/crashing_copies.rs
+++ b/tests/crashing_copies.rs
@@ -40,7 +40,7 @@
 }
 
 /// Returns a fleet whose routers have read the first incarnation of all endpoints.
-fn fleet_that_knows_lives(routers: usize) -> CoreFleet {
+fn fleet_with_known_incarnations(routers: usize) -> CoreFleet {
     let mut fleet = CoreFleet::new(routers, catalog(ENDPOINTS, 4));
     for router in 0..routers {
         (1..=ENDPOINTS).for_each(|number| fleet.tell(router, report(endpoint(number), 1)));
@@ -110,7 +110,7 @@
 /// that lost the first copy has learned whether the first endpoint crashed.
 #[test]
 fn a_copy_lost_at_one_router_holds_back_those_at_others() {
-    let mut fleet = fleet_that_knows_lives(2);
+    let mut fleet = fleet_with_known_incarnations(2);
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
     lose(&mut fleet, 0, first);
@@ -141,7 +141,7 @@
 #[test]
 fn copies_of_a_suspect_run_one_at_a_time_in_the_fleet() {
     const ROUTERS: usize = 4;
-    let mut fleet = fleet_that_knows_lives(ROUTERS);
+    let mut fleet = fleet_with_known_incarnations(ROUTERS);
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
     lose(&mut fleet, 0, first);
@@ -243,7 +243,7 @@
 /// and is refused when another request crashes a second endpoint that runs it.
 #[test]
 fn a_suspect_that_is_answered_whole_is_cleared_at_all_routers() {
-    let mut fleet = fleet_that_knows_lives(2);
+    let mut fleet = fleet_with_known_incarnations(2);
     send(&mut fleet, 0, 1);
     let first = first_dispatch(&mut fleet, 0);
     lose(&mut fleet, 0, first);
@@ -260,7 +260,7 @@
 /// copies is gone and no router has noticed yet.
 #[test]
 fn a_silent_home_holds_no_copy_up_for_longer_than_a_check() {
-    let mut fleet = fleet_that_knows_lives(2);
+    let mut fleet = fleet_with_known_incarnations(2);
     let home = fleet.core(0).state().members.home_of(RequestFingerprint(7));
     let asker = usize::from(home == Some(&host(0)));
     send(&mut fleet, asker, 1);
