--- a/tests/crashing_copies.rs
+++ b/tests/crashing_copies.rs
@@ -259,7 +259,7 @@
 /// Guards against a request that waits forever because the router that grants the leases for its
 /// copies is gone and no router has noticed yet.
 #[test]
-fn a_silent_home_holds_no_copy_up_for_longer_than_a_check() {
+fn a_silent_home_delays_no_copy_for_longer_than_a_check() {
     let mut fleet = fleet_with_known_incarnations(2);
     let home = fleet.core(0).state().members.home_of(RequestFingerprint(7));
     let asker = usize::from(home == Some(&host(0)));
