--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn one_request_takes_down_two_endpoints_and_innocents_are_answered() {
+fn one_request_crashes_only_two_endpoints_and_others_are_answered() {
     // A request with a broken prompt crashes the engine that runs it. The router retries it
     // elsewhere, and its caller resends it through every other router. Without a quarantine it
     // crashes one engine after the other, together with all requests that run there.
