--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_lost_link_without_a_crash_makes_nobody_suspect() {
+fn a_lost_link_without_a_crash_makes_no_request_suspect() {
     // A switch drops connections of a busy router twice. Its requests are harmless and must not be
     // refused for ten minutes.
     let mut fleet = CoreFleet::new(1, catalog(3, 4));
