--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -298,7 +298,7 @@
 /// endpoint's incarnation after a loss there gets the next one, and the request goes on to crash
 /// other endpoints.
 #[test]
-fn a_router_reads_the_life_of_an_endpoint_that_it_begins_to_use() {
+fn a_router_reads_the_incarnation_of_an_endpoint_that_it_begins_to_use() {
     let mut fleet = CoreFleet::new(1, catalog(1, 4));
     let reads_life = |fleet: &CoreFleet| {
         let row = fleet.core(0).state().endpoints.get(endpoint(1));
