--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -14,7 +14,7 @@
 use crate::core::systems::limits;
 use crate::core::systems::quarantine;
 use crate::core::systems::tickets;
-use crate::core::systems::tickets::TicketVerdict;
+use crate::core::systems::tickets::TicketDecision;
 use crate::core::tables::requests::RequestEntry;
 use crate::core::tables::requests::RequestStage;
 use crate::units::RequestId;
@@ -43,7 +43,7 @@
     if draining::redirect_or_refuse(state, facts) {
         return;
     }
-    if tickets::present(state, facts) == TicketVerdict::Settled {
+    if tickets::check_ticket(state, facts) == TicketDecision::Settled {
         return;
     }
     let urgency = urgency_of(state, facts);
@@ -134,7 +134,7 @@
     };
     entry.stage = RequestStage::Waiting;
     let (team, pool_id, urgency) = (entry.facts.team, entry.facts.pool, entry.urgency);
-    if quarantine::isolates(state, request) {
+    if quarantine::isolate_if_suspect(state, request) {
         return;
     }
     let Some(pool) = state.entries.get_mut(&pool_id) else {
@@ -184,7 +184,7 @@
     };
     let (repeat, current_stage) = (entry.facts.repeat, entry.stage);
     let sent = entry.may_have_run || matches!(current_stage, RequestStage::Running { .. });
-    if tickets::outlives_caller(state, repeat, sent) {
+    if tickets::continues_without_caller(state, repeat, sent) {
         return;
     }
     match current_stage {
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -1,8 +1,9 @@
-//! Who the routers are: the host list as a seed, connections as direct evidence, news of peers.
+//! Membership: which routers form the fleet and which of them are alive.
 //!
-//! A router that lost its connection or did not answer is suspected first and still counts as a
-//! member; it can refute. Only a suspicion that ran out makes it dead. What this router sees
-//! itself goes before what it is told.
+//! The host list provides the first addresses, connections are direct evidence, and gossip carries
+//! the observations of other routers. A router whose connection closed or that did not answer a
+//! ping becomes suspect first; it still counts as a member and can refute the suspicion. It is
+//! declared dead only when the suspicion times out. Direct evidence takes precedence over gossip.
 
 use crate::core::action::CoreAction;
 use crate::core::event::CoreEvent;
@@ -19,11 +20,11 @@
 use crate::wire::PeerBody;
 use crate::wire::gossip::MemberNews;
 
-/// Milliseconds since a direct sign of life within which news of a router's death is not
-/// believed but passed on to that router, so that it can refute.
-const FRESH_MS: u64 = 500;
+/// Milliseconds after the last message from a connected router during which gossip that it is
+/// suspect or dead is not applied but sent on to that router, so that it can refute it.
+const RECENT_CONTACT_MS: u64 = 500;
 
-/// Takes in the host list, connections, news and the passing of time.
+/// Handles the host list, connections, gossip and ticks.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::HostsListed { routers, .. } => hosts_listed(state, routers),
@@ -34,10 +35,10 @@
             incarnation,
             message,
         } => {
-            heard_from(state, from, *incarnation);
+            record_contact(state, from, *incarnation);
             if let Some(PeerBody::Gossip(ping)) = &message.body {
                 for news in &ping.news {
-                    take_news(state, from, news);
+                    handle_news(state, from, news);
                 }
             }
         }
@@ -46,14 +47,14 @@
     }
 }
 
-/// True if the fleet is so small that each router keeps connections to all.
+/// Returns true if the fleet is small enough for each router to keep connections to all others.
 #[must_use]
 pub fn is_small(state: &CoreState) -> bool {
     state.members.len() <= state.config.membership.small_fleet
 }
 
-/// Keeps a connection to a router open from now on.
-pub fn want(state: &mut CoreState, host: &HostName) {
+/// Marks a connection to a router as needed from now on, and dials it unless it was marked before.
+pub fn keep_connected(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     if state
         .detector
@@ -71,7 +72,8 @@
     state.act(CoreAction::Connect { host, address });
 }
 
-/// Begins to suspect a router. One that leaves keeps that state while it is suspected.
+/// Marks a router as suspect and starts its suspicion timer. A leaving router keeps the state
+/// `Leaving` while it is suspected.
 pub fn suspect(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     let Some(row) = state.members.get(host) else {
@@ -91,7 +93,7 @@
     watch.suspect_since.get_or_insert(now);
 }
 
-/// What is known of a router, to pass on.
+/// Returns what is known of a router as gossip to pass on; `None` if no incarnation is known.
 #[must_use]
 pub fn news_of(state: &CoreState, host: &HostName) -> Option<MemberNews> {
     let row = state.members.get(host)?;
@@ -111,7 +113,8 @@
     })
 }
 
-/// The list lags, so it only names routers to get in touch with; it never says who lives.
+/// Adds listed routers that are not known yet. The list lags behind the fleet, so it only provides
+/// addresses to connect to and never decides which routers are alive.
 fn hosts_listed(state: &mut CoreState, routers: &[ListedRouter]) {
     state.detector.listed = routers.iter().map(|router| router.host.clone()).collect();
     for router in routers {
@@ -129,11 +132,11 @@
                 reachable: true,
             };
             state.members.insert(router.host.clone(), entry);
-            admit(state, &router.host);
+            connect_new_member(state, &router.host);
             continue;
         };
-        // A host was replaced and has another address: dial that one. While a connection is
-        // open, the list is the one that is out of date.
+        // The host was replaced and has a new address: dial that one. While a connection is open,
+        // it is the list that is out of date.
         if !row.connected && row.state == MemberState::Dead && row.address != router.address {
             state.members.change(&router.host, |entry| {
                 entry.address = router.address.clone();
@@ -144,14 +147,15 @@
     }
 }
 
-/// Gets in touch with a router that was not known before.
-fn admit(state: &mut CoreState, host: &HostName) {
+/// Processes the connection that a new member may have opened before it was known and, in a small
+/// fleet, connects to it.
+fn connect_new_member(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     if let Some(incarnation) = state.detector.unknown_peers.remove(host) {
         peer_opened(state, host, incarnation);
     }
     if is_small(state) {
-        want(state, host);
+        keep_connected(state, host);
         let connected = state.members.get(host).is_some_and(|row| row.connected);
         if !connected {
             state.detector.peer_health_mut(host).lost_at = Some(now);
@@ -162,11 +166,12 @@
 
 fn redial(state: &mut CoreState, host: &HostName) {
     if state.detector.kept_connections.remove(host).is_some() {
-        want(state, host);
+        keep_connected(state, host);
     }
 }
 
-/// A handshake is direct evidence of who lives at a host, whatever the news say.
+/// Records a completed handshake: direct evidence of the incarnation that runs on a host, which
+/// overrides gossip.
 fn peer_opened(state: &mut CoreState, host: &HostName, incarnation: RouterIncarnation) {
     if state.members.get(host).is_none() {
         state
@@ -178,13 +183,13 @@
     }
     let before = state.members.get(host).and_then(MemberEntry::rank);
     state.members.change(host, |entry| {
-        let same_life = entry.incarnation == Some(incarnation);
-        if !same_life {
+        let same_incarnation = entry.incarnation == Some(incarnation);
+        if !same_incarnation {
             entry.refutation = 0;
         }
-        // Leaving holds for the whole life of a process: a link that breaks and reopens must
-        // not bring it back to work.
-        if !(same_life && entry.state == MemberState::Leaving) {
+        // A process that leaves never returns to service: a connection that breaks and reopens
+        // must not make it eligible for work again.
+        if !(same_incarnation && entry.state == MemberState::Leaving) {
             entry.state = MemberState::Alive;
         }
         entry.incarnation = Some(incarnation);
@@ -199,13 +204,14 @@
     if changed {
         state.detector.gossip_queue.add(host.clone());
     }
-    // In a large fleet connections open for single pings: only a router that is new, or was taken
-    // for dead or suspect, is told everything.
+    // In a large fleet connections are opened for single pings: the full news is sent only to a
+    // router that is new, or was considered dead or suspect.
     let whole = changed || is_small(state);
     probing::greet(state, host, whole);
 }
 
-/// The loss of a connection that this router keeps is direct evidence: suspicion starts at once.
+/// Records a closed connection. If this router keeps that connection open, its loss is direct
+/// evidence and suspicion starts at once.
 fn peer_closed(state: &mut CoreState, host: &HostName) {
     state.detector.unknown_peers.remove(host);
     let Some(row) = state.members.get(host) else {
@@ -213,8 +219,9 @@
     };
     let reachable = row.reachable;
     state.members.change(host, |entry| entry.connected = false);
-    // A router that others reach and this one doesn't would be suspected with each failed dial
-    // and refute each time; once is enough. From then on pings by way of others decide.
+    // A router that others reach and this one doesn't would be suspected after each failed dial
+    // and refute it each time; suspecting it once is enough. After that, indirect pings through
+    // other routers decide.
     if !state.detector.kept_connections.contains_key(host) || !reachable {
         return;
     }
@@ -235,7 +242,7 @@
     }
 }
 
-fn heard_from(state: &mut CoreState, host: &HostName, incarnation: RouterIncarnation) {
+fn record_contact(state: &mut CoreState, host: &HostName, incarnation: RouterIncarnation) {
     let now = state.now;
     let Some(row) = state.members.get(host) else {
         return;
@@ -267,11 +274,11 @@
     }
 }
 
-fn take_news(state: &mut CoreState, from: &HostName, news: &MemberNews) {
+fn handle_news(state: &mut CoreState, from: &HostName, news: &MemberNews) {
     let Ok(host) = news.host.parse::<HostName>() else {
         return;
     };
-    let told = MemberRank {
+    let received = MemberRank {
         incarnation: RouterIncarnation(news.incarnation),
         refutation: news.refutation,
         state: match news.state {
@@ -282,19 +289,19 @@
         },
     };
     if host == state.identity.host {
-        refute(state, told);
+        refute(state, received);
         return;
     }
     let Some(row) = state.members.get(&host) else {
-        take_newcomer(state, &host, told, news);
+        add_member_from_gossip(state, &host, received, news);
         return;
     };
     let known = row.rank();
-    if row.connected && known.is_some_and(|known| known.incarnation != told.incarnation) {
+    if row.connected && known.is_some_and(|known| known.incarnation != received.incarnation) {
         return;
     }
-    if known.is_some_and(|known| known.merge(told) == known) {
-        if known == Some(told) && told.state == MemberState::Suspect {
+    if known.is_some_and(|known| known.merge(received) == known) {
+        if known == Some(received) && received.state == MemberState::Suspect {
             state
                 .detector
                 .peer_health_mut(&host)
@@ -303,36 +310,41 @@
         }
         return;
     }
-    if row.connected && told.state != MemberState::Leaving && is_fresh(state, &host) {
-        let worse = told.state >= MemberState::Suspect;
+    if row.connected && received.state != MemberState::Leaving && heard_recently(state, &host) {
+        let worse = received.state >= MemberState::Suspect;
         if worse {
             probing::send_for_refutation(state, &host, news.clone());
             return;
         }
     }
-    apply(state, from, &host, told, news);
+    apply(state, from, &host, received, news);
 }
 
-fn is_fresh(state: &CoreState, host: &HostName) -> bool {
+fn heard_recently(state: &CoreState, host: &HostName) -> bool {
     let last_contact_at = state
         .detector
         .peer_health
         .get(host)
         .and_then(|watch| watch.last_contact_at);
-    last_contact_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(FRESH_MS))
+    last_contact_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(RECENT_CONTACT_MS))
 }
 
-fn take_newcomer(state: &mut CoreState, host: &HostName, told: MemberRank, news: &MemberNews) {
+fn add_member_from_gossip(
+    state: &mut CoreState,
+    host: &HostName,
+    received: MemberRank,
+    news: &MemberNews,
+) {
     let Ok(domain) = news.domain.parse() else {
         return;
     };
-    if told.state == MemberState::Dead {
+    if received.state == MemberState::Dead {
         return;
     }
     let entry = MemberEntry {
-        incarnation: Some(told.incarnation),
-        state: told.state,
-        refutation: told.refutation,
+        incarnation: Some(received.incarnation),
+        state: received.state,
+        refutation: received.refutation,
         address: news.address.as_str().into(),
         domain,
         connected: false,
@@ -340,8 +352,8 @@
     };
     state.members.insert(host.clone(), entry);
     state.detector.gossip_queue.add(host.clone());
-    admit(state, host);
-    if told.state == MemberState::Suspect {
+    connect_new_member(state, host);
+    if received.state == MemberState::Suspect {
         suspect(state, host);
     }
 }
@@ -350,7 +362,7 @@
     state: &mut CoreState,
     from: &HostName,
     host: &HostName,
-    told: MemberRank,
+    received: MemberRank,
     news: &MemberNews,
 ) {
     let domain = news.domain.parse().ok();
@@ -359,9 +371,9 @@
         .get(host)
         .is_some_and(|row| !row.connected && row.address != news.address);
     state.members.change(host, |entry| {
-        entry.incarnation = Some(told.incarnation);
-        entry.refutation = told.refutation;
-        entry.state = told.state;
+        entry.incarnation = Some(received.incarnation);
+        entry.refutation = received.refutation;
+        entry.state = received.state;
         if moved {
             entry.address = news.address.as_str().into();
         }
@@ -373,7 +385,7 @@
     if moved {
         redial(state, host);
     }
-    match told.state {
+    match received.state {
         MemberState::Suspect => {
             suspect(state, host);
             state
@@ -382,7 +394,7 @@
                 .confirmers
                 .insert(from.clone());
         }
-        MemberState::Dead => note_dead(state, host),
+        MemberState::Dead => mark_dead(state, host),
         MemberState::Alive | MemberState::Leaving => {
             let last_contact_at = state.detector.peer_health_mut(host).last_contact_at;
             clear_suspicion(state, host);
@@ -391,18 +403,19 @@
     }
 }
 
-/// Somebody says that this router is suspect or dead: a higher count outdoes that everywhere.
-fn refute(state: &mut CoreState, told: MemberRank) {
+/// Refutes gossip that this router is suspect or dead by raising its refutation count, which
+/// overrides that gossip at all routers.
+fn refute(state: &mut CoreState, received: MemberRank) {
     let host = state.identity.host.clone();
     let Some(own) = state.members.get(&host).and_then(MemberEntry::rank) else {
         return;
     };
-    if told.incarnation != own.incarnation || told <= own {
+    if received.incarnation != own.incarnation || received <= own {
         return;
     }
     state
         .members
-        .change(&host, |entry| entry.refutation = told.refutation + 1);
+        .change(&host, |entry| entry.refutation = received.refutation + 1);
     state.detector.raise_health_score();
     state.detector.gossip_queue.add(host);
 }
@@ -413,20 +426,20 @@
     let first = state.detector.last_tick == Moment(0);
     state.detector.last_tick = now;
     if !first && passed > TimeSpan::from_millis(state.config.membership.pause_ms) {
-        forgive_pause(state);
+        restart_timeouts(state);
     }
-    tell_own_change(state);
+    announce_own_state(state);
     let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
     for host in pending {
-        check_limits(state, &host);
+        check_timeouts(state, &host);
     }
     probing::keep_connections(state);
     forget_dead(state);
 }
 
-/// This process slept: nobody could have reached it in that time, so no limit that ran out
-/// meanwhile says anything of the others. All limits start anew.
-fn forgive_pause(state: &mut CoreState) {
+/// Restarts all timeouts after this process was suspended. Nobody could reach it in that time, so
+/// a timeout that expired meanwhile says nothing about the other routers.
+fn restart_timeouts(state: &mut CoreState) {
     let now = state.now;
     state.detector.round = None;
     state.detector.raise_health_score();
@@ -438,7 +451,7 @@
     }
 }
 
-fn tell_own_change(state: &mut CoreState) {
+fn announce_own_state(state: &mut CoreState) {
     let host = state.identity.host.clone();
     let Some(own) = state.members.get(&host).map(|row| row.state) else {
         return;
@@ -450,7 +463,7 @@
     }
 }
 
-fn check_limits(state: &mut CoreState, host: &HostName) {
+fn check_timeouts(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     let config = &state.config.membership;
     let timeout_multiplier = state.detector.timeout_multiplier();
@@ -470,7 +483,7 @@
             .members
             .change(host, |entry| entry.state = MemberState::Dead);
         state.detector.gossip_queue.add(host.clone());
-        note_dead(state, host);
+        mark_dead(state, host);
     }
     let limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
     if lost_at.is_some_and(|since| now.since(since) >= limit) {
@@ -483,7 +496,7 @@
     }
 }
 
-fn note_dead(state: &mut CoreState, host: &HostName) {
+fn mark_dead(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     let watch = state.detector.peer_health_mut(host);
     watch.suspect_since = None;
--- a/src/core/systems/ownership/levels.rs
+++ b/src/core/systems/ownership/accounts.rs
@@ -1,4 +1,4 @@
-//! Each team's level against its pool's clock, and the weight that follows from it.
+//! Each team's virtual time relative to its pool's clock, and the weight derived from it.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,18 @@
 use crate::units::TeamId;
 use crate::units::TimeSpan;
 
-/// Seconds over which the pace of a pool's clock is smoothed.
-const PACE_MEMORY_S: f64 = 5.0;
-/// A team that waits as long counts for the pool's clock.
-const LASTING_WAIT: TimeSpan = TimeSpan::from_millis(1_000);
-/// Least and most that a lead or lag makes of a team's share.
-const LEAST_FACTOR: f64 = 0.25;
-const MOST_FACTOR: f64 = 2.0;
+/// Seconds over which the speed of a pool's clock is smoothed.
+const CLOCK_SMOOTHING_S: f64 = 5.0;
+/// Time for which a team must have waited to count for the pool's clock.
+const BACKLOGGED_AFTER: TimeSpan = TimeSpan::from_millis(1_000);
+/// Smallest factor by which a lead reduces a team's share.
+const MIN_WEIGHT_FACTOR: f64 = 0.25;
+/// Largest factor by which a lag increases a team's share.
+const MAX_WEIGHT_FACTOR: f64 = 2.0;
 
-/// Moves the pool's clock to the mean virtual time, weighted by share, of the teams that have
-/// waited for a while. Teams that wait only for moments would hold it back: they are served at
-/// once and gain little.
+/// Advances the pool's clock to the mean virtual time, weighted by share, of the teams that have
+/// waited for at least `BACKLOGGED_AFTER`. Teams that wait only for moments would hold it back: they
+/// are served at once and their virtual time grows little.
 #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
 pub(super) fn advance_clock(state: &CoreState, pool: &mut OwnedPool, passed: TimeSpan) {
     let now = state.now;
@@ -28,7 +29,7 @@
     for (team, account) in &pool.accounts {
         let lasts = account
             .waits_since
-            .is_some_and(|since| now.since(since) >= LASTING_WAIT);
+            .is_some_and(|since| now.since(since) >= BACKLOGGED_AFTER);
         if lasts {
             let share = f64::from(state.catalog.share_of(*team).0);
             shares += share;
@@ -41,47 +42,47 @@
     let step = (times / shares).max(0.0);
     pool.clock += step as i64;
     let seconds = passed.0 as f64 / 1e6;
-    let part = (seconds / PACE_MEMORY_S).min(1.0);
-    pool.clock_rate += (step / seconds - pool.clock_rate) * part;
+    let part = (seconds / CLOCK_SMOOTHING_S).min(1.0);
+    pool.pace += (step / seconds - pool.pace) * part;
 }
 
-/// Sets teams that begin to wait to the clock at least, and clamps leads and lags.
-pub(super) fn level_accounts(
+/// Raises the virtual time of teams that begin to wait to the clock, and clamps leads and lags.
+pub(super) fn update_accounts(
     state: &CoreState,
     pool: &mut OwnedPool,
     demands: &BTreeMap<TeamId, TeamDemand>,
 ) {
-    // With nobody waiting nobody is owed anything: all start level.
-    let quiet = demands.values().all(|demand| demand.waiting == 0);
+    // While no team waits, no team is owed service: all are reset to the clock.
+    let none_waiting = demands.values().all(|demand| demand.waiting == 0);
     let (now, clock) = (state.now, pool.clock);
     let debt = i64::try_from(state.config.ownership.debt_units).unwrap_or(i64::MAX);
     for (team, demand) in demands {
         let account = pool.accounts.entry(*team).or_default();
         let waits = demand.waiting > 0;
         let waited = account.waits_since.is_some();
-        // Idle time banks no credit: a team that begins to wait starts at the clock.
+        // Idle time earns no credit: a team that begins to wait starts at the clock.
         if waits && !waited {
             account.time = account.time.max(clock);
         }
-        if quiet {
+        if none_waiting {
             account.time = clock;
         }
-        // A debt without bound would starve its team after a partition, and a credit without
-        // bound the others; both are clamped.
+        // After a partition, an unbounded lead would starve its team, and an unbounded lag would
+        // starve the other teams; both are clamped.
         let most = virtual_time(debt, state.catalog.share_of(*team));
         account.time = account.time.clamp(clock - most, clock + most);
         account.waits_since = waits.then(|| account.waits_since.unwrap_or(now));
     }
 }
 
-/// A team's share, less if it is ahead of the clock and more if it is behind, so that it would
-/// be level again after the correction time.
+/// Returns a team's share, reduced if the team is ahead of the clock and increased if it is behind,
+/// so that it would reach the clock after `correction_ms`.
 #[allow(clippy::cast_precision_loss)]
 pub(super) fn team_weight(state: &CoreState, pool: &OwnedPool, team: TeamId) -> f64 {
     let share = f64::from(state.catalog.share_of(team).0.max(1));
     let time = pool.accounts.get(&team).map_or(pool.clock, |row| row.time);
     let lead = (time - pool.clock) as f64;
     let correction = state.config.ownership.correction_ms as f64 / 1e3;
-    let ahead = lead / (pool.clock_rate * correction).max(1.0);
-    share * (1.0 - ahead).clamp(LEAST_FACTOR, MOST_FACTOR)
+    let ahead = lead / (pool.pace * correction).max(1.0);
+    share * (1.0 - ahead).clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR)
 }
--- a/src/core/systems/ownership/telling.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -1,4 +1,4 @@
-//! Telling entry routers of grants, targets and the order of teams.
+//! Allotments: messages that send grants, targets and the order of teams to entry routers.
 
 use prost::Message;
 
@@ -16,7 +16,7 @@
 use crate::wire::PeerBody;
 use crate::wire::allotment::SlotAllotment;
 
-pub(super) fn tell_members(state: &mut CoreState, pool_id: PoolId, pool: &mut OwnedPool) {
+pub(super) fn send_allotments(state: &mut CoreState, pool_id: PoolId, pool: &mut OwnedPool) {
     let now = state.now;
     let refresh = TimeSpan::from_millis(state.config.ownership.refresh_ms);
     let epoch = epoch_of(state.identity.incarnation);
@@ -71,7 +71,7 @@
         acked: member.report_seen,
         target: member.target,
         scarce,
-        clock: steps(clock),
+        clock: to_lead_steps(clock),
         ..SlotAllotment::default()
     };
     for (endpoint, claim) in &member.slots {
@@ -91,6 +91,6 @@
     allotment
 }
 
-fn steps(time: i64) -> u64 {
+fn to_lead_steps(time: i64) -> u64 {
     u64::try_from(time / LEAD_STEP).unwrap_or(0)
 }
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -1,13 +1,13 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! Every request that was running on an endpoint when it crashed is a suspect, fleet-wide and by
-//! its fingerprint. A suspect runs apart from the other suspects of its crash, all its copies on
-//! one and the same endpoint, one after the other, so that innocents clear themselves and a guilty
-//! one takes down one endpoint more. A request in two crashes is refused for a time, whichever
-//! router it comes to.
+//! Every request that was running on an endpoint when it crashed is a suspect, fleet-wide and
+//! identified by its fingerprint. Suspects of the same crash are isolated from each other: all
+//! copies of one suspect run on the same endpoint, one after the other, so that harmless requests
+//! are cleared by completing and a harmful one crashes only one more endpoint. A request that was
+//! running in two crashes is refused for a time, at all routers.
 //!
-//! From the loss of a copy to the sign of what became of its endpoint, all routers hold back the
-//! other copies.
+//! From the loss of a copy until it is known whether its endpoint crashed, all routers hold back
+//! the other copies.
 
 mod notices;
 mod trials;
@@ -34,10 +34,10 @@
 use crate::units::TimeSpan;
 use crate::wire::PeerBody;
 
-/// Age that a lost attempt must have before a load report proves that its endpoint lives on.
+/// Minimum age of a lost attempt at which a load report proves that its endpoint still runs.
 const REPORT_GRACE: TimeSpan = TimeSpan::from_millis(50);
 
-/// Takes in lost attempts, signs of crashes and what peers say; starts suspects apart.
+/// Handles lost attempts, signs of crashes and notices from peers; starts isolated suspects.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     match event {
         CoreEvent::AttemptEnded {
@@ -47,15 +47,15 @@
             ..
         } => attempt_ended(state, *request, *attempt, *outcome),
         CoreEvent::EndpointRefused { endpoint } => endpoint_refused(state, *endpoint),
-        CoreEvent::EndpointLoad { endpoint, life, .. } => life_seen(state, *endpoint, *life),
+        CoreEvent::EndpointLoad { endpoint, life, .. } => incarnation_seen(state, *endpoint, *life),
         CoreEvent::Message { from, message, .. } => {
             if let Some(PeerBody::Quarantine(notice)) = &message.body {
-                notices::take_notice(state, from, notice);
+                notices::handle_notice(state, from, notice);
             }
         }
         CoreEvent::Tick => {
-            notices::tell_peers(state);
-            trials::tell_ended(state);
+            notices::send_notices(state);
+            trials::report_ended_copies(state);
             trials::start_isolated(state);
             forget_old(state);
         }
@@ -99,8 +99,9 @@
     }
 }
 
-/// A lost attempt alone may be the link's fault. It counts only together with a sign that the
-/// endpoint itself went down: nothing listens there any more, or it has begun another life.
+/// Records a lost attempt. On its own it may be a network failure; it counts only together with a
+/// sign that the endpoint itself crashed: its port refuses connections, or it reports a new
+/// incarnation.
 fn lost(state: &mut CoreState, endpoint: EndpointId, fingerprint: RequestFingerprint) {
     let (now, window) = (state.now, evidence_window(state));
     let known = state.crashes.find_record(endpoint, 0, now, window);
@@ -109,44 +110,44 @@
     } else {
         state.crashes.note_loss(endpoint, fingerprint, now);
         state.crashes.unannounced_losses.insert(fingerprint);
-        set_apart(state, &[fingerprint].into());
+        isolate_queued(state, &[fingerprint].into());
         limits::watch_load(state, endpoint, LoadWatcher::CrashCheck, true);
     }
 }
 
 fn endpoint_refused(state: &mut CoreState, endpoint: EndpointId) {
     let (now, window) = (state.now, evidence_window(state));
-    let life = life_of(state, endpoint);
+    let life = endpoint_incarnation(state, endpoint);
     let known = state.crashes.find_record(endpoint, life, now, window);
     if known.is_some() || state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, life, CrashEvidence::Confirmed);
     }
 }
 
-/// Reads the life of an endpoint that is about to be used for the first time.
+/// Requests the incarnation of an endpoint that is about to be used for the first time.
 ///
-/// Guards against a crash that can't be told from a lost link: a router that reads the first life
-/// only after a loss there finds the life that follows the crash.
-pub fn learn_life(state: &mut CoreState, endpoint: EndpointId) {
-    if life_of(state, endpoint) == 0 {
+/// A router that first reads the incarnation after a loss there may get the one that follows the
+/// crash, and then can't distinguish the crash from a network failure.
+pub fn watch_first_incarnation(state: &mut CoreState, endpoint: EndpointId) {
+    if endpoint_incarnation(state, endpoint) == 0 {
         limits::watch_load(state, endpoint, LoadWatcher::FirstLife, true);
     }
 }
 
-fn life_of(state: &CoreState, endpoint: EndpointId) -> u64 {
+fn endpoint_incarnation(state: &CoreState, endpoint: EndpointId) -> u64 {
     state.endpoints.get(endpoint).map_or(0, |row| row.life)
 }
 
-fn life_seen(state: &mut CoreState, endpoint: EndpointId, life: u64) {
-    let before = life_of(state, endpoint);
+fn incarnation_seen(state: &mut CoreState, endpoint: EndpointId, life: u64) {
+    let before = endpoint_incarnation(state, endpoint);
     limits::watch_load(state, endpoint, LoadWatcher::FirstLife, false);
     if before == 0 && state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, 0, CrashEvidence::Unconfirmed);
     } else if before != 0 && before != life {
         crashed(state, endpoint, before, CrashEvidence::Confirmed);
     } else if before == life {
-        // The endpoint lives on, so the link was at fault. A report that was under way when the
-        // endpoint crashed would say the same; hence the grace.
+        // The endpoint still runs, so the loss was a network failure. A report that was already on
+        // its way when the endpoint crashed looks the same; hence the grace period.
         let lost_at = state.crashes.last_loss(endpoint);
         if lost_at.is_some_and(|at| state.now.since(at) >= REPORT_GRACE) {
             state.crashes.take_losses(endpoint, state.now);
@@ -154,7 +155,7 @@
     }
 }
 
-/// An endpoint's life has ended, or may have: all that was lost there lately is suspect.
+/// Records that an endpoint crashed, or may have: all requests lost there recently are suspects.
 fn crashed(state: &mut CoreState, endpoint: EndpointId, life: u64, evidence: CrashEvidence) {
     let number = open_record(state, endpoint, life, evidence);
     suspect_losses(state, endpoint, number);
@@ -176,13 +177,13 @@
     if evidence == CrashEvidence::Confirmed {
         let config = &state.config.quarantine;
         for fingerprint in state.crashes.confirm(number, now, config) {
-            refuse_everywhere(state, fingerprint);
+            refuse_fleet_wide(state, fingerprint);
         }
     }
     number
 }
 
-/// Makes suspects of what was lost on an endpoint lately.
+/// Marks the requests that were lost on an endpoint recently as suspects.
 fn suspect_losses(state: &mut CoreState, endpoint: EndpointId, number: u64) {
     let oldest = Moment(state.now.0.saturating_sub(evidence_window(state).0));
     let losses = state.crashes.take_losses(endpoint, oldest);
@@ -202,18 +203,18 @@
         let config = &state.config.quarantine;
         let now = state.now;
         if state.crashes.add_suspect(number, *fingerprint, now, config) {
-            refuse_everywhere(state, *fingerprint);
+            refuse_fleet_wide(state, *fingerprint);
         }
     }
-    set_apart(state, fingerprints);
+    isolate_queued(state, fingerprints);
 }
 
-fn refuse_everywhere(state: &mut CoreState, fingerprint: RequestFingerprint) {
+fn refuse_fleet_wide(state: &mut CoreState, fingerprint: RequestFingerprint) {
     state.crashes.unannounced_refusals.insert(fingerprint);
     refuse_waiting(state, fingerprint);
 }
 
-/// Ends what waits here under a fingerprint that is refused from now on.
+/// Refuses the requests waiting here that have a refused fingerprint.
 fn refuse_waiting(state: &mut CoreState, fingerprint: RequestFingerprint) {
     let Some(until) = state.crashes.refused_until(fingerprint, state.now) else {
         return;
@@ -229,8 +230,8 @@
     }
 }
 
-/// Takes what waits here under these fingerprints out of the common queue.
-fn set_apart(state: &mut CoreState, fingerprints: &BTreeSet<RequestFingerprint>) {
+/// Moves the requests queued here with these fingerprints out of the common queue into isolation.
+fn isolate_queued(state: &mut CoreState, fingerprints: &BTreeSet<RequestFingerprint>) {
     if fingerprints.is_empty() {
         return;
     }
@@ -246,7 +247,8 @@
     }
 }
 
-/// Looks through all requests of this router; done only when attempts were lost.
+/// Returns the requests here with these fingerprints that are not running. It scans all requests
+/// of this router, which is done only when attempts were lost.
 fn waiting_with(state: &CoreState, fingerprints: &BTreeSet<RequestFingerprint>) -> Vec<RequestId> {
     state
         .requests
@@ -257,10 +259,10 @@
         .collect()
 }
 
-/// True while it is not known whether the endpoint that lost a request's last attempt crashed.
-/// A retry that did not wait for it would crash the next endpoint before anybody is a suspect.
+/// Returns true while it is not known whether the endpoint that lost a request's last attempt
+/// crashed. A retry before that could crash the next endpoint before any request is a suspect.
 #[must_use]
-pub fn awaits_sign(state: &CoreState, request: RequestId) -> bool {
+pub fn awaits_crash_check(state: &CoreState, request: RequestId) -> bool {
     let entry = state.requests.get(request);
     let Some(endpoint) = entry.and_then(|entry| entry.last_endpoint) else {
         return false;
@@ -271,8 +273,9 @@
     state.now.since(lost_at) < check_window(state)
 }
 
-/// Takes over a request that would be queued, if it is a suspect.
-pub fn isolates(state: &mut CoreState, request: RequestId) -> bool {
+/// Isolates a request that is about to be queued if it is a suspect or a copy of it was just lost;
+/// returns true if so.
+pub fn isolate_if_suspect(state: &mut CoreState, request: RequestId) -> bool {
     let suspect = state
         .requests
         .get(request)
@@ -284,8 +287,8 @@
     suspect
 }
 
-/// True while a lost copy of the request may turn out to have crashed its endpoint: another
-/// copy started now could crash the next one.
+/// Returns true while a lost copy of the request may turn out to have crashed its endpoint. Another
+/// copy started now could crash the next endpoint.
 fn has_unexplained_loss(state: &CoreState, fingerprint: RequestFingerprint) -> bool {
     let oldest = Moment(state.now.0.saturating_sub(check_window(state).0));
     state.crashes.has_unexplained_loss(fingerprint, oldest)
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of crashes, lost copies, suspects and refusals.
+//! Notices between routers about crashes, lost copies, suspects and refusals.
 
 use std::collections::BTreeSet;
 
@@ -12,19 +12,19 @@
 
 use super::trials;
 
-/// Requests told of in one notice as lost, so that a link that breaks under all of an endpoint's
-/// requests costs a bounded message. Those beyond are told in the next ticks.
-const MOST_LOST_TOLD: usize = 64;
+/// Lost requests named in one notice at most, so that the message stays bounded when a link breaks
+/// while an endpoint runs many requests. The rest follows in the next ticks.
+const MAX_LOSSES_PER_NOTICE: usize = 64;
 
-/// One notice for each crash and tick with news, and one for all other news, goes to each live
-/// router. It is not passed on, so one crash costs at most two notices for each pair of routers
-/// and tick in which attempts were lost.
-pub fn tell_peers(state: &mut CoreState) {
+/// Sends one notice for each crash with new suspects, and one for all other changes, to each live
+/// router. Notices are not passed on, so one crash costs at most two notices for each pair of
+/// routers and tick in which attempts were lost.
+pub fn send_notices(state: &mut CoreState) {
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
         refused: numbers(std::mem::take(&mut state.crashes.unannounced_refusals)),
         innocent: numbers(std::mem::take(&mut state.crashes.unannounced_clearances)),
-        lost: take_some(&mut state.crashes.unannounced_losses),
+        lost: take_batch(&mut state.crashes.unannounced_losses),
         ..QuarantineNotice::default()
     };
     if others != QuarantineNotice::default() {
@@ -59,8 +59,8 @@
         .collect()
 }
 
-fn take_some(fingerprints: &mut BTreeSet<RequestFingerprint>) -> Vec<u64> {
-    let rest = fingerprints.iter().nth(MOST_LOST_TOLD).copied();
+fn take_batch(fingerprints: &mut BTreeSet<RequestFingerprint>) -> Vec<u64> {
+    let rest = fingerprints.iter().nth(MAX_LOSSES_PER_NOTICE).copied();
     let rest = rest.map_or_else(BTreeSet::new, |first| fingerprints.split_off(&first));
     numbers(std::mem::replace(fingerprints, rest))
 }
@@ -79,11 +79,11 @@
     numbers.iter().copied().map(RequestFingerprint).collect()
 }
 
-/// Takes in what another router, or this one as a home, tells.
-pub fn take_notice(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
+/// Handles a notice from another router, or from this one in its role as the home of a fingerprint.
+pub fn handle_notice(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
     let suspects = fingerprints(&notice.fingerprints);
-    remind(state, from, &suspects);
-    remind(state, from, &fingerprints(&notice.wanted));
+    resend_refusals(state, from, &suspects);
+    resend_refusals(state, from, &fingerprints(&notice.wanted));
     take_crash(state, notice, &suspects);
     for fingerprint in fingerprints(&notice.innocent) {
         state.crashes.clear(fingerprint);
@@ -95,8 +95,8 @@
         }
     }
     take_losses(state, &fingerprints(&notice.lost));
-    trials::take_asks(state, from, notice);
-    trials::take_answers(state, notice);
+    trials::handle_lease_requests(state, from, notice);
+    trials::handle_lease_answers(state, notice);
 }
 
 fn take_crash(
@@ -118,17 +118,22 @@
     super::suspect_losses(state, endpoint, number);
 }
 
-/// Copies of a request that another router lost are held until it is known why.
+/// Holds back copies of requests that another router lost until it is known why they were lost.
 fn take_losses(state: &mut CoreState, lost: &BTreeSet<RequestFingerprint>) {
     for fingerprint in lost {
         state.crashes.record_remote_loss(*fingerprint, state.now);
     }
-    super::set_apart(state, lost);
+    super::isolate_queued(state, lost);
 }
 
-/// A router that calls a refused request a mere suspect has restarted, or was cut off, when the
-/// refusal was told. It would let the request crash further endpoints; so it is told again.
-fn remind(state: &mut CoreState, from: &HostName, suspects: &BTreeSet<RequestFingerprint>) {
+/// Sends the refusal again to a router that still treats a refused request as a suspect. That
+/// router had restarted, or was disconnected, when the refusal was sent, and would let the request
+/// crash more endpoints.
+fn resend_refusals(
+    state: &mut CoreState,
+    from: &HostName,
+    suspects: &BTreeSet<RequestFingerprint>,
+) {
     let refused: Vec<u64> = suspects
         .iter()
         .filter(|suspect| state.crashes.refused_until(**suspect, state.now).is_some())
