--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -1,4 +1,4 @@
-//! Taking a call in: key, path, kind, ticket and body are checked, then the core is told.
+//! Admission of a call: validates its key, path, kind, ticket and body, then passes it to the core.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,8 +39,8 @@
 use super::task::RequestTask;
 use super::task::StoredCall;
 
-/// Answers a call, whichever way it came. Dropping the returned future or the answer's body
-/// tells that the caller left.
+/// Answers a call from a caller or a peer. Dropping the returned future or the answer's body means
+/// that the caller has disconnected.
 pub async fn answer(context: &Arc<EntryContext>, call: IncomingCall) -> CallAnswer {
     match admit(context, call).await {
         Ok(answer) => answer,
@@ -66,7 +66,7 @@
     context
         .tasks
         .spawn(task.run(CallerSide::new(sender, links)));
-    // A task that ended without an answer was stopped with the whole process.
+    // A task ends without an answer only when the whole process shuts down.
     let mut answer = receiver.await.map_err(|_| CallFault::Refused {
         reason: RefusalReason::Draining,
         outcome: RunOutcome::Unknown,
@@ -234,7 +234,7 @@
         .ok()
 }
 
-/// The headers that go on to an endpoint.
+/// Returns the caller's headers that are sent to an endpoint.
 #[must_use]
 pub fn endpoint_headers(fields: &HeaderMap) -> HeaderMap {
     let mut passed = headers::for_endpoint(fields);
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are kept so that a resend with the same ticket gets them too.
+//! Stored answers, so that a resend with the same ticket gets the answer of the first request.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 use crate::units::RequestId;
 
-/// The head of an answer.
+/// Status and headers of an answer.
 #[derive(Debug, Clone)]
 pub struct AnswerHead {
     /// Its status.
@@ -22,7 +22,7 @@
     pub headers: HeaderMap,
 }
 
-/// Where a kept answer stands.
+/// State of a stored answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RecordStage {
     Open,
@@ -38,7 +38,7 @@
     stage: RecordStage,
 }
 
-/// One answer, kept while it comes and afterwards.
+/// One answer, stored while it arrives and after it is complete.
 #[derive(Debug)]
 pub struct AnswerRecord {
     limit: usize,
@@ -47,7 +47,7 @@
 }
 
 impl AnswerRecord {
-    /// An empty record that keeps up to `limit` bytes.
+    /// Creates an empty record that stores up to `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -67,12 +67,13 @@
         self.changed.notify_waiters();
     }
 
-    /// Keeps the head.
+    /// Stores the head and wakes the waiting callers.
     pub fn set_head(&self, head: &AnswerHead) {
         self.change(|state| state.head = Some(head.clone()));
     }
 
-    /// Keeps a chunk. A record over its limit breaks: joiners are told so and get no part.
+    /// Stores a chunk. A record that exceeds its limit discards its chunks and becomes broken:
+    /// callers that wait for it get no more of it.
     pub fn push(&self, chunk: &Bytes) {
         self.change(|state| {
             state.bytes += chunk.len();
@@ -85,21 +86,21 @@
         });
     }
 
-    /// Bytes kept so far; `None` if the record broke.
+    /// Returns the number of bytes stored so far, or `None` if the record is broken.
     #[must_use]
     pub fn kept_bytes(&self) -> Option<usize> {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         (state.stage != RecordStage::Broken).then_some(state.bytes)
     }
 
-    /// True if the whole answer is kept.
+    /// Returns true if the whole answer is stored.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.stage == RecordStage::Whole
     }
 
-    /// Notes that the answer is whole (true) or never will be (false).
+    /// Ends the record: as whole if `whole` is true, else as broken.
     pub fn end(&self, whole: bool) {
         self.change(|state| {
             if state.stage == RecordStage::Open {
@@ -112,7 +113,7 @@
         });
     }
 
-    /// Waits for the head; `None` if there is none to come.
+    /// Waits for the head; returns `None` if the answer ended or broke without one.
     pub async fn head(&self) -> Option<AnswerHead> {
         loop {
             let changed = self.changed.notified();
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Passes the answer on to a later caller; true if it was whole.
+    /// Sends the stored answer to another caller, waiting for chunks that are still to arrive.
+    /// Returns true if the caller got the whole answer.
     pub async fn copy_to(&self, caller: &mpsc::Sender<Bytes>) -> bool {
         let mut next = 0;
         loop {
@@ -154,15 +156,15 @@
     }
 }
 
-/// The kept answers of this router.
+/// The answers stored by this router.
 #[derive(Debug, Default)]
 pub struct AnswerStore {
     records: Mutex<BTreeMap<RequestId, Arc<AnswerRecord>>>,
 }
 
 impl AnswerStore {
-    /// The record of a request's answer, begun if there is none. Whoever comes first begins it:
-    /// the request itself at its first attempt, or a resend that waits for its answer.
+    /// Returns the record of a request's answer, creating it if there is none. It is created by
+    /// whichever comes first: the request's first attempt, or a resend that waits for its answer.
     pub fn open(&self, request: RequestId, limit: usize) -> Arc<AnswerRecord> {
         let mut records = self.lock();
         let record = records
@@ -171,7 +173,7 @@
         Arc::clone(record)
     }
 
-    /// Drops the kept answer of a request.
+    /// Removes the stored answer of a request.
     pub fn forget(&self, request: RequestId) {
         self.lock().remove(&request);
     }
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -1,5 +1,5 @@
-//! Reading a call's body: kept while it is small, so that an attempt can be made again, and
-//! passed through in chunks beyond that.
+//! Reading a call's body: a small body is buffered so that an attempt can be retried; what exceeds
+//! the buffer is streamed through in chunks.
 
 use std::time::Duration;
 
@@ -15,35 +15,36 @@
 use super::call::CallBody;
 use super::refusal::CallFault;
 
-/// A body that was read as far as it is kept.
+/// A body whose beginning was read into memory.
 pub struct StoredBody {
-    /// What was read.
+    /// The part that was read.
     pub kept: Bytes,
-    /// What follows; absent if `kept` is all.
+    /// The unread rest; absent if `kept` is the whole body.
     pub rest: Option<CallBody>,
 }
 
-/// How long a body may take.
+/// Time limits for reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyTime {
     /// Longest pause between two chunks.
     pub pause: Duration,
-    /// Longest time for what is kept of it.
+    /// Longest total time for reading the buffered part.
     pub whole: Duration,
 }
 
-/// Reads up to `limit` bytes. Chunks that come in one piece are not copied.
+/// Reads a body until it ends or more than `limit` bytes were read. A body that arrives as a
+/// single chunk is not copied.
 ///
 /// # Errors
-/// [`CallFault::SlowBody`] if it pauses too long, is too slow in all, or breaks off.
+/// [`CallFault::SlowBody`] if the body pauses too long, takes too long in total, or breaks off.
 pub async fn read_body(
     mut body: CallBody,
     limit: usize,
     limits: BodyTime,
 ) -> Result<StoredBody, CallFault> {
     let read = read_kept(&mut body, limit, limits.pause);
-    // A sender that gives a byte now and then would hold a request's memory for hours: seen as
-    // routers full of requests that never arrive. The time for the kept part is bounded.
+    // The total time is bounded as well as the pauses: a sender that trickles single bytes would
+    // occupy memory for hours, and routers filled up with requests that were never complete.
     let (kept, ended) = time::timeout(limits.whole, read)
         .await
         .map_err(|_| CallFault::SlowBody(RunOutcome::NotRun))??;
@@ -88,7 +89,8 @@
     }
 }
 
-/// What follows the kept part of a body, with its pauses and size bounded.
+/// Wraps the unread rest of a body so that it fails if a pause is longer than `pause` or if more
+/// than `left` bytes follow.
 #[must_use]
 pub fn bounded_rest(rest: CallBody, left: u64, pause: Duration) -> CallBody {
     Box::pin(stream::unfold(
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -1,5 +1,5 @@
-//! A call as it comes in and the answer to it, whichever way it came: from a caller's
-//! connection or from a peer that forwards it.
+//! An incoming call and its answer, independent of the transport: a caller's connection or a peer
+//! that forwards the call.
 
 use std::fmt;
 use std::io;
@@ -24,13 +24,14 @@
 use crate::units::TeamId;
 use crate::units::TimeSpan;
 
-/// Chunks of an answer that may wait for a slow reader before its endpoint is held back.
+/// Chunks of an answer that are buffered for a slow caller before backpressure reaches the
+/// endpoint.
 pub const ANSWER_CHUNKS: usize = 4;
 
-/// The body of a call, in chunks.
+/// The body of a call as a stream of chunks.
 pub type CallBody = Pin<Box<dyn Stream<Item = Result<Bytes, BodyFault>> + Send>>;
 
-/// A body that broke off.
+/// The error of a body that ended early: its sender broke off, paused too long or sent too much.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyFault;
 
@@ -42,61 +43,61 @@
 
 impl std::error::Error for BodyFault {}
 
-/// A call.
+/// A call as received, before it is validated.
 pub struct IncomingCall {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
-    /// Its headers.
+    /// The HTTP headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: CallBody,
-    /// Who sent it here.
+    /// The sender.
     pub origin: CallOrigin,
-    /// Cancelled to close the connection that it came over.
+    /// Cancelling it closes the connection that the call arrived on.
     pub abort: CancellationToken,
 }
 
-/// Who sent a call here.
+/// The sender of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOrigin {
-    /// A caller, who must show a key.
+    /// A caller, which must present a key.
     Caller,
-    /// Another router, which has checked the key.
+    /// Another router, which has already authenticated the caller.
     Peer(PeerVouch),
 }
 
-/// What the router that forwards a call says of it.
+/// Facts about a forwarded call, as established by the router that forwards it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerVouch {
-    /// The team that it authenticated.
+    /// The authenticated team.
     pub team: TeamId,
     /// The kind of the request.
     pub kind: KindName,
-    /// How long the caller still waits.
+    /// Time left until the request's deadline.
     pub time_left: TimeSpan,
 }
 
 impl fmt::Debug for IncomingCall {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Headers hold keys: they never get into a log.
+        // Headers contain keys, which must not be logged.
         write!(formatter, "{} {}", self.method, self.target.path())
     }
 }
 
-/// The answer to a call. Dropping its body tells that the caller left.
+/// The answer to a call. Dropping its body means that the caller has disconnected.
 pub type CallAnswer = Response<AnswerBody>;
 
-/// Where the bytes of an answer come from.
+/// The source of an answer's bytes.
 #[derive(Debug)]
 enum AnswerSource {
     Full(Option<Bytes>),
     Chunks(mpsc::Receiver<Bytes>, Arc<AtomicBool>),
 }
 
-/// The body of an answer. An error item means that the answer is not whole: the transport to
-/// the caller must be aborted, so that no client takes it for whole.
+/// The body of an answer. An error item means that the answer is incomplete: the transport must
+/// then abort the caller's connection, so that no client mistakes it for a complete answer.
 #[derive(Debug)]
 pub struct AnswerBody {
     source: AnswerSource,
@@ -104,7 +105,7 @@
 }
 
 impl AnswerBody {
-    /// A body that is here already.
+    /// Creates a body from bytes that are already complete.
     #[must_use]
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self {
@@ -113,8 +114,8 @@
         }
     }
 
-    /// A body in chunks as they come. It is whole only if `whole` is set when the chunks end: a
-    /// sender that is dropped for any other reason has cut it.
+    /// Creates a body from chunks as they arrive. It is complete only if `whole` is set when the
+    /// channel closes; otherwise the body ends with an error.
     #[must_use]
     pub fn chunks(receiver: mpsc::Receiver<Bytes>, whole: Arc<AtomicBool>) -> Self {
         Self {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Cancels this guard's token once the body is dropped.
+    /// Attaches a guard whose token is cancelled when the body is dropped.
     pub fn watch(&mut self, guard: DropGuard) {
         self.watch = Some(guard);
     }
@@ -147,7 +148,7 @@
     }
 }
 
-/// The error that makes a transport abort an answer.
+/// The error that makes the transport abort the caller's connection.
 fn cut_error() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "the answer is not whole")
+    io::Error::new(io::ErrorKind::ConnectionAborted, "the answer is incomplete")
 }
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's side of one request: it gets a head, chunks and an end, or an error, once.
+//! Delivery of one request's answer to its caller: a head, chunks and an end, or an error.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -26,7 +26,7 @@
     Ended,
 }
 
-/// The caller of one request.
+/// The caller of one request and how much of the answer it has received.
 #[derive(Debug)]
 pub struct CallerSide {
     stage: CallerStage,
@@ -35,19 +35,19 @@
     record: Option<Arc<AnswerRecord>>,
 }
 
-/// What ties a caller to its connection.
+/// Connects a request's task to the caller's connection.
 #[derive(Debug)]
 pub struct CallerLinks {
-    /// Cancelled when the caller leaves.
+    /// Cancelled when the caller disconnects.
     pub left: CancellationToken,
-    /// Cancelled to close the caller's connection.
+    /// Cancelling it closes the caller's connection.
     pub abort: CancellationToken,
-    /// Longest pause of a caller that reads its answer.
+    /// Longest time that the caller may take to read the next chunk.
     pub idle: Duration,
 }
 
 impl CallerSide {
-    /// A caller that waits for the head at the other end of `sender`.
+    /// Creates a caller that waits for the answer's head at the receiving end of `sender`.
     #[must_use]
     pub fn new(sender: oneshot::Sender<CallAnswer>, links: CallerLinks) -> Self {
         Self {
@@ -58,31 +58,31 @@
         }
     }
 
-    /// Keeps the answer for resends as well. The answer then comes to its end even if this
-    /// caller leaves.
+    /// Also stores the answer in `record` for resends. The record is filled to the end even if
+    /// this caller disconnects.
     pub fn keep_in(&mut self, record: Arc<AnswerRecord>) {
         self.record = Some(record);
     }
 
-    /// The record that the answer is kept in.
+    /// Returns the record that the answer is stored in.
     #[must_use]
     pub fn record(&self) -> Option<&Arc<AnswerRecord>> {
         self.record.as_ref()
     }
 
-    /// Cancelled when the caller leaves.
+    /// Returns a token that is cancelled when the caller disconnects.
     #[must_use]
     pub fn left(&self) -> CancellationToken {
         self.links.left.clone()
     }
 
-    /// True if a part of the answer may have reached the caller.
+    /// Returns true if part of the answer may have reached the caller.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         !matches!(self.stage, CallerStage::Waiting(_))
     }
 
-    /// Gives the head of an answer that comes in chunks.
+    /// Sends the head of an answer that follows in chunks.
     pub fn begin(&mut self, head: AnswerHead) {
         if let Some(record) = &self.record {
             record.set_head(&head);
@@ -99,8 +99,9 @@
         }
     }
 
-    /// Gives a chunk; waits while the caller reads slowly. One that reads nothing at all for too
-    /// long would hold its endpoint's slot for ever: its connection is closed.
+    /// Sends a chunk and waits while the caller's buffer is full. The connection of a caller that
+    /// reads nothing for too long is closed, since it would otherwise occupy a slot of its
+    /// endpoint forever.
     pub async fn push(&mut self, chunk: Bytes) {
         if let Some(record) = &self.record {
             record.push(&chunk);
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Gives an answer that is here whole.
+    /// Sends a complete answer with its head.
     pub fn give_whole(&mut self, head: AnswerHead, body: Bytes) {
         if let Some(record) = &self.record {
             record.set_head(&head);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Ends an answer that is whole.
+    /// Ends the answer as complete.
     pub fn end(&mut self) {
         if let Some(record) = &self.record {
             record.end(true);
@@ -139,8 +140,8 @@
         self.stage = CallerStage::Ended;
     }
 
-    /// Tells the caller of a fault: as an error answer, or, if the answer has begun, by aborting
-    /// the transport. A caller must never take a part for the whole.
+    /// Reports a fault to the caller: as an error answer, or, if the answer has begun, by aborting
+    /// the connection, so that the caller can't mistake a partial answer for a complete one.
     pub fn fail(&mut self, fault: CallFault) {
         if let Some(record) = &self.record {
             record.end(false);
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Passes another request's kept answer on.
+    /// Sends another request's stored answer and ends.
     pub async fn copy(&mut self, record: &AnswerRecord) {
         if let CallerStage::Streaming(sender) = &self.stage {
             let whole = record.copy_to(sender).await;
--- a/src/entry/catalog.rs
+++ b/src/entry/catalog.rs
@@ -1,4 +1,4 @@
-//! The publication as the entry side looks things up in it.
+//! Indexes over the publication for the entry side's lookups.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -17,7 +17,7 @@
 
 const INDEX_BYTES: usize = 8;
 
-/// A catalog with an index of keys and of path prefixes.
+/// A publication with indexes of keys and path prefixes.
 #[derive(Debug, Default)]
 pub struct EntryCatalog {
     /// The publication.
@@ -27,7 +27,7 @@
 }
 
 impl EntryCatalog {
-    /// Indexes a publication.
+    /// Builds the indexes of a publication.
     #[must_use]
     pub fn new(fleet: Arc<FleetCatalog>) -> Self {
         let mut keys: BTreeMap<_, Vec<_>> = BTreeMap::new();
@@ -52,17 +52,17 @@
         }
     }
 
-    /// The source's revision of it.
+    /// Returns the publication's revision at its source.
     #[must_use]
     pub fn revision(&self) -> ConfigRevision {
         self.fleet.revision
     }
 
-    /// The team that a key belongs to.
+    /// Returns the team that a key belongs to.
     ///
-    /// A caller who measures how long a refusal takes could otherwise find a key byte by byte.
-    /// Only hashes are compared, the whole of them in constant time; the index tells no more
-    /// than the first bytes of a hash, from which no key can be derived.
+    /// Guards against timing attacks, in which a caller measures how long a refusal takes to find
+    /// a key byte by byte. Only hashes are compared, in full and in constant time; the index
+    /// reveals at most the first bytes of a hash, from which no key can be derived.
     #[must_use]
     pub fn team_of_key(&self, key: &[u8]) -> Option<TeamId> {
         let hash: [u8; 32] = Sha256::digest(key).into();
@@ -73,7 +73,7 @@
             .map(|(_, team)| *team)
     }
 
-    /// The plain service whose prefix is the longest that `path` lies under.
+    /// Returns the plain service with the longest prefix that matches `path`.
     #[must_use]
     pub fn plain_pool(&self, path: &str) -> Option<PoolId> {
         self.prefixes
@@ -94,7 +94,7 @@
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// The hash of a key as it is published: lower-case hexadecimal SHA-256.
+/// Returns the hash of a key as it is published: lower-case hexadecimal SHA-256.
 #[must_use]
 pub fn key_hash_text(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -1,4 +1,4 @@
-//! What all requests of a router share on the traffic side.
+//! State that all requests of a router share on the traffic side.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -14,28 +14,28 @@
 use crate::tickets::TicketSigner;
 use crate::units::RequestId;
 
-/// Shared by all requests.
+/// State shared by all requests.
 #[derive(Debug)]
 pub struct EntryContext {
-    /// The way to the control thread.
+    /// Connection to the control thread.
     pub control: ControlLink,
     /// Connections to endpoints.
     pub connections: EndpointConnections,
-    /// Limits.
+    /// Limits and timeouts of traffic.
     pub config: TrafficConfig,
     /// Makes and checks tickets.
     pub signer: TicketSigner,
-    /// The way to peers for forwarded requests; absent in a router without peers.
+    /// Client that forwards requests to peers; absent in a router without peers.
     pub forwards: Option<ForwardClient>,
-    /// What operators can ask for.
+    /// Records that operators can query.
     pub records: Arc<RouterRecords>,
-    /// Tasks of requests, waited for at a shutdown.
+    /// Tasks of requests; a shutdown waits for them.
     pub tasks: TaskTracker,
     last_request: AtomicU64,
 }
 
 impl EntryContext {
-    /// A context for one router life.
+    /// Creates the context of one router incarnation.
     #[must_use]
     pub fn new(
         control: ControlLink,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A request id that this router life has not used.
+    /// Returns the next request id, unique within this router incarnation.
     pub fn next_request(&self) -> RequestId {
         RequestId(self.last_request.fetch_add(1, Ordering::Relaxed) + 1)
     }
--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests that another router answers, and requests that another router sent here.
+//! Forwarding of requests to peers, and answering of requests that peers forward here.
 
 use std::sync::Arc;
 
@@ -50,22 +50,23 @@
 use super::refusal::CallFault;
 use super::task::StoredCall;
 
-/// One request on its way to the peer that answers it.
+/// Forwards one request to a peer.
 pub struct Forwarding<'a> {
-    /// What all requests share.
+    /// State shared by all requests.
     pub context: &'a EntryContext,
-    /// What the core knew of it.
+    /// The request's facts, as passed to the core.
     pub facts: &'a RequestFacts,
     /// The call.
     pub call: &'a mut StoredCall,
-    /// Where the answer goes.
+    /// The caller that gets the answer.
     pub caller: &'a mut CallerSide,
-    /// True if an attempt made from here may have run it.
+    /// True if an earlier attempt from this router may have run the request.
     pub may_have_run: bool,
 }
 
 impl Forwarding<'_> {
-    /// Forwards the request and passes the peer's answer on. Ends early if the caller leaves.
+    /// Forwards the request and passes the peer's answer on to the caller. Ends early if the
+    /// caller disconnects.
     pub async fn run(mut self, host: HostName) {
         let (request, team) = (self.facts.request, self.facts.team);
         spdlog::debug!("entry: request {request} team {team} forwarded to {host}.");
@@ -73,7 +74,7 @@
         let work = self.pass_on(host);
         let passed = left.run_until_cancelled(work).await;
         if let Some(Err(fault)) = passed {
-            spdlog::info!("entry: request {request} team {team} lost on its way: {fault:?}.");
+            spdlog::info!("entry: request {request} team {team} forwarding failed: {fault:?}.");
             self.caller.fail(fault);
         }
     }
@@ -92,7 +93,7 @@
         Ok(())
     }
 
-    /// The peer and the way to it are known by the core's members.
+    /// Opens the forwarding connection. The peer's address is looked up in the core's members.
     async fn open(&mut self, host: HostName) -> Result<(ForwardSink, ForwardAnswer), CallFault> {
         let client = self.context.forwards.as_ref().ok_or(self.lost(false))?;
         let wanted = host.clone();
@@ -126,7 +127,8 @@
         self.lost(step == PeerStep::Write)
     }
 
-    /// A request with a ticket may have run on an earlier try: only its minter can say "not run".
+    /// Returns the fault for a peer that can't be reached. A request with a ticket may have run on
+    /// an earlier try, so only the router that minted the ticket can report "not run".
     fn lost(&self, sent: bool) -> CallFault {
         let outcome = match (sent || self.may_have_run, self.ticket()) {
             (false, None) => RunOutcome::NotRun,
@@ -135,7 +137,8 @@
         CallFault::PeerLost(outcome)
     }
 
-    /// A peer that refuses the request knows nothing of attempts made from here.
+    /// Changes the outcome "not run" to "unknown" if an attempt from this router may have run the
+    /// request: the peer that refuses it doesn't know of such attempts.
     fn corrected(&self, mut head: AnswerHead) -> AnswerHead {
         let not_run = headers::outcome_value(RunOutcome::NotRun);
         if self.may_have_run && head.headers.get(headers::OUTCOME) == Some(&not_run) {
@@ -155,7 +158,7 @@
     fn head(&self) -> ForwardHead {
         let mut fields = self.call.headers.clone();
         headers::strip_connection(&mut fields);
-        // The peer is told the team; the key itself stays here.
+        // The peer gets the team in the head. The key is not passed on.
         fields.remove(header::AUTHORIZATION);
         let left = self.facts.deadline.since(self.context.control.clock.now());
         let ticket = self.ticket();
@@ -174,7 +177,8 @@
 
 async fn send_body(mut sink: ForwardSink, mut body: OutgoingBody) {
     while let Some(frame) = body.frame().await {
-        // A body that broke off drops the sink unfinished: the peer sees the caller leave.
+        // If the body broke off, the sink is dropped unfinished, which the peer treats as the
+        // caller disconnecting.
         let Some(piece) = frame.ok().and_then(|frame| frame.into_data().ok()) else {
             return;
         };
@@ -220,7 +224,7 @@
     map
 }
 
-/// Answers a request that a peer forwarded, until its caller leaves.
+/// Answers a request that a peer forwarded. Ends early if its caller disconnects.
 pub async fn serve_forwarded(context: Arc<EntryContext>, call: ForwardedCall) {
     let ForwardedCall {
         remote,
@@ -231,7 +235,7 @@
     } = call;
     let Some(call) = incoming(&head, forwarded_body(body)) else {
         spdlog::warn!(
-            "entry: {} forwarded a request with a bad head.",
+            "entry: {} forwarded a request with a malformed head.",
             remote.host
         );
         return;
@@ -241,7 +245,7 @@
         let (head, mut body) = wire_answer(answered);
         sender.head(head).await?;
         while let Some(chunk) = body.next().await {
-            // A cut answer drops the sender unfinished, so the peer sees the cut as well.
+            // If the answer is cut, the sender is dropped unfinished, so the peer sees the cut too.
             let Ok(chunk) = chunk else {
                 return Err(AnswerClosed);
             };
--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -33,9 +33,9 @@
 use super::context::EntryContext;
 use super::refusal::CallFault;
 
-/// Rest after a failed accept, such as when no more files can be opened.
+/// Pause after a failed accept, for example when the process has no file descriptors left.
 const ACCEPT_REST: Duration = Duration::from_millis(20);
-/// Smallest buffer that `hyper` works with.
+/// Smallest buffer that `hyper` accepts, in bytes.
 const LEAST_BUFFER: usize = 8 * 1024;
 
 /// The listener for callers.
@@ -50,7 +50,7 @@
     /// Opens the listener.
     ///
     /// # Errors
-    /// If the address can't be listened on.
+    /// If the listener can't be bound to the address.
     pub async fn bind(address: SocketAddr, context: Arc<EntryContext>) -> Result<Self, io::Error> {
         Ok(Self {
             listener: TcpListener::bind(address).await?,
@@ -59,15 +59,16 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     ///
     /// # Errors
-    /// If the system does not say.
+    /// If the operating system can't report the address.
     pub fn address(&self) -> Result<SocketAddr, io::Error> {
         self.listener.local_addr()
     }
 
-    /// Serves callers until `closing` is cancelled, then lets every answer in flight end.
+    /// Serves callers until `closing` is cancelled, then waits until all answers in flight have
+    /// ended.
     pub async fn serve(self, closing: CancellationToken) {
         loop {
             let accepted = tokio::select! {
@@ -118,8 +119,8 @@
         .max_buf_size(header_bytes);
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
-        // A caller that breaks off ends its connection with an error; its request is told so
-        // by the drop of its answer.
+        // The error of a broken connection is ignored: the request learns of it when its answer is
+        // dropped.
         _ = connection.as_mut() => return,
         () = abort.cancelled() => return,
         () = closing.cancelled() => connection.as_mut().graceful_shutdown(),
@@ -127,7 +128,7 @@
     let _ = abort.run_until_cancelled(connection).await;
 }
 
-/// Every method and path, with the body as a stream.
+/// A filter that accepts every method and path, with the body as a stream.
 fn filter(
     context: Arc<EntryContext>,
     abort: CancellationToken,
@@ -140,7 +141,7 @@
         .and(query)
         .and(warp::header::headers_cloned())
         .and(warp::body::stream())
-        // Boxed: the filters move their future several times, and it is large.
+        // Boxed because the future is large and the filters move it several times.
         .then(|shared, method, path, query, headers, body| {
             Box::pin(take_call(shared, method, path, query, headers, body))
         })
--- a/src/entry/headers.rs
+++ b/src/entry/headers.rs
@@ -1,4 +1,4 @@
-//! Names of the headers that the system reads and writes, and which headers pass through.
+//! Names of the headers that the system reads and writes, and filters for the headers passed on.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -7,21 +7,21 @@
 
 use crate::core::action::RunOutcome;
 
-/// From callers: the kind of request.
+/// From callers: the request's kind.
 pub const KIND: HeaderName = HeaderName::from_static("verbenaturn-kind");
 /// From and to callers: the ticket of an unrepeatable request.
 pub const TICKET: HeaderName = HeaderName::from_static("verbenaturn-ticket");
-/// To callers, on every error: `ran`, `not-run` or `unknown`.
+/// To callers, on every error: whether the request ran, as `ran`, `not-run` or `unknown`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("verbenaturn-outcome");
-/// To endpoints: incarnation, request and attempt.
+/// To endpoints: router incarnation, request and attempt.
 pub const REQUEST: HeaderName = HeaderName::from_static("verbenaturn-request");
 /// To endpoints: how many events of the answer the caller already has.
 pub const RESUME_AT: HeaderName = HeaderName::from_static("verbenaturn-resume-at");
-/// From endpoints, on a streamed answer: the event that it begins with. An endpoint that does
-/// not send it can't resume.
+/// From endpoints, on a streamed answer: index of its first event. An endpoint that doesn't send
+/// this header can't resume.
 pub const RESUMED_AT: HeaderName = HeaderName::from_static("verbenaturn-resumed-at");
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Headers that apply to one connection only (RFC 9110, section 7.6.1).
 const PER_CONNECTION: [HeaderName; 9] = [
     header::CONNECTION,
     header::HOST,
@@ -36,8 +36,7 @@
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Removes what concerns only the connection that the headers came over, the headers that
-/// `Connection` names included.
+/// Removes the headers that apply to one connection only, including those that `Connection` names.
 pub fn strip_connection(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -55,8 +54,8 @@
     }
 }
 
-/// What an endpoint may see of a caller's headers: no key, no ticket, nothing that the
-/// connection or this system owns.
+/// Returns the headers of a caller that an endpoint may see: without the key, the ticket, the
+/// headers of the connection and this system's own headers.
 #[must_use]
 pub fn for_endpoint(headers: &HeaderMap) -> HeaderMap {
     let mut passed = headers.clone();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,7 +1,8 @@
-//! The entry side: calls come in, are checked, wait for the core's decision and get answers.
+//! The entry side of a router: receives calls, validates them, waits for the core's decision and
+//! returns the answers.
 //!
-//! One task a request ([`task`]) carries out what the core decides for it. [`front`] takes calls
-//! from callers; forwarded calls from peers go through the same [`admit::answer`].
+//! Each request has its own task ([`task`]), which carries out the core's decisions. [`front`]
+//! accepts calls from callers; calls forwarded by peers go through the same [`admit::answer`].
 
 pub mod admit;
 pub mod answers;
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Error answers: problem+json (RFC 9457) that says what to do, with the outcome header.
+//! Error answers: problem+json (RFC 9457) with advice for the caller, and the outcome header.
 
 use http::HeaderValue;
 use http::Response;
@@ -17,39 +17,40 @@
 use super::call::CallAnswer;
 use super::headers;
 
-/// Why a call was turned away.
+/// Why a call was refused or failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallFault {
-    /// No key, or one that no team has.
+    /// The call has no key, or a key that belongs to no team.
     UnknownKey,
-    /// Nothing is published under the path.
+    /// No service is published under the path.
     UnknownPath,
     /// The named model is not published.
     UnknownModel,
     /// The team has no kind of this name.
     UnknownKind,
-    /// The ticket header is not a ticket.
+    /// The ticket header is malformed or forged.
     BadTicket,
-    /// The body is not what the API asks for.
+    /// The body is not a valid completion request.
     BadBody,
-    /// The body is larger than the limit, in bytes.
+    /// The body is larger than this limit in bytes.
     BodyTooLarge(u64),
-    /// The body came too slowly or broke off.
+    /// The body arrived too slowly or broke off.
     SlowBody(RunOutcome),
-    /// The router knows no publication yet.
+    /// The router has not received a publication yet.
     NotReady,
-    /// The core refused it.
+    /// The core refused the request.
     Refused {
         /// Why.
         reason: RefusalReason,
-        /// What is known of its execution.
+        /// Whether the request ran.
         outcome: RunOutcome,
-        /// When to come back; zero if coming back does not help.
+        /// Time until a retry; zero if a retry doesn't help.
         retry_after: TimeSpan,
     },
-    /// An unrepeatable request came without a ticket.
+    /// An unrepeatable request arrived without a ticket; this one is offered.
     TicketNeeded(TicketText),
-    /// The peer that the request was forwarded to can't be reached.
+    /// The peer that the request was forwarded to could not be reached or broke off, or the
+    /// endpoint's answer was cut and can't be resumed.
     PeerLost(RunOutcome),
 }
 
@@ -154,7 +155,7 @@
         }
     }
 
-    /// The answer to the caller.
+    /// Builds the error answer for the caller.
     #[must_use]
     pub fn into_answer(self) -> CallAnswer {
         let status = self.status();
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -1,4 +1,4 @@
-//! What a call asks for: its pool, kind and whether it may be repeated.
+//! Routing of a call: its pool, its kind and whether it may be repeated.
 
 use http::HeaderMap;
 use http::Method;
@@ -27,19 +27,19 @@
 
 const COMPLETIONS: &str = "/v1/completions";
 const CHAT_COMPLETIONS: &str = "/v1/chat/completions";
-/// Bytes of a prompt that are taken as its prefix.
+/// Bytes at the start of a prompt that are hashed as its prefix.
 const PREFIX_BYTES: usize = 512;
 
-/// What a path leads to.
+/// The target that a path selects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PathTarget {
-    /// The completion API; the model stands in the body.
+    /// The completion API; the body names the model.
     Completion,
     /// A plain service.
     Plain(PoolId),
 }
 
-/// What the body of a completion call says.
+/// The fields of a completion call's body that routing needs.
 #[derive(Debug, Deserialize)]
 struct CompletionBody {
     model: SmolStr,
@@ -49,21 +49,21 @@
     _prompt: Option<IgnoredAny>,
 }
 
-/// Where a completion call goes.
+/// The route of a completion call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CompletionRoute {
     /// The model's pool.
     pub pool: PoolId,
-    /// True if the answer shall be streamed.
+    /// True if the caller asks for a streamed answer.
     pub streamed: bool,
-    /// Hash of the prompt's beginning.
+    /// Hash of the prompt's prefix; never 0.
     pub prefix: u64,
 }
 
-/// What a path leads to.
+/// Returns the target that a method and path select.
 ///
 /// # Errors
-/// [`CallFault::UnknownPath`].
+/// [`CallFault::UnknownPath`] if nothing is published under the path.
 pub fn path_target(
     catalog: &EntryCatalog,
     method: &Method,
@@ -78,10 +78,11 @@
         .ok_or(CallFault::UnknownPath)
 }
 
-/// Reads a completion call's body.
+/// Parses a completion call's body and returns its route.
 ///
 /// # Errors
-/// [`CallFault::BadBody`] or [`CallFault::UnknownModel`].
+/// [`CallFault::BadBody`] if the body can't be parsed, [`CallFault::UnknownModel`] if its model is
+/// not published.
 pub fn completion_route(catalog: &EntryCatalog, body: &[u8]) -> Result<CompletionRoute, CallFault> {
     let parsed: CompletionBody = serde_json::from_slice(body).map_err(|_| CallFault::BadBody)?;
     let name: PoolName = parsed.model.parse().map_err(|_| CallFault::UnknownModel)?;
@@ -101,8 +102,8 @@
     })
 }
 
-/// Engines cache prompts by their beginning; what stands before the prompt in the JSON text
-/// differs between callers and is left out.
+/// Returns the hash of the prompt's prefix. Engines cache prompts by prefix; the JSON text before
+/// the prompt differs between callers and is left out.
 fn prefix_of(body: &[u8]) -> u64 {
     let start = ["\"messages\"", "\"prompt\""]
         .iter()
@@ -116,7 +117,7 @@
     body.windows(wanted.len()).position(|part| part == wanted)
 }
 
-/// The kind of a call: the one that its header names, else the first whose method and path
+/// Returns the kind of a call: the one that its header names, else the first whose method and path
 /// match, else the team's default.
 ///
 /// # Errors
@@ -160,8 +161,9 @@
     has_rule && method_fits && path_fits
 }
 
-/// Whether a call may be repeated. A call that matches an unrepeatable kind by method and path
-/// is unrepeatable even if its header names another kind: a wrong header must not double a tag.
+/// Returns whether a call may be repeated. A call that matches an unrepeatable kind by method and
+/// path is unrepeatable even if its header names another kind, so that a wrong header can't cause
+/// a write to be executed twice.
 #[must_use]
 pub fn repeat_rule(
     team: &TeamEntry,
@@ -180,7 +182,7 @@
     RepeatRule::Repeatable
 }
 
-/// The ticket that a call shows.
+/// Returns the ticket that a call carries.
 ///
 /// # Errors
 /// [`CallFault::BadTicket`] if it is malformed or forged.
@@ -199,7 +201,8 @@
         .map_err(|_| CallFault::BadTicket)
 }
 
-/// Recognises resends: a hash of team, method, path and what is kept of the body.
+/// Returns the fingerprint that identifies resends of a request: a hash of team, method, path and
+/// the buffered part of the body.
 #[must_use]
 pub fn fingerprint(team: TeamId, method: &Method, path: &str, body: &[u8]) -> RequestFingerprint {
     let mut hasher = Xxh3::new();
--- a/src/entry/task.rs
+++ b/src/entry/task.rs
@@ -1,5 +1,5 @@
-//! One request's task: it carries out what the core decides for the request, and tells the core
-//! what became of it.
+//! The task of one request: carries out the core's commands for the request and reports the
+//! results to the core.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -38,23 +38,23 @@
 use super::forwarding::Forwarding;
 use super::refusal::CallFault;
 
-/// The body of a call, for as many attempts as it can serve.
+/// The body of a call, as a source for attempts.
 pub enum BodySource {
-    /// Kept whole: any number of attempts.
+    /// Buffered in full; can be sent any number of times.
     Kept(Bytes),
-    /// Streamed through: one attempt that reads it.
+    /// Streamed through; can be sent by one attempt only.
     Streamed {
-        /// What was read to recognise resends.
+        /// The part that was read, from which resends are recognised.
         kept: Bytes,
-        /// All of it, until an attempt took it.
+        /// The whole body, until an attempt takes it.
         body: Option<OutgoingBody>,
-        /// Set once its sender broke off or paused too long.
+        /// Set if the body broke off, paused too long or was too large.
         broken: Arc<AtomicBool>,
     },
 }
 
 impl BodySource {
-    /// A body whose beginning was read and the rest follows.
+    /// Creates a body whose beginning was read and whose rest is streamed.
     #[must_use]
     pub fn streamed(kept: Bytes, rest: CallBody, length: Option<u64>) -> Self {
         let broken = Arc::<AtomicBool>::default();
@@ -66,7 +66,7 @@
         }
     }
 
-    /// True if its sender broke off or paused too long.
+    /// Returns true if the body broke off, paused too long or was too large.
     #[must_use]
     pub fn has_broken(&self) -> bool {
         match self {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// What is kept of it.
+    /// Returns the buffered part.
     #[must_use]
     pub fn kept(&self) -> &[u8] {
         match self {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The body for an attempt; `None` if an earlier attempt has read it.
+    /// Takes the body for an attempt; returns `None` if an earlier attempt has consumed it.
     pub fn take(&mut self) -> Option<OutgoingBody> {
         match self {
             Self::Kept(kept) => Some(OutgoingBody::whole(kept.clone())),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Puts back a body that no byte was read of.
+    /// Puts back a body of which no byte was read.
     pub fn put_back(&mut self, unread: OutgoingBody) {
         if let Self::Streamed { body, .. } = self {
             *body = Some(unread);
@@ -99,25 +99,25 @@
     }
 }
 
-/// A call as it is sent to endpoints.
+/// A validated call, from which attempts and forwarded requests are built.
 pub struct StoredCall {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
     /// The caller's headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: BodySource,
-    /// What the answer looks like.
+    /// The expected form of the answer.
     pub shape: AnswerShape,
 }
 
-/// One request.
+/// A request that is not yet running.
 pub struct RequestTask {
-    /// What all requests share.
+    /// State shared by all requests.
     pub context: Arc<EntryContext>,
-    /// What the core is told of it.
+    /// The request's facts, as passed to the core.
     pub facts: RequestFacts,
     /// The call.
     pub call: StoredCall,
@@ -135,7 +135,7 @@
 }
 
 impl RequestTask {
-    /// Tells the core of the request and does what it says until the request has ended.
+    /// Submits the request to the core and carries out the core's commands until the request ends.
     pub async fn run(self, caller: CallerSide) {
         let commands = self.context.control.arrived(self.facts.clone());
         let mut running = RunningTask {
@@ -157,7 +157,8 @@
 }
 
 impl RunningTask {
-    /// The next command; `None` if the core has forgotten the request.
+    /// Returns the next command, or `None` if the core has dropped the request. Meanwhile reports
+    /// to the core if the caller disconnects.
     async fn next_command(&mut self) -> Option<RequestCommand> {
         let left = self.caller.left();
         loop {
@@ -176,7 +177,7 @@
             .tell(CoreEvent::CallerLeft(self.facts.request));
     }
 
-    /// Carries out a command; true if it was the last one.
+    /// Carries out a command; returns true if it was the request's last one.
     async fn obey(&mut self, command: RequestCommand) -> bool {
         match command {
             RequestCommand::Dispatch(order) => {
@@ -219,8 +220,9 @@
         self.caller.fail(fault);
     }
 
-    /// Counts the answer for the reports: a whole one, or one refused with this outcome. What a
-    /// peer answers is counted there, and a caller that left is not counted.
+    /// Counts the answer for the reports: a complete one if `refused` is `None`, else a refusal
+    /// with that outcome. An answer from a peer is counted at the peer; a request whose caller
+    /// disconnected is not counted.
     fn count(&self, refused: Option<RunOutcome>) {
         let catalog = Arc::clone(&self.context.control.catalog.borrow().fleet);
         let elapsed = self.arrived.elapsed();
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Makes an attempt. Returns a command that ended it early, if one did.
+    /// Makes an attempt. Returns the command that ended it early, unless that was a cancel.
     async fn attempt(&mut self, order: DispatchOrder) -> Option<RequestCommand> {
         let request = self.facts.request;
         self.open_record();
@@ -250,7 +252,8 @@
         let mut can_resume = true;
         let ended = {
             let run = AttemptRun::new(plan, &mut self.call.body, &mut self.caller, &mut can_resume);
-            // Boxed: the task is moved when it is spawned, and most of it would be this future.
+            // Boxed because this future would make up most of the task, which is moved when it is
+            // spawned.
             let mut running = Box::pin(run.run());
             loop {
                 tokio::select! {
@@ -309,8 +312,8 @@
         }
         let lost = matches!(outcome, AttemptOutcome::CutAt(_)) && !can_resume;
         if lost && !self.left_told {
-            // What the caller has can't be continued. The rest must not be run again for nobody,
-            // and the caller must see at once that the answer is cut.
+            // The caller has part of an answer that can't be resumed. The request must not be run
+            // again without a recipient, and the caller must see the cut at once.
             let fault = CallFault::PeerLost(RunOutcome::Unknown);
             self.caller.fail(fault);
             self.tell_left();
@@ -352,7 +355,7 @@
             .tell(CoreEvent::AnswerKept { request, bytes });
     }
 
-    /// Lets a peer answer.
+    /// Forwards the request to a peer and passes on the peer's answer.
     async fn forward(&mut self, host: HostName) {
         let forwarding = Forwarding {
             context: &self.context,
@@ -364,7 +367,8 @@
         forwarding.run(host).await;
     }
 
-    /// Answers with what another request of the same ticket gets or got.
+    /// Answers with the stored answer of the request `original`, which has the same ticket and may
+    /// still be running.
     async fn join(&mut self, original: RequestId) {
         let limit = self.context.config.stored_answer_bytes;
         let record = self.context.control.answers.open(original, limit);
--- a/src/tickets/mod.rs
+++ b/src/tickets/mod.rs
@@ -1,9 +1,10 @@
-//! Tickets as callers see them: a text that only the router life that minted it can make.
+//! Tickets in the text form that callers get, which only the router incarnation that minted a
+//! ticket can produce.
 //!
-//! The text is `v1.<minter>.<number>.<mac>`, all in lower-case hexadecimal. The code at the end
-//! is keyed by a secret that the router draws at its start and tells nobody, so a caller can
-//! neither guess nor make a ticket. A router that did not mint a ticket can't check it; it reads
-//! the minter's name and forwards the request there.
+//! The text is `v1.<minter>.<number>.<mac>`, all in lower-case hexadecimal. The MAC at the end is
+//! a truncated HMAC, keyed with a random secret that the router generates at its start and never
+//! shares, so a caller can't guess or forge a ticket. A router that did not mint a ticket can't
+//! verify it; it reads the minter's incarnation and forwards the request there.
 
 use std::fmt;
 use std::str::FromStr;
@@ -16,39 +17,39 @@
 use crate::core::event::TicketName;
 use crate::units::RouterIncarnation;
 
-/// Bytes of the code in a ticket.
+/// Bytes of the MAC in a ticket; the HMAC is truncated to this length.
 const MAC_BYTES: usize = 16;
 
-/// Bytes of a router's secret: one block of the hash.
+/// Bytes of a router's secret: one block of SHA-256.
 pub const SECRET_BYTES: usize = 64;
 
-/// First field of a ticket's text.
+/// First field of a ticket's text: the format version.
 const VERSION: &str = "v1";
 
-/// Digits of the minter and of the number.
+/// Hexadecimal digits of the minter and of the number, each.
 const NUMBER_DIGITS: usize = 16;
 
-/// A ticket as it was read from a request; its code is not checked yet.
+/// A ticket with its MAC. One that was parsed from a request is not yet verified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TicketText {
-    /// What it names.
+    /// The minter and number.
     pub name: TicketName,
     mac: [u8; MAC_BYTES],
 }
 
-/// Why a text is not a ticket.
+/// Why a text is not a valid ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TicketError {
-    /// It does not have a ticket's form.
+    /// The text does not have the form of a ticket.
     Malformed,
-    /// Its code is wrong: this router life did not mint it.
+    /// The MAC is wrong: this router incarnation did not mint the ticket.
     Forged,
 }
 
 impl fmt::Display for TicketError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::Malformed => "the ticket is not of the form v1.<minter>.<number>.<code>",
+            Self::Malformed => "the ticket is not of the form v1.<minter>.<number>.<mac>",
             Self::Forged => "the ticket was not minted by this router",
         })
     }
@@ -108,7 +109,7 @@
     Ok(number.to_be_bytes())
 }
 
-/// Makes and checks the tickets of one router life.
+/// Signs and verifies the tickets of one router incarnation.
 #[derive(Clone)]
 pub struct TicketSigner {
     minter: RouterIncarnation,
@@ -125,7 +126,7 @@
 }
 
 impl TicketSigner {
-    /// A signer with a secret from the system's random numbers.
+    /// Creates a signer with a random secret.
     #[must_use]
     pub fn random(minter: RouterIncarnation) -> Self {
         let mut secret = [0; SECRET_BYTES];
@@ -133,13 +134,13 @@
         Self::new(minter, secret)
     }
 
-    /// A signer with a given secret.
+    /// Creates a signer with a given secret.
     #[must_use]
     pub fn new(minter: RouterIncarnation, secret: [u8; SECRET_BYTES]) -> Self {
         Self { minter, secret }
     }
 
-    /// The text of a ticket that this router's core minted.
+    /// Signs a ticket that this router's core minted.
     #[must_use]
     pub fn sign(&self, name: TicketName) -> TicketText {
         let code = self.code(name).finalize().into_bytes();
@@ -148,12 +149,14 @@
         TicketText { name, mac }
     }
 
-    /// What the core is told of a ticket: its name. A ticket of another minter is passed as it
-    /// is, for the core to forward; that minter checks it. Takes the same time for all codes.
+    /// Verifies a ticket and returns its name for the core. A ticket of another minter is returned
+    /// unverified: the core forwards the request to that minter, which verifies the ticket. The
+    /// MAC is compared in constant time.
     ///
     /// # Errors
     ///
-    /// [`TicketError::Forged`] if it names this router life but was not minted by it.
+    /// [`TicketError::Forged`] if the ticket names this router incarnation but was not minted by
+    /// it.
     pub fn check(&self, ticket: &TicketText) -> Result<TicketName, TicketError> {
         if ticket.name.minter != self.minter {
             return Ok(ticket.name);
