--- a/src/endpoint/attempt.rs
+++ b/src/endpoint/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt: the request goes to an endpoint, the answer comes back to the caller, and how it
-//! ended is told apart as exactly as the transport allows.
+//! One attempt: sends the request to an endpoint, passes the answer on to the caller, and
+//! classifies how the attempt ended as exactly as the transport allows.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -30,27 +30,27 @@
 use super::connections::ConnectStep;
 use super::reader::AnswerReader;
 
-/// Unused connections that may turn out closed before a new one must do.
+/// Idle connections that may turn out to be closed; the try after that is the last one.
 const STALE_CONNECTIONS: u32 = 3;
 
-/// What the answer to a call looks like.
+/// The expected form of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerShape {
     /// Server-sent events of an engine.
     Events,
     /// One JSON value of an engine.
     Json,
-    /// Whatever a plain service answers.
+    /// Any answer of a plain service.
     Plain,
 }
 
-/// What an attempt needs to know.
+/// The parameters of an attempt.
 pub struct AttemptPlan<'a> {
-    /// What all requests share.
+    /// State shared by all requests.
     pub context: &'a EntryContext,
     /// The request.
     pub request: RequestId,
-    /// What the core decided.
+    /// The core's decision: attempt number, endpoint, resume offset and latest send time.
     pub order: DispatchOrder,
     /// The call's method.
     pub method: &'a Method,
@@ -58,13 +58,13 @@
     pub target: &'a Uri,
     /// Headers for the endpoint.
     pub headers: HeaderMap,
-    /// What the answer looks like.
+    /// The expected form of the answer.
     pub shape: AnswerShape,
-    /// Service so far, in service units; readable while the attempt runs and after it.
+    /// Service used so far, in service units; can be read during the attempt and after it.
     pub meter: &'a AtomicU64,
 }
 
-/// An attempt that is being made.
+/// An attempt in progress.
 pub struct AttemptRun<'a> {
     plan: AttemptPlan<'a>,
     body: &'a mut BodySource,
@@ -73,14 +73,14 @@
 }
 
 enum SendFault {
-    /// No byte left; the body can be sent again.
+    /// No byte was sent. Holds the unread body if another try may be made.
     NotSent(Option<OutgoingBody>),
-    /// It ended so.
+    /// The attempt ended with this outcome.
     Ended(AttemptOutcome),
 }
 
 impl<'a> AttemptRun<'a> {
-    /// An attempt. `can_resume` is set false if the endpoint's answer can't be resumed.
+    /// Creates an attempt. `can_resume` is set to false if the endpoint's answer can't be resumed.
     pub fn new(
         plan: AttemptPlan<'a>,
         body: &'a mut BodySource,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Makes it. Dropping the returned future cancels it: the connection is closed.
+    /// Makes the attempt. Dropping the returned future cancels it and closes the connection.
     pub async fn run(mut self) -> AttemptOutcome {
         let Some(address) = self.address() else {
             return AttemptOutcome::NotSent;
@@ -133,11 +133,11 @@
             spdlog::debug!("endpoint: {report}.");
             SendFault::NotSent(None)
         })?;
-        // A process that was paused between the core's decision and here would send what others
-        // have decided otherwise on since; seen as work on an endpoint that left long ago. The
-        // clock is read after the connection is open, just before the first byte. A pause after
-        // this line is not caught; at-most-once does not depend on it, for only this router
-        // sends this request.
+        // If the process was paused after the core's decision, other routers may have decided
+        // differently since, and work was sent to an endpoint that had left long before. The clock
+        // is therefore read once the connection is open, just before the first byte is sent. A
+        // pause after this check is not detected; at-most-once doesn't depend on it, since only
+        // this router sends this request.
         if context.control.clock.now() > self.plan.order.not_after {
             context.connections.give_back(address, sender);
             return Err(SendFault::NotSent(None));
@@ -152,7 +152,7 @@
         match sent {
             Ok(response) => Ok((sender, response)),
             Err(mut fault) => match fault.take_message() {
-                // The connection was closed before it took the request: nothing was written.
+                // The connection closed before it accepted the request: nothing was written.
                 Some(unsent) => Err(SendFault::NotSent(Some(unsent.into_body()))),
                 None if fault.error().is_parse() => Err(SendFault::Ended(AttemptOutcome::Garbage)),
                 None => Err(SendFault::Ended(AttemptOutcome::LostBeforeAnswer)),
@@ -216,8 +216,9 @@
     }
 }
 
-/// By the published API an engine answers so before it admits a request. A plain service may
-/// have done a part of the work before it answers so, hence its answer is passed on.
+/// Returns true if an engine's status means that it did no work: by the published API, an engine
+/// sends these statuses only before it admits a request. A plain service may have done part of the
+/// work before it sends one, so its answer is passed on instead.
 fn refuses(status: StatusCode) -> bool {
     matches!(
         status,
@@ -225,7 +226,7 @@
     )
 }
 
-/// Keeps the connection for another request once the end of the answer was read.
+/// Returns the connection to the pool once the end of the answer has been read.
 fn recycle(
     context: &EntryContext,
     address: SocketAddr,
--- a/src/endpoint/body.rs
+++ b/src/endpoint/body.rs
@@ -1,4 +1,4 @@
-//! The body of a request on its way to an endpoint.
+//! The body of a request that is sent to an endpoint.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::entry::call::BodyFault;
 use crate::entry::call::CallBody;
 
-/// A kept part and what follows it.
+/// A request body: a buffered part followed by an optional stream.
 pub struct OutgoingBody {
     kept: Option<Bytes>,
     rest: Option<CallBody>,
@@ -24,7 +24,7 @@
 }
 
 impl OutgoingBody {
-    /// A body that is here whole.
+    /// Creates a body from bytes that are already complete.
     #[must_use]
     pub fn whole(bytes: Bytes) -> Self {
         Self {
@@ -35,8 +35,8 @@
         }
     }
 
-    /// A body of which more comes; `length` if its sender said it. `broken` is set if it breaks
-    /// off.
+    /// Creates a body whose rest is streamed. `length` is its total length in bytes, if stated by
+    /// the sender. `broken` is set if the stream fails.
     #[must_use]
     pub fn streamed(
         kept: Bytes,
--- a/src/endpoint/connections.rs
+++ b/src/endpoint/connections.rs
@@ -1,8 +1,8 @@
-//! Pooled connections to endpoints, over `hyper`'s connection API.
+//! A connection pool for endpoints, built on `hyper`'s connection API.
 //!
-//! The ready-made pool of `hyper-util` is not used: it opens a connection and writes the request
-//! in one step, so nothing could be checked in between, and it hides whether a request that
-//! failed had left. Both decide whether "not run" may be said.
+//! The pool of `hyper-util` is not used for two reasons: it opens a connection and writes the
+//! request in one step, which allows no check in between, and it hides whether a failed request
+//! was sent. Both are needed to decide whether a request can be reported as "not run".
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,18 +24,18 @@
 
 use super::body::OutgoingBody;
 
-/// A step towards an endpoint that failed.
+/// The step at which opening a connection failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectStep {
-    /// Opening the connection.
+    /// The TCP connection could not be opened.
     Open,
-    /// Opening it took too long.
+    /// Opening the TCP connection timed out.
     Timeout,
-    /// Starting HTTP on it.
+    /// The HTTP handshake failed.
     Handshake,
 }
 
-/// A connection that could not be opened.
+/// The error of a connection that could not be opened.
 #[derive(Debug)]
 pub struct ConnectError {
     /// The step that failed.
@@ -58,7 +58,7 @@
     since: Instant,
 }
 
-/// Connections to all endpoints.
+/// The pool of idle connections to all endpoints.
 #[derive(Debug, Clone)]
 pub struct EndpointConnections {
     idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
@@ -68,7 +68,7 @@
 }
 
 impl EndpointConnections {
-    /// No connections yet.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(config: &TrafficConfig) -> Self {
         Self {
@@ -79,10 +79,10 @@
         }
     }
 
-    /// A connection that is ready for a request: an unused one or a new one.
+    /// Returns a connection that is ready for a request: an idle one or a new one.
     ///
     /// # Errors
-    /// If no connection could be opened. No byte of a request has left then.
+    /// If no connection could be opened; no byte of a request has been sent then.
     pub async fn take(
         &self,
         address: SocketAddr,
@@ -114,7 +114,8 @@
             .await
             .change_context(fault(ConnectStep::Timeout))?
             .change_context(fault(ConnectStep::Open))?;
-        // Small requests and events must not wait for the acknowledgement of earlier ones.
+        // Disables Nagle's algorithm: small requests must not wait for the acknowledgement of
+        // earlier ones.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::Builder::new()
             .handshake(TokioIo::new(stream))
@@ -124,7 +125,8 @@
         Ok(sender)
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Returns a connection to the pool after its answer was read to the end. It is dropped if it
+    /// is closed or the pool for this endpoint is full.
     pub fn give_back(&self, address: SocketAddr, sender: SendRequest<OutgoingBody>) {
         if sender.is_closed() {
             return;
--- a/src/endpoint/events.rs
+++ b/src/endpoint/events.rs
@@ -1,29 +1,29 @@
-//! Splitting a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
 const SEPARATOR: &[u8] = b"\n\n";
 const DONE: &[u8] = b"data: [DONE]";
-/// Field names that a line of an event may begin with.
+/// Prefixes that a line of an event may begin with: field names, or `:` for a comment.
 const FIELDS: [&[u8]; 5] = [b"data", b"event", b"id", b"retry", b":"];
 
-/// A stream that is not one of server-sent events.
+/// The error of a stream that is not made of server-sent events or has one that is too large.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventFault;
 
-/// Whole events, ready to pass on.
+/// Consecutive whole events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EventBatch {
-    /// Their bytes.
+    /// The events' bytes.
     pub bytes: Bytes,
-    /// How many carry a part of the answer.
+    /// Number of events that carry part of the answer.
     pub count: u64,
-    /// True if the last one says that the answer is whole.
+    /// True if the events include the `[DONE]` marker, which ends the answer.
     pub done: bool,
 }
 
-/// Cuts a stream at the ends of events, so that a caller never holds half of one and an answer
+/// Splits a stream at event boundaries, so that a caller never gets part of an event and an answer
 /// can be resumed at a whole number of events.
 #[derive(Debug)]
 pub struct EventSplitter {
@@ -32,7 +32,7 @@
 }
 
 impl EventSplitter {
-    /// A splitter for events of at most `limit` bytes.
+    /// Creates a splitter for events of at most `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -41,11 +41,11 @@
         }
     }
 
-    /// Takes in a chunk and returns the events that are whole now. A chunk that holds only whole
+    /// Adds a chunk and returns the events that are complete now. A chunk that consists of whole
     /// events is not copied.
     ///
     /// # Errors
-    /// If a line is no field of an event, or an event is larger than the limit.
+    /// If a line is not a field of an event, or an incomplete event exceeds the limit.
     pub fn push(&mut self, chunk: Bytes) -> Result<Option<EventBatch>, EventFault> {
         if self.partial.is_empty() && chunk.ends_with(SEPARATOR) {
             return batch(chunk).map(Some);
@@ -63,7 +63,7 @@
         batch(whole).map(Some)
     }
 
-    /// True if an event has begun and not ended.
+    /// Returns true if the last event is incomplete.
     #[must_use]
     pub fn holds_partial(&self) -> bool {
         !self.partial.is_empty()
--- a/src/endpoint/exchange.rs
+++ b/src/endpoint/exchange.rs
@@ -1,4 +1,4 @@
-//! Small exchanges with endpoints beside callers' requests: load reports and orders.
+//! The router's own small requests to endpoints: load reports and orders.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 use super::body::OutgoingBody;
 use super::connections::EndpointConnections;
 
-/// Largest answer to a small exchange, in bytes.
+/// Largest answer to an exchange, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// Longest time that a small exchange may take.
+/// Timeout of a whole exchange.
 const EXCHANGE_TIME: Duration = Duration::from_secs(2);
 
-/// An exchange that failed.
+/// The error of an exchange that failed.
 #[derive(Debug)]
 pub struct ExchangeError {
     /// The endpoint.
     pub address: SocketAddr,
-    /// The path that was asked for.
+    /// The requested path.
     pub path: &'static str,
     /// The step that failed.
     pub step: ExchangeStep,
@@ -44,7 +44,7 @@
     Send,
     /// Reading the answer.
     Read,
-    /// All of it took too long.
+    /// The exchange as a whole timed out.
     Timeout,
 }
 
@@ -55,16 +55,19 @@
             path,
             step,
         } = self;
-        write!(formatter, "{path} of {address}: {step:?} failed")
+        write!(
+            formatter,
+            "request for {path} to {address}: {step:?} failed"
+        )
     }
 }
 
 impl std::error::Error for ExchangeError {}
 
-/// Sends a request with a small body and returns the status and the small answer.
+/// Sends a request with a small body and returns the answer's status and body.
 ///
 /// # Errors
-/// At the step that failed.
+/// [`ExchangeError`] with the step that failed.
 pub async fn exchange(
     connections: &EndpointConnections,
     address: SocketAddr,
--- a/src/endpoint/load.rs
+++ b/src/endpoint/load.rs
@@ -1,7 +1,7 @@
-//! Reading the load reports of the endpoints that the core asks for.
+//! Polling the load reports of the endpoints that the core selects.
 //!
-//! An endpoint answers `GET /load` with [`LoadReport`] as JSON. One that does not is used
-//! without.
+//! An endpoint answers `GET /load` with [`LoadReport`] as JSON. An endpoint that doesn't is used
+//! without load reports.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,30 +27,30 @@
 
 const LOAD_PATH: &str = "/load";
 
-/// What an endpoint says of its load.
+/// The load report of an endpoint.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that it runs.
+    /// Number of requests that the endpoint is running.
     pub running: u32,
-    /// Requests that it holds back.
+    /// Number of requests queued at the endpoint.
     pub waiting: u32,
-    /// The model, or the plain service's pool, that it serves now.
+    /// Name of the model, or of the plain service's pool, that the endpoint currently serves.
     pub serves: SmolStr,
-    /// Changes with each of its restarts.
+    /// Identifies the endpoint's process; changes with every restart.
     pub life: u64,
-    /// Highest fencing number that it obeyed; 0 if it ignores them.
+    /// Highest fencing number that the endpoint has obeyed; 0 if it ignores fencing numbers.
     #[serde(default)]
     pub fence: u64,
 }
 
-/// The load readings that run.
+/// The running polls of endpoints' load.
 #[derive(Debug, Default)]
 pub struct LoadWatches {
     running: BTreeMap<EndpointId, CancellationToken>,
 }
 
 impl LoadWatches {
-    /// Starts or stops reading an endpoint's load.
+    /// Starts or stops polling an endpoint's load. Polling also stops when `closing` is cancelled.
     pub fn switch(
         &mut self,
         context: &Arc<EntryContext>,
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoint side: attempts over pooled connections, load reports, orders.
+//! The endpoint side of a router: attempts over pooled connections, load reports and orders.
 
 pub mod attempt;
 pub mod body;
--- a/src/endpoint/orders.rs
+++ b/src/endpoint/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to engines: load another pool's model.
+//! Orders to engines to load another pool's model.
 //!
-//! An engine takes `POST /orders` with [`ModelOrder`] as JSON. One that checks fencing numbers
-//! answers 409 to an order with a number below the highest that it has obeyed.
+//! An engine accepts `POST /orders` with [`ModelOrder`] as JSON. An engine that checks fencing
+//! numbers answers 409 to an order whose number is below the highest that it has obeyed.
 
 use std::sync::Arc;
 
@@ -21,16 +21,17 @@
 
 const ORDER_PATH: &str = "/orders";
 
-/// An order to serve a model.
+/// An order to load and serve a model.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ModelOrder {
-    /// The model.
+    /// The model's name.
     pub model: SmolStr,
-    /// The fencing number.
+    /// The order's fencing number.
     pub fence: u64,
 }
 
-/// Sends an order. What became of it shows in the endpoint's load reports.
+/// Sends an order and logs the answer. Whether the model was loaded shows in the endpoint's load
+/// reports.
 pub async fn order_model(
     context: Arc<EntryContext>,
     endpoint: EndpointId,
@@ -56,7 +57,7 @@
     match exchange(connections, address, Method::POST, ORDER_PATH, body).await {
         Ok((StatusCode::CONFLICT, _)) => {
             spdlog::info!(
-                "endpoint: {name} refused the order to load {model}: fence {fence} is old."
+                "endpoint: {name} refused the order to load {model}: fence {fence} is outdated."
             );
         }
         Ok((status, _)) => {
--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -1,5 +1,6 @@
-//! Reading an endpoint's answer and passing it on. Nothing is read ahead of the caller by more
-//! than a few chunks, so a slow caller holds its endpoint back and not this router's memory.
+//! Reading an endpoint's answer and passing it on to the caller. At most a few chunks are read
+//! ahead of the caller, so a slow caller puts backpressure on its endpoint instead of filling this
+//! router's memory.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -34,43 +35,43 @@
 use super::events::EventSplitter;
 use super::service;
 
-/// Growth of a kept answer that the core is told of, in bytes.
+/// Growth of a stored answer after which its size is reported to the core again, in bytes.
 const KEPT_STEP: usize = 32 * 1024;
 
-/// How an attempt ended, and the rest of its body if its end was not read yet.
+/// How an attempt ended, and the answer's body if its end has not been read yet.
 pub type ReadResult = (AttemptOutcome, Option<Incoming>);
 
-/// Reads one answer.
+/// Reads one answer of an endpoint.
 pub struct AnswerReader<'a> {
-    /// What all requests share.
+    /// State shared by all requests.
     pub context: &'a EntryContext,
     /// The request.
     pub request: RequestId,
-    /// What the core decided.
+    /// The core's decision: attempt number, endpoint, resume offset and latest send time.
     pub order: DispatchOrder,
-    /// What the answer shall look like.
+    /// The expected form of the answer.
     pub shape: AnswerShape,
-    /// Bytes of the request's body.
+    /// Size of the buffered part of the request's body, in bytes.
     pub request_bytes: usize,
-    /// Service so far.
+    /// Service used so far, in service units.
     pub meter: &'a AtomicU64,
-    /// Where the answer goes.
+    /// The caller that gets the answer.
     pub caller: &'a mut CallerSide,
-    /// Set false if the answer can't be resumed.
+    /// Set to false if the answer can't be resumed.
     pub can_resume: &'a mut bool,
 }
 
-/// Why no more of an answer came.
+/// Why an answer could not be read to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReadFault {
-    /// The connection broke, or nothing came for too long.
+    /// The connection broke, or no data arrived for too long.
     Lost,
-    /// It is larger than what is kept.
+    /// The answer exceeds the buffer limit.
     TooLarge,
 }
 
 impl AnswerReader<'_> {
-    /// Reads the answer to its end.
+    /// Reads the answer to its end and returns how the attempt ended.
     pub async fn read(mut self, response: Response<Incoming>) -> ReadResult {
         let (parts, body) = response.into_parts();
         let mut fields = parts.headers;
@@ -93,8 +94,8 @@
         self.meter.store(units.0, Ordering::Relaxed);
     }
 
-    /// Tells the core how much is kept for resends, each time that it grew by much: the core
-    /// bounds what all such answers take together.
+    /// Reports to the core how many bytes are stored for resends, whenever [`KEPT_STEP`] more were
+    /// stored: the core limits the total size of all stored answers.
     fn tell_kept(&self, told: &mut usize) {
         let Some(kept) = self.caller.record().and_then(|record| record.kept_bytes()) else {
             return;
@@ -182,8 +183,8 @@
         self.caller.begin(with_outcome(head));
         let (mut passed, mut told) = (0, 0);
         loop {
-            // With a stated length the caller's connection is done at the last byte and its
-            // leaving then must not be taken for a cancel: the end is known without another read.
+            // A caller that knows the length may disconnect right after the last byte, which must
+            // not be treated as a cancellation. So the answer ends here, without another read.
             if length == Some(passed) {
                 return (AttemptOutcome::Whole, Some(body));
             }
@@ -216,8 +217,8 @@
         }
         let resumed = resumed_at(&head.headers);
         *self.can_resume = resumed.is_some();
-        // An endpoint that can't resume begins anew: passing that on would give the caller the
-        // beginning twice.
+        // An endpoint that can't resume starts from the beginning, which the caller already has:
+        // passing it on would duplicate that part.
         if begun > 0 && resumed != Some(begun) {
             *self.can_resume = false;
             return (AttemptOutcome::CutAt(begun), None);
@@ -288,7 +289,8 @@
     head
 }
 
-/// An endpoint's own error answer means that the request reached it and ran as far as it says.
+/// Adds the outcome "ran" to an endpoint's own error answer: the request reached the endpoint and
+/// ran as far as the error states.
 fn with_outcome(mut head: AnswerHead) -> AnswerHead {
     let is_error = head.status.is_client_error() || head.status.is_server_error();
     if is_error {
--- a/src/endpoint/service.rs
+++ b/src/endpoint/service.rs
@@ -1,14 +1,14 @@
-//! What an attempt costs, in service units. The one place where the unit is defined.
+//! The cost of an attempt in service units. This module alone defines the unit.
 //!
-//! Model engines: one unit per token of input (taken as four bytes of the request's body) and
-//! two per token of output (one event of a streamed answer, or the token count that an
-//! unstreamed answer states, or else four bytes of it). Plain services: [`PLAIN_CALL`] a call.
+//! Model engines: one unit per input token (estimated as four bytes of the request's body) and two
+//! per output token (one event of a streamed answer; for an unstreamed answer the token count that
+//! it states, or else four bytes of it). Plain services: [`PLAIN_CALL`] per call.
 
 use serde::Deserialize;
 
 use crate::units::ServiceUnits;
 
-/// Units of one call to a plain service.
+/// Service units of one call to a plain service.
 pub const PLAIN_CALL: u64 = 100;
 const INPUT_WEIGHT: u64 = 1;
 const OUTPUT_WEIGHT: u64 = 2;
@@ -24,14 +24,14 @@
     completion_tokens: u64,
 }
 
-/// Service of an engine's attempt after `tokens` of output.
+/// Returns the service of an engine's attempt after `tokens` output tokens.
 #[must_use]
 pub fn engine_service(request_bytes: usize, tokens: u64) -> ServiceUnits {
     let input = request_bytes as u64 / BYTES_PER_TOKEN;
     ServiceUnits(input * INPUT_WEIGHT + tokens * OUTPUT_WEIGHT)
 }
 
-/// Tokens of an unstreamed answer; `None` if it is not JSON.
+/// Returns the output tokens of an unstreamed answer, or `None` if it can't be parsed as JSON.
 #[must_use]
 pub fn answer_tokens(body: &[u8]) -> Option<u64> {
     let parsed: UsageBody = serde_json::from_slice(body).ok()?;
