--- a/tests/caller_limits.rs
+++ b/tests/caller_limits.rs
@@ -1,4 +1,4 @@
-//! Callers that send too much, too slowly, or read too slowly.
+//! Limits on callers that send too much, send too slowly or read too slowly.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     .await
 }
 
-/// Sends bytes as they are and returns the status line of the answer.
+/// Sends raw bytes and returns the status line of the answer.
 async fn raw(single: &SingleRouter, text: &str) -> String {
     let mut stream = TcpStream::connect(single.router.callers).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
@@ -59,7 +59,7 @@
     single.router.stop().await;
 }
 
-// A caller gives a part of its body and then nothing: its request must not hold memory for ever.
+// A caller sends part of its body and then nothing: its request must not occupy memory forever.
 #[tokio::test]
 async fn a_slow_sender_is_cut_with_408() {
     let single = with_limits(json!({"body_idle_ms": 100})).await;
@@ -74,8 +74,8 @@
     single.router.stop().await;
 }
 
-// A caller reads nothing of a large answer: its endpoint must be held back, the router must not
-// take the answer into its memory. Then it reads on and gets all of it.
+// A caller reads nothing of a large answer: backpressure must reach the endpoint, so that the
+// router does not buffer the answer in memory. The caller then reads on and gets all of it.
 #[tokio::test]
 async fn a_slow_reader_holds_its_endpoint_back() {
     const LENGTH: u64 = 300_000_000;
@@ -101,7 +101,7 @@
     single.router.stop().await;
 }
 
-// A caller that never reads on would hold a slot of its endpoint for ever.
+// A caller that stops reading would occupy a slot of its endpoint forever.
 #[tokio::test]
 async fn a_caller_that_stops_reading_is_given_up() {
     let single = with_limits(json!({"answer_idle_ms": 200})).await;
@@ -119,7 +119,7 @@
     single.router.stop().await;
 }
 
-// A team floods: what is beyond its queue is refused at once, with a time to come back.
+// A team sends more requests than its queue holds: the excess is refused at once with Retry-After.
 #[tokio::test]
 async fn a_full_queue_refuses_at_once_with_a_time_to_come_back() {
     let single = SingleRouter::start(SingleOptions {
--- a/tests/endpoint_faults.rs
+++ b/tests/endpoint_faults.rs
@@ -1,4 +1,4 @@
-//! Endpoints that crash, refuse, lie and break off, as their callers see it.
+//! What callers see of endpoints that crash, refuse, break off or send invalid answers.
 
 use http::StatusCode;
 
@@ -23,8 +23,9 @@
     SingleRouter::start(SingleOptions::default()).await
 }
 
-// An engine breaks off in the middle of a nurse's answer and can resume. She must get the rest
-// from where it stopped, with nothing doubled or missing, and it must not be run anew.
+// An engine that can resume breaks off in the middle of a streamed answer. The caller must get the
+// rest from where it stopped, with nothing duplicated or missing, and the request must not be run
+// again.
 #[tokio::test]
 async fn a_cut_stream_is_resumed_where_it_stopped() {
     let single = usual().await;
@@ -38,7 +39,8 @@
     single.router.stop().await;
 }
 
-// The same with an engine that can't resume: the caller must see that the answer is cut.
+// An engine that can't resume breaks off in the middle of a streamed answer: the caller must see
+// that the answer is cut.
 #[tokio::test]
 async fn a_cut_stream_that_can_not_be_resumed_breaks_the_connection() {
     let single = SingleRouter::start(SingleOptions {
@@ -52,7 +54,8 @@
     single.router.stop().await;
 }
 
-// A plain service breaks off in a long answer of which the caller has a part already.
+// A plain service breaks off in a long answer after the caller has received part of it: the caller
+// must see that the answer is cut.
 #[tokio::test]
 async fn a_cut_plain_answer_breaks_the_connection() {
     let single = usual().await;
@@ -64,11 +67,11 @@
     single.router.stop().await;
 }
 
-// One bad answer of an engine (nonsense, a crash, fewer bytes than stated): nothing of it may
-// reach the caller, and a repeatable request is tried again.
+// An engine fails once (an invalid answer, a crash, fewer bytes than stated): nothing of that
+// answer may reach the caller, and a repeatable request is retried.
 #[tokio::test]
 async fn a_bad_answer_is_not_passed_on_and_the_request_tried_again() {
-    // The only engine is away for 300 ms after its crash; the retries last longer than that.
+    // The only engine is down for 300 ms after its crash; the retries go on for longer than that.
     let mut options = SingleOptions::default();
     options.core.attempts.backoff_ms = 400;
     let single = SingleRouter::start(options).await;
@@ -89,7 +92,7 @@
     single.router.stop().await;
 }
 
-// An endpoint that fails every time: the caller is told so in the end, and truly.
+// An endpoint fails every time: the caller must get an error in the end, with the correct outcome.
 #[tokio::test]
 async fn what_fails_every_time_ends_in_a_true_refusal() {
     let single = usual().await;
@@ -112,9 +115,9 @@
     single.router.stop().await;
 }
 
-// The service that logs a mixing crashes while it does. Whether the mixing was logged can't be
-// known, so it must not be tried again, and the stylist must be told "unknown", also when she
-// sends it again with the same ticket.
+// A plain service crashes while it runs an unrepeatable write. Whether the write took effect is
+// unknown, so it must not be retried, and the caller must get the outcome "unknown", also on a
+// resend with the same ticket.
 #[tokio::test]
 async fn an_unrepeatable_call_is_not_tried_again_after_a_crash() {
     let single = usual().await;
@@ -132,7 +135,7 @@
     single.router.stop().await;
 }
 
-// The only endpoint is away before anything is sent: "not run" is true and is said.
+// The only endpoint is down before anything is sent: the outcome must be "not-run".
 #[tokio::test]
 async fn a_call_to_an_endpoint_that_is_away_did_not_run() {
     let single = usual().await;
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process: callers, a router and stand-in endpoints on loopback.
+//! End-to-end tests in one process: callers, a router and stand-in endpoints on loopback.
 
 use std::time::Duration;
 
@@ -69,9 +69,9 @@
     bench.router.stop().await;
 }
 
-// A nurse's tag is sent, its answer is lost on the way, and she sends it again: the tag must be
-// written once and she must get the answer of that one run. The resend carries the ticket that
-// the router gave her for the first try.
+// The answer to an unrepeatable write is lost on the way and the caller sends the write again with
+// the ticket of the first try: it must run only once, and the resend must get the answer of that
+// run.
 #[tokio::test]
 async fn an_unrepeatable_call_runs_once_for_all_its_resends() {
     let bench = SingleRouter::start(SingleOptions::default()).await;
@@ -89,7 +89,7 @@
     bench.router.stop().await;
 }
 
-// A caller closes its screen while an answer streams: the engine must not go on for nobody.
+// A caller disconnects while an answer streams: the engine must not keep generating it.
 #[tokio::test]
 async fn a_caller_that_leaves_frees_the_engine() {
     let bench = SingleRouter::start(SingleOptions::default()).await;
