--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -94,8 +94,8 @@
         self.meter.store(units.0, Ordering::Relaxed);
     }
 
-    /// Reports to the core how many bytes are stored for resends, whenever [`KEPT_STEP`] more were
-    /// stored: the core limits the total size of all stored answers.
+    /// Reports to the core how many bytes are stored for resends, each time the stored part has
+    /// grown considerably: the core limits the total size of all stored answers.
     fn tell_kept(&self, told: &mut usize) {
         let Some(kept) = self.caller.record().and_then(|record| record.kept_bytes()) else {
             return;
