--- a/src/entry/task.rs
+++ b/src/entry/task.rs
@@ -149,7 +149,7 @@
             arrived: Instant::now(),
         };
         while let Some(command) = running.next_command().await {
-            if running.obey(command).await {
+            if running.handle_command(command).await {
                 return;
             }
         }
@@ -178,11 +178,11 @@
     }
 
     /// Carries out a command; returns true if it was the request's last one.
-    async fn obey(&mut self, command: RequestCommand) -> bool {
+    async fn handle_command(&mut self, command: RequestCommand) -> bool {
         match command {
             RequestCommand::Dispatch(order) => {
                 if let Some(next) = self.attempt(order).await {
-                    return Box::pin(self.obey(next)).await;
+                    return Box::pin(self.handle_command(next)).await;
                 }
                 return false;
             }
