--- a/src/entry/task.rs
+++ b/src/entry/task.rs
@@ -165,12 +165,12 @@
             tokio::select! {
                 biased;
                 command = self.commands.recv() => return command,
-                () = left.cancelled(), if !self.left_told => self.tell_left(),
+                () = left.cancelled(), if !self.left_told => self.report_disconnect(),
             }
         }
     }
 
-    fn tell_left(&mut self) {
+    fn report_disconnect(&mut self) {
         self.left_told = true;
         self.context
             .control
@@ -307,7 +307,7 @@
         self.tell_ended(order, outcome, service);
         if self.call.body.has_broken() && outcome != AttemptOutcome::Whole {
             self.caller.fail(CallFault::SlowBody(RunOutcome::Unknown));
-            self.tell_left();
+            self.report_disconnect();
             return;
         }
         let lost = matches!(outcome, AttemptOutcome::CutAt(_)) && !can_resume;
@@ -316,7 +316,7 @@
             // again without a recipient, and the caller must see the cut at once.
             let fault = CallFault::PeerLost(RunOutcome::Unknown);
             self.caller.fail(fault);
-            self.tell_left();
+            self.report_disconnect();
         }
     }
 
