--- a/src/entry/task.rs
+++ b/src/entry/task.rs
@@ -129,7 +129,7 @@
     call: StoredCall,
     caller: CallerSide,
     commands: UnboundedReceiver<RequestCommand>,
-    left_told: bool,
+    disconnect_reported: bool,
     may_have_run: bool,
     arrived: Instant,
 }
@@ -144,7 +144,7 @@
             call: self.call,
             caller,
             commands,
-            left_told: false,
+            disconnect_reported: false,
             may_have_run: false,
             arrived: Instant::now(),
         };
@@ -165,13 +165,13 @@
             tokio::select! {
                 biased;
                 command = self.commands.recv() => return command,
-                () = left.cancelled(), if !self.left_told => self.report_disconnect(),
+                () = left.cancelled(), if !self.disconnect_reported => self.report_disconnect(),
             }
         }
     }
 
     fn report_disconnect(&mut self) {
-        self.left_told = true;
+        self.disconnect_reported = true;
         self.context
             .control
             .tell(CoreEvent::CallerLeft(self.facts.request));
@@ -263,8 +263,8 @@
                         Some(RequestCommand::Cancel(attempt)) if attempt != order.attempt => {}
                         other => break Err(other),
                     },
-                    () = left.cancelled(), if !self.left_told => {
-                        self.left_told = true;
+                    () = left.cancelled(), if !self.disconnect_reported => {
+                        self.disconnect_reported = true;
                         self.context.control.tell(CoreEvent::CallerLeft(request));
                     }
                 }
@@ -311,7 +311,7 @@
             return;
         }
         let lost = matches!(outcome, AttemptOutcome::CutAt(_)) && !can_resume;
-        if lost && !self.left_told {
+        if lost && !self.disconnect_reported {
             // The caller has part of an answer that can't be resumed. The request must not be run
             // again without a recipient, and the caller must see the cut at once.
             let fault = CallFault::PeerLost(RunOutcome::Unknown);
