--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -96,7 +96,7 @@
 
     /// Reports to the core how many bytes are stored for resends, each time the stored part has
     /// grown considerably: the core limits the total size of all stored answers.
-    fn tell_kept(&self, told: &mut usize) {
+    fn report_stored_bytes(&self, told: &mut usize) {
         let Some(kept) = self.caller.record().and_then(|record| record.kept_bytes()) else {
             return;
         };
@@ -192,7 +192,7 @@
                 Ok(Some(chunk)) => {
                     passed += chunk.len() as u64;
                     self.caller.push(chunk).await;
-                    self.tell_kept(&mut told);
+                    self.report_stored_bytes(&mut told);
                 }
                 Ok(None) => return (AttemptOutcome::Whole, None),
                 Err(_) => return (AttemptOutcome::CutAt(passed), None),
@@ -241,7 +241,7 @@
                 self.caller.begin(without_length(head));
             }
             self.caller.push(batch.bytes).await;
-            self.tell_kept(&mut kept);
+            self.report_stored_bytes(&mut kept);
             passed += batch.count;
             self.note_service(service::engine_service(self.request_bytes, passed - begun));
             if batch.done {
--- a/src/entry/task.rs
+++ b/src/entry/task.rs
@@ -296,7 +296,7 @@
         }
         if outcome == AttemptOutcome::Whole {
             self.caller.end();
-            self.tell_kept();
+            self.report_stored_bytes();
         } else {
             let (attempt, endpoint) = (order.attempt, order.endpoint);
             let team = self.facts.team;
@@ -341,7 +341,7 @@
         }
     }
 
-    fn tell_kept(&self) {
+    fn report_stored_bytes(&self) {
         let Some(record) = self.caller.record() else {
             return;
         };
