--- a/src/entry/task.rs
+++ b/src/entry/task.rs
@@ -277,7 +277,7 @@
                 None
             }
             Err(command) => {
-                self.tell_ended(order, AttemptOutcome::Cancelled, service);
+                self.report_attempt_ended(order, AttemptOutcome::Cancelled, service);
                 command.filter(|command| !matches!(command, RequestCommand::Cancel(_)))
             }
         }
@@ -304,7 +304,7 @@
                 "endpoint: request {request} team {team} attempt {attempt} on {endpoint} ended: {outcome:?}."
             );
         }
-        self.tell_ended(order, outcome, service);
+        self.report_attempt_ended(order, outcome, service);
         if self.call.body.has_broken() && outcome != AttemptOutcome::Whole {
             self.caller.fail(CallFault::SlowBody(RunOutcome::Unknown));
             self.report_disconnect();
@@ -320,7 +320,12 @@
         }
     }
 
-    fn tell_ended(&self, order: DispatchOrder, outcome: AttemptOutcome, service: ServiceUnits) {
+    fn report_attempt_ended(
+        &self,
+        order: DispatchOrder,
+        outcome: AttemptOutcome,
+        service: ServiceUnits,
+    ) {
         self.context.control.tell(CoreEvent::AttemptEnded {
             request: self.facts.request,
             attempt: order.attempt,
