--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -60,7 +60,7 @@
         abort: call.abort.clone(),
         idle: catalog.fleet.caller_limits.answer_idle.as_duration(),
     };
-    let task = take_in(context, &catalog, call).await?;
+    let task = validate_call(context, &catalog, call).await?;
     let (sender, receiver) = oneshot::channel();
     let request = task.facts.request;
     context
@@ -80,7 +80,7 @@
     Ok(answer)
 }
 
-async fn take_in(
+async fn validate_call(
     context: &Arc<EntryContext>,
     catalog: &Arc<EntryCatalog>,
     call: IncomingCall,
