--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -153,7 +153,7 @@
     }
 }
 
-struct TakenBody {
+struct RoutedBody {
     pool: PoolId,
     body: BodySource,
     shape: AnswerShape,
@@ -166,7 +166,7 @@
     target: PathTarget,
     fields: &HeaderMap,
     body: CallBody,
-) -> Result<TakenBody, CallFault> {
+) -> Result<RoutedBody, CallFault> {
     let config = &context.config;
     let limits = &catalog.fleet.caller_limits;
     let time = BodyTime {
@@ -185,7 +185,7 @@
                 return Err(too_large);
             };
             let completion = route::completion_route(catalog, &kept)?;
-            Ok(TakenBody {
+            Ok(RoutedBody {
                 pool: completion.pool,
                 body: BodySource::Kept(kept),
                 shape: if completion.streamed {
@@ -211,7 +211,7 @@
                     BodySource::streamed(read.kept, rest, length)
                 }
             };
-            Ok(TakenBody {
+            Ok(RoutedBody {
                 pool,
                 body,
                 shape: AnswerShape::Plain,
