--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -92,7 +92,7 @@
     let ticket = route::ticket_of(&context.signer, &call.headers)?;
     let repeat = route::repeat_rule(team, entry, &call.method, &path, ticket);
     let target = route::path_target(catalog, &call.method, &path)?;
-    let taken = take_body(context, catalog, target, &call.headers, call.body).await?;
+    let taken = route_body(context, catalog, target, &call.headers, call.body).await?;
     let time_left = match &call.origin {
         CallOrigin::Caller => entry.deadline,
         CallOrigin::Peer(vouch) => vouch.time_left.min(entry.deadline),
@@ -160,7 +160,7 @@
     prefix: u64,
 }
 
-async fn take_body(
+async fn route_body(
     context: &EntryContext,
     catalog: &EntryCatalog,
     target: PathTarget,
