--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -65,12 +65,12 @@
     /// A caller, which must present a key.
     Caller,
     /// Another router, which has already authenticated the caller.
-    Peer(PeerVouch),
+    Peer(ForwardedFacts),
 }
 
 /// Facts about a forwarded call, as established by the router that forwards it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerVouch {
+pub struct ForwardedFacts {
     /// The authenticated team.
     pub team: TeamId,
     /// The kind of the request.
--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -42,8 +42,8 @@
 use super::call::CallAnswer;
 use super::call::CallBody;
 use super::call::CallOrigin;
+use super::call::ForwardedFacts;
 use super::call::IncomingCall;
-use super::call::PeerVouch;
 use super::caller::CallerSide;
 use super::context::EntryContext;
 use super::headers;
@@ -257,7 +257,7 @@
 }
 
 fn incoming(head: &ForwardHead, body: CallBody) -> Option<IncomingCall> {
-    let vouch = PeerVouch {
+    let vouch = ForwardedFacts {
         team: TeamId(head.team),
         kind: head.kind.parse().ok()?,
         time_left: TimeSpan::from_millis(head.deadline_ms.min(u64::from(u32::MAX))),
