--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -95,7 +95,7 @@
     let taken = route_body(context, catalog, target, &call.headers, call.body).await?;
     let time_left = match &call.origin {
         CallOrigin::Caller => entry.deadline,
-        CallOrigin::Peer(vouch) => vouch.time_left.min(entry.deadline),
+        CallOrigin::Peer(forwarded_facts) => forwarded_facts.time_left.min(entry.deadline),
     };
     let facts = RequestFacts {
         request: context.next_request(),
@@ -128,7 +128,7 @@
     fields: &HeaderMap,
 ) -> Result<(TeamId, &'a TeamEntry), CallFault> {
     let team = match origin {
-        CallOrigin::Peer(vouch) => Some(vouch.team),
+        CallOrigin::Peer(forwarded_facts) => Some(forwarded_facts.team),
         CallOrigin::Caller => bearer_key(fields).and_then(|key| catalog.team_of_key(key)),
     };
     let team = team.ok_or(CallFault::UnknownKey)?;
@@ -146,7 +146,7 @@
 
 fn kind_name(team: &TeamEntry, call: &IncomingCall, path: &str) -> Result<KindName, CallFault> {
     match &call.origin {
-        CallOrigin::Peer(vouch) => Ok(vouch.kind.clone()),
+        CallOrigin::Peer(forwarded_facts) => Ok(forwarded_facts.kind.clone()),
         CallOrigin::Caller => {
             route::kind_of(team, &call.method, path, &call.headers).map(|(name, _)| name.clone())
         }
--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -257,7 +257,7 @@
 }
 
 fn incoming(head: &ForwardHead, body: CallBody) -> Option<IncomingCall> {
-    let vouch = ForwardedFacts {
+    let forwarded_facts = ForwardedFacts {
         team: TeamId(head.team),
         kind: head.kind.parse().ok()?,
         time_left: TimeSpan::from_millis(head.deadline_ms.min(u64::from(u32::MAX))),
@@ -267,7 +267,7 @@
         target: head.path.parse().ok()?,
         headers: http_headers(&head.headers),
         body,
-        origin: CallOrigin::Peer(vouch),
+        origin: CallOrigin::Peer(forwarded_facts),
         abort: CancellationToken::new(),
     })
 }
