--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -142,13 +142,13 @@
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(Some(chunk)) => Poll::Ready(Some(Ok(chunk))),
                 Poll::Ready(None) if whole.load(Ordering::Acquire) => Poll::Ready(None),
-                Poll::Ready(None) => Poll::Ready(Some(Err(cut_error()))),
+                Poll::Ready(None) => Poll::Ready(Some(Err(incomplete_answer_error()))),
             },
         }
     }
 }
 
 /// The error that makes the transport abort the caller's connection.
-fn cut_error() -> io::Error {
+fn incomplete_answer_error() -> io::Error {
     io::Error::new(io::ErrorKind::ConnectionAborted, "the answer is incomplete")
 }
