--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -165,7 +165,8 @@
         }
         let tokens = tokens.unwrap_or(0);
         self.note_service(service::engine_service(self.request_bytes, tokens));
-        self.caller.give_whole(with_length(head, text.len()), text);
+        self.caller
+            .send_complete(with_length(head, text.len()), text);
         (AttemptOutcome::Whole, None)
     }
 
@@ -177,7 +178,7 @@
             let Ok(text) = self.read_all(&mut body, usize::MAX).await else {
                 return (AttemptOutcome::LostBeforeAnswer, None);
             };
-            self.caller.give_whole(with_outcome(head), text);
+            self.caller.send_complete(with_outcome(head), text);
             return (AttemptOutcome::Whole, None);
         }
         self.caller.begin(with_outcome(head));
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -120,7 +120,7 @@
     }
 
     /// Sends a complete answer with its head.
-    pub fn give_whole(&mut self, head: AnswerHead, body: Bytes) {
+    pub fn send_complete(&mut self, head: AnswerHead, body: Bytes) {
         if let Some(record) = &self.record {
             record.set_head(&head);
             record.push(&body);
