--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -60,7 +60,7 @@
 
     /// Also stores the answer in `record` for resends. The record is filled to the end even if
     /// this caller disconnects.
-    pub fn keep_in(&mut self, record: Arc<AnswerRecord>) {
+    pub fn store_in(&mut self, record: Arc<AnswerRecord>) {
         self.record = Some(record);
     }
 
--- a/src/entry/task.rs
+++ b/src/entry/task.rs
@@ -342,7 +342,8 @@
         if ticket.minter == minter && self.caller.record().is_none() {
             let limit = self.context.config.stored_answer_bytes;
             let answers = &self.context.control.answers;
-            self.caller.keep_in(answers.open(self.facts.request, limit));
+            self.caller
+                .store_in(answers.open(self.facts.request, limit));
         }
     }
 
