--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -27,7 +27,7 @@
 use super::call::CallBody;
 use super::call::CallOrigin;
 use super::call::IncomingCall;
-use super::caller::CallerLinks;
+use super::caller::CallerConnection;
 use super::caller::CallerSide;
 use super::catalog::EntryCatalog;
 use super::context::EntryContext;
@@ -55,7 +55,7 @@
     }
     let left = CancellationToken::new();
     let guard = left.clone().drop_guard();
-    let links = CallerLinks {
+    let links = CallerConnection {
         left,
         abort: call.abort.clone(),
         idle: catalog.fleet.caller_limits.answer_idle.as_duration(),
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -30,14 +30,14 @@
 #[derive(Debug)]
 pub struct CallerSide {
     stage: CallerStage,
-    links: CallerLinks,
+    links: CallerConnection,
     whole: Arc<AtomicBool>,
     record: Option<Arc<AnswerRecord>>,
 }
 
 /// Connects a request's task to the caller's connection.
 #[derive(Debug)]
-pub struct CallerLinks {
+pub struct CallerConnection {
     /// Cancelled when the caller disconnects.
     pub left: CancellationToken,
     /// Cancelling it closes the caller's connection.
@@ -49,7 +49,7 @@
 impl CallerSide {
     /// Creates a caller that waits for the answer's head at the receiving end of `sender`.
     #[must_use]
-    pub fn new(sender: oneshot::Sender<CallAnswer>, links: CallerLinks) -> Self {
+    pub fn new(sender: oneshot::Sender<CallAnswer>, links: CallerConnection) -> Self {
         Self {
             stage: CallerStage::Waiting(sender),
             links,
