--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -55,7 +55,7 @@
     }
     let left = CancellationToken::new();
     let guard = left.clone().drop_guard();
-    let links = CallerConnection {
+    let caller_connection = CallerConnection {
         left,
         abort: call.abort.clone(),
         idle: catalog.fleet.caller_limits.answer_idle.as_duration(),
@@ -65,7 +65,7 @@
     let request = task.facts.request;
     context
         .tasks
-        .spawn(task.run(CallerSide::new(sender, links)));
+        .spawn(task.run(CallerSide::new(sender, caller_connection)));
     // A task ends without an answer only when the whole process shuts down.
     let mut answer = receiver.await.map_err(|_| CallFault::Refused {
         reason: RefusalReason::Draining,
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct CallerSide {
     stage: CallerStage,
-    links: CallerConnection,
+    caller_connection: CallerConnection,
     whole: Arc<AtomicBool>,
     record: Option<Arc<AnswerRecord>>,
 }
@@ -49,10 +49,10 @@
 impl CallerSide {
     /// Creates a caller that waits for the answer's head at the receiving end of `sender`.
     #[must_use]
-    pub fn new(sender: oneshot::Sender<CallAnswer>, links: CallerConnection) -> Self {
+    pub fn new(sender: oneshot::Sender<CallAnswer>, caller_connection: CallerConnection) -> Self {
         Self {
             stage: CallerStage::Waiting(sender),
-            links,
+            caller_connection,
             whole: Arc::default(),
             record: None,
         }
@@ -73,7 +73,7 @@
     /// Returns a token that is cancelled when the caller disconnects.
     #[must_use]
     pub fn left(&self) -> CancellationToken {
-        self.links.left.clone()
+        self.caller_connection.left.clone()
     }
 
     /// Returns true if part of the answer may have reached the caller.
@@ -112,9 +112,9 @@
         let Err(full) = sender.try_send(chunk) else {
             return;
         };
-        let sent = time::timeout(self.links.idle, sender.send(full.into_inner())).await;
+        let sent = time::timeout(self.caller_connection.idle, sender.send(full.into_inner())).await;
         if !matches!(sent, Ok(Ok(()))) {
-            self.links.abort.cancel();
+            self.caller_connection.abort.cancel();
             self.stage = CallerStage::Ended;
         }
     }
