--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -111,11 +111,11 @@
         };
         client.open(&target, self.head()).await.map_err(|report| {
             spdlog::info!("entry: {}.", one_line(&report));
-            self.unopened(&report)
+            self.open_fault(&report)
         })
     }
 
-    fn unopened(&self, report: &Report<PeerError>) -> CallFault {
+    fn open_fault(&self, report: &Report<PeerError>) -> CallFault {
         let step = report.current_context().step;
         if step == PeerStep::Identity && self.ticket().is_some() {
             return CallFault::Refused {
