--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -81,10 +81,10 @@
 
     async fn pass_on(&mut self, host: HostName) -> Result<(), CallFault> {
         let (sink, mut answer) = self.open(host).await?;
-        let body = self.call.body.take().ok_or(self.lost(true))?;
+        let body = self.call.body.take().ok_or(self.peer_lost(true))?;
         tokio::spawn(send_body(sink, body));
-        let head = answer.head().await.map_err(|_| self.lost(true))?;
-        let head = answer_head(&head).ok_or(self.lost(true))?;
+        let head = answer.head().await.map_err(|_| self.peer_lost(true))?;
+        let head = answer_head(&head).ok_or(self.peer_lost(true))?;
         self.caller.begin(self.corrected(head));
         while let Some(piece) = next_piece(&mut answer).await? {
             self.caller.push(piece).await;
@@ -95,7 +95,11 @@
 
     /// Opens the forwarding connection. The peer's address is looked up in the core's members.
     async fn open(&mut self, host: HostName) -> Result<(ForwardSink, ForwardAnswer), CallFault> {
-        let client = self.context.forwards.as_ref().ok_or(self.lost(false))?;
+        let client = self
+            .context
+            .forwards
+            .as_ref()
+            .ok_or(self.peer_lost(false))?;
         let wanted = host.clone();
         let address = self
             .context
@@ -103,7 +107,7 @@
             .inspect(move |state| state.members.get(&wanted).map(|row| row.address.clone()))
             .await
             .flatten()
-            .ok_or(self.lost(false))?;
+            .ok_or(self.peer_lost(false))?;
         let target = ForwardTarget {
             host,
             address,
@@ -124,12 +128,12 @@
                 retry_after: TimeSpan(0),
             };
         }
-        self.lost(step == PeerStep::Write)
+        self.peer_lost(step == PeerStep::Write)
     }
 
     /// Returns the fault for a peer that can't be reached. A request with a ticket may have run on
     /// an earlier try, so only the router that minted the ticket can report "not run".
-    fn lost(&self, sent: bool) -> CallFault {
+    fn peer_lost(&self, sent: bool) -> CallFault {
         let outcome = match (sent || self.may_have_run, self.ticket()) {
             (false, None) => RunOutcome::NotRun,
             _ => RunOutcome::Unknown,
