--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -85,7 +85,7 @@
         tokio::spawn(send_body(sink, body));
         let head = answer.head().await.map_err(|_| self.peer_lost(true))?;
         let head = answer_head(&head).ok_or(self.peer_lost(true))?;
-        self.caller.begin(self.corrected(head));
+        self.caller.begin(self.with_corrected_outcome(head));
         while let Some(piece) = next_piece(&mut answer).await? {
             self.caller.push(piece).await;
         }
@@ -143,7 +143,7 @@
 
     /// Changes the outcome "not run" to "unknown" if an attempt from this router may have run the
     /// request: the peer that refuses it doesn't know of such attempts.
-    fn corrected(&self, mut head: AnswerHead) -> AnswerHead {
+    fn with_corrected_outcome(&self, mut head: AnswerHead) -> AnswerHead {
         let not_run = headers::outcome_value(RunOutcome::NotRun);
         if self.may_have_run && head.headers.get(headers::OUTCOME) == Some(&not_run) {
             let unknown = headers::outcome_value(RunOutcome::Unknown);
