--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -34,7 +34,7 @@
 use super::refusal::CallFault;
 
 /// Pause after a failed accept, for example when the process has no file descriptors left.
-const ACCEPT_REST: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Smallest buffer that `hyper` accepts, in bytes.
 const LEAST_BUFFER: usize = 8 * 1024;
 
@@ -83,7 +83,7 @@
                 }
                 Err(fault) => {
                     spdlog::warn!("entry: accept failed: {fault}.");
-                    tokio::time::sleep(ACCEPT_REST).await;
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
         }
