--- a/src/entry/front.rs
+++ b/src/entry/front.rs
@@ -36,7 +36,7 @@
 /// Pause after a failed accept, for example when the process has no file descriptors left.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Smallest buffer that `hyper` accepts, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
 /// The listener for callers.
 #[derive(Debug)]
@@ -107,8 +107,8 @@
         .caller_limits
         .header_bytes;
     let header_bytes = usize::try_from(limit)
-        .unwrap_or(LEAST_BUFFER)
-        .max(LEAST_BUFFER);
+        .unwrap_or(MIN_BUFFER_BYTES)
+        .max(MIN_BUFFER_BYTES);
     let abort = CancellationToken::new();
     let header_time = Duration::from_millis(context.config.header_ms);
     let service = TowerToHyperService::new(warp::service(filter(context, abort.clone())));
