--- a/src/entry/catalog.rs
+++ b/src/entry/catalog.rs
@@ -78,7 +78,7 @@
     pub fn plain_pool(&self, path: &str) -> Option<PoolId> {
         self.prefixes
             .iter()
-            .find(|(prefix, _)| lies_under(path, prefix))
+            .find(|(prefix, _)| matches_prefix(path, prefix))
             .map(|(_, pool)| *pool)
     }
 }
@@ -89,7 +89,7 @@
     index
 }
 
-fn lies_under(path: &str, prefix: &str) -> bool {
+fn matches_prefix(path: &str, prefix: &str) -> bool {
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
@@ -110,8 +110,8 @@
 
     #[test]
     fn a_prefix_ends_at_a_path_segment() {
-        assert!(lies_under("/portal", "/portal"));
-        assert!(lies_under("/portal/night", "/portal"));
-        assert!(!lies_under("/portals", "/portal"));
+        assert!(matches_prefix("/portal", "/portal"));
+        assert!(matches_prefix("/portal/night", "/portal"));
+        assert!(!matches_prefix("/portals", "/portal"));
     }
 }
