--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    fn note_service(&self, units: ServiceUnits) {
+    fn record_service(&self, units: ServiceUnits) {
         self.meter.store(units.0, Ordering::Relaxed);
     }
 
@@ -164,14 +164,14 @@
             return (AttemptOutcome::Garbage, None);
         }
         let tokens = tokens.unwrap_or(0);
-        self.note_service(service::engine_service(self.request_bytes, tokens));
+        self.record_service(service::engine_service(self.request_bytes, tokens));
         self.caller
             .send_complete(with_length(head, text.len()), text);
         (AttemptOutcome::Whole, None)
     }
 
     async fn read_plain(&mut self, head: AnswerHead, mut body: Incoming) -> ReadResult {
-        self.note_service(ServiceUnits(service::PLAIN_CALL));
+        self.record_service(ServiceUnits(service::PLAIN_CALL));
         let length = body.size_hint().exact();
         let kept = self.context.config.kept_answer_bytes as u64;
         if length.is_some_and(|bytes| bytes <= kept) {
@@ -244,7 +244,7 @@
             self.caller.push(batch.bytes).await;
             self.report_stored_bytes(&mut kept);
             passed += batch.count;
-            self.note_service(service::engine_service(self.request_bytes, passed - begun));
+            self.record_service(service::engine_service(self.request_bytes, passed - begun));
             if batch.done {
                 return (AttemptOutcome::Whole, Some(body));
             }
