--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -96,14 +96,14 @@
 
     /// Reports to the core how many bytes are stored for resends, each time the stored part has
     /// grown considerably: the core limits the total size of all stored answers.
-    fn report_stored_bytes(&self, told: &mut usize) {
+    fn report_stored_bytes(&self, last_reported: &mut usize) {
         let Some(kept) = self.caller.record().and_then(|record| record.kept_bytes()) else {
             return;
         };
-        if kept < *told + KEPT_STEP {
+        if kept < *last_reported + KEPT_STEP {
             return;
         }
-        *told = kept;
+        *last_reported = kept;
         self.context.control.tell(CoreEvent::AnswerKept {
             request: self.request,
             bytes: Some(ByteSize(kept as u64)),
@@ -182,7 +182,7 @@
             return (AttemptOutcome::Whole, None);
         }
         self.caller.begin(with_outcome(head));
-        let (mut passed, mut told) = (0, 0);
+        let (mut passed, mut last_reported) = (0, 0);
         loop {
             // A caller that knows the length may disconnect right after the last byte, which must
             // not be treated as a cancellation. So the answer ends here, without another read.
@@ -193,7 +193,7 @@
                 Ok(Some(chunk)) => {
                     passed += chunk.len() as u64;
                     self.caller.push(chunk).await;
-                    self.report_stored_bytes(&mut told);
+                    self.report_stored_bytes(&mut last_reported);
                 }
                 Ok(None) => return (AttemptOutcome::Whole, None),
                 Err(_) => return (AttemptOutcome::CutAt(passed), None),
@@ -227,7 +227,7 @@
         let mut head = Some(head);
         let mut splitter = EventSplitter::new(self.context.config.event_bytes);
         let mut passed = begun;
-        let (mut told, mut kept) = (Instant::now(), 0);
+        let (mut last_reported, mut kept) = (Instant::now(), 0);
         loop {
             let Ok(Some(chunk)) = self.next_chunk(&mut body).await else {
                 return (at_fault(passed), None);
@@ -248,16 +248,16 @@
             if batch.done {
                 return (AttemptOutcome::Whole, Some(body));
             }
-            self.tell_progress(&mut told);
+            self.tell_progress(&mut last_reported);
         }
     }
 
-    fn tell_progress(&self, told: &mut Instant) {
+    fn tell_progress(&self, last_reported: &mut Instant) {
         let interval = Duration::from_millis(self.context.config.progress_ms);
-        if told.elapsed() < interval {
+        if last_reported.elapsed() < interval {
             return;
         }
-        *told = Instant::now();
+        *last_reported = Instant::now();
         self.context.control.tell(CoreEvent::Progress {
             request: self.request,
             attempt: self.order.attempt,
