--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -248,11 +248,11 @@
             if batch.done {
                 return (AttemptOutcome::Whole, Some(body));
             }
-            self.tell_progress(&mut last_reported);
+            self.report_progress(&mut last_reported);
         }
     }
 
-    fn tell_progress(&self, last_reported: &mut Instant) {
+    fn report_progress(&self, last_reported: &mut Instant) {
         let interval = Duration::from_millis(self.context.config.progress_ms);
         if last_reported.elapsed() < interval {
             return;
