--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -203,7 +203,7 @@
 
     async fn read_events(&mut self, head: AnswerHead, mut body: Incoming) -> ReadResult {
         let begun = self.order.resume_at;
-        let at_fault = |passed: u64| match passed {
+        let cut_outcome = |passed: u64| match passed {
             0 => AttemptOutcome::LostBeforeAnswer,
             _ => AttemptOutcome::CutAt(passed),
         };
@@ -230,7 +230,7 @@
         let (mut last_reported, mut kept) = (Instant::now(), 0);
         loop {
             let Ok(Some(chunk)) = self.next_chunk(&mut body).await else {
-                return (at_fault(passed), None);
+                return (cut_outcome(passed), None);
             };
             let batch = match splitter.push(chunk) {
                 Ok(Some(batch)) => batch,
