--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -202,16 +202,16 @@
     }
 
     async fn read_events(&mut self, head: AnswerHead, mut body: Incoming) -> ReadResult {
-        let begun = self.order.resume_at;
+        let start_event = self.order.resume_at;
         let cut_outcome = |passed: u64| match passed {
             0 => AttemptOutcome::LostBeforeAnswer,
             _ => AttemptOutcome::CutAt(passed),
         };
         if !is_event_stream(&head.headers) {
             return (
-                match begun {
+                match start_event {
                     0 => AttemptOutcome::Garbage,
-                    _ => AttemptOutcome::CutAt(begun),
+                    _ => AttemptOutcome::CutAt(start_event),
                 },
                 None,
             );
@@ -220,13 +220,13 @@
         *self.can_resume = resumed.is_some();
         // An endpoint that can't resume starts from the beginning, which the caller already has:
         // passing it on would duplicate that part.
-        if begun > 0 && resumed != Some(begun) {
+        if start_event > 0 && resumed != Some(start_event) {
             *self.can_resume = false;
-            return (AttemptOutcome::CutAt(begun), None);
+            return (AttemptOutcome::CutAt(start_event), None);
         }
         let mut head = Some(head);
         let mut splitter = EventSplitter::new(self.context.config.event_bytes);
-        let mut passed = begun;
+        let mut passed = start_event;
         let (mut last_reported, mut kept) = (Instant::now(), 0);
         loop {
             let Ok(Some(chunk)) = self.next_chunk(&mut body).await else {
@@ -244,7 +244,10 @@
             self.caller.push(batch.bytes).await;
             self.report_stored_bytes(&mut kept);
             passed += batch.count;
-            self.record_service(service::engine_service(self.request_bytes, passed - begun));
+            self.record_service(service::engine_service(
+                self.request_bytes,
+                passed - start_event,
+            ));
             if batch.done {
                 return (AttemptOutcome::Whole, Some(body));
             }
