--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -36,7 +36,7 @@
 use super::service;
 
 /// Growth of a stored answer after which its size is reported to the core again, in bytes.
-const KEPT_STEP: usize = 32 * 1024;
+const STORED_STEP_BYTES: usize = 32 * 1024;
 
 /// How an attempt ended, and the answer's body if its end has not been read yet.
 pub type ReadResult = (AttemptOutcome, Option<Incoming>);
@@ -100,7 +100,7 @@
         let Some(kept) = self.caller.record().and_then(|record| record.kept_bytes()) else {
             return;
         };
-        if kept < *last_reported + KEPT_STEP {
+        if kept < *last_reported + STORED_STEP_BYTES {
             return;
         }
         *last_reported = kept;
