--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -19,7 +19,7 @@
 use crate::units::TeamId;
 use crate::units::TimeSpan;
 
-use super::body::BodyTime;
+use super::body::BodyTimeouts;
 use super::body::StoredBody;
 use super::body::bounded_rest;
 use super::body::read_body;
@@ -169,7 +169,7 @@
 ) -> Result<RoutedBody, CallFault> {
     let config = &context.config;
     let limits = &catalog.fleet.caller_limits;
-    let time = BodyTime {
+    let time = BodyTimeouts {
         pause: limits.body_idle.as_duration(),
         whole: Duration::from_millis(config.body_ms),
     };
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -25,7 +25,7 @@
 
 /// Time limits for reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BodyTime {
+pub struct BodyTimeouts {
     /// Longest pause between two chunks.
     pub pause: Duration,
     /// Longest total time for reading the buffered part.
@@ -40,7 +40,7 @@
 pub async fn read_body(
     mut body: CallBody,
     limit: usize,
-    limits: BodyTime,
+    limits: BodyTimeouts,
 ) -> Result<StoredBody, CallFault> {
     let read = read_kept(&mut body, limit, limits.pause);
     // The total time is bounded as well as the pauses: a sender that trickles single bytes would
