--- a/src/endpoint/attempt.rs
+++ b/src/endpoint/attempt.rs
@@ -195,7 +195,7 @@
             request,
             attempt: order.attempt,
         });
-        if self.plan.shape != AnswerShape::Plain && refuses(response.status()) {
+        if self.plan.shape != AnswerShape::Plain && is_refusal_status(response.status()) {
             return AttemptOutcome::Refused;
         }
         let reader = AnswerReader {
@@ -219,7 +219,7 @@
 /// Returns true if an engine's status means that it did no work: by the published API, an engine
 /// sends these statuses only before it admits a request. A plain service may have done part of the
 /// work before it sends one, so its answer is passed on instead.
-fn refuses(status: StatusCode) -> bool {
+fn is_refusal_status(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
