--- a/src/endpoint/attempt.rs
+++ b/src/endpoint/attempt.rs
@@ -31,7 +31,7 @@
 use super::reader::AnswerReader;
 
 /// Idle connections that may turn out to be closed; the try after that is the last one.
-const STALE_CONNECTIONS: u32 = 3;
+const MAX_STALE_CONNECTIONS: u32 = 3;
 
 /// The expected form of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -100,7 +100,7 @@
         let Some(address) = self.address() else {
             return AttemptOutcome::NotSent;
         };
-        for _ in 0..=STALE_CONNECTIONS {
+        for _ in 0..=MAX_STALE_CONNECTIONS {
             match self.send(address).await {
                 Ok((sender, response)) => return self.read(address, sender, response).await,
                 Err(SendFault::Ended(outcome)) => return outcome,
