--- a/src/endpoint/connections.rs
+++ b/src/endpoint/connections.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone)]
 pub struct EndpointConnections {
     idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
-    connect_within: Duration,
+    connect_timeout: Duration,
     keep_for: Duration,
     keep: usize,
 }
@@ -73,7 +73,7 @@
     pub fn new(config: &TrafficConfig) -> Self {
         Self {
             idle: Arc::default(),
-            connect_within: Duration::from_millis(config.connect_ms),
+            connect_timeout: Duration::from_millis(config.connect_ms),
             keep_for: Duration::from_millis(config.idle_ms),
             keep: config.idle_connections,
         }
@@ -110,7 +110,7 @@
         address: SocketAddr,
     ) -> Result<SendRequest<OutgoingBody>, Report<ConnectError>> {
         let fault = |step| ConnectError { step, address };
-        let stream = time::timeout(self.connect_within, TcpStream::connect(address))
+        let stream = time::timeout(self.connect_timeout, TcpStream::connect(address))
             .await
             .change_context(fault(ConnectStep::Timeout))?
             .change_context(fault(ConnectStep::Open))?;
