--- a/src/endpoint/connections.rs
+++ b/src/endpoint/connections.rs
@@ -63,7 +63,7 @@
 pub struct EndpointConnections {
     idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
     connect_timeout: Duration,
-    keep_for: Duration,
+    idle_timeout: Duration,
     keep: usize,
 }
 
@@ -74,7 +74,7 @@
         Self {
             idle: Arc::default(),
             connect_timeout: Duration::from_millis(config.connect_ms),
-            keep_for: Duration::from_millis(config.idle_ms),
+            idle_timeout: Duration::from_millis(config.idle_ms),
             keep: config.idle_connections,
         }
     }
@@ -97,7 +97,7 @@
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
         connections.retain(|connection| {
-            !connection.sender.is_closed() && connection.since.elapsed() < self.keep_for
+            !connection.sender.is_closed() && connection.since.elapsed() < self.idle_timeout
         });
         let newest = connections
             .iter()
