--- a/src/endpoint/connections.rs
+++ b/src/endpoint/connections.rs
@@ -64,7 +64,7 @@
     idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
     connect_timeout: Duration,
     idle_timeout: Duration,
-    keep: usize,
+    max_idle: usize,
 }
 
 impl EndpointConnections {
@@ -75,7 +75,7 @@
             idle: Arc::default(),
             connect_timeout: Duration::from_millis(config.connect_ms),
             idle_timeout: Duration::from_millis(config.idle_ms),
-            keep: config.idle_connections,
+            max_idle: config.idle_connections,
         }
     }
 
@@ -133,7 +133,7 @@
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(address).or_default();
-        if connections.len() < self.keep {
+        if connections.len() < self.max_idle {
             connections.push(IdleConnection {
                 sender,
                 since: Instant::now(),
