--- a/src/endpoint/events.rs
+++ b/src/endpoint/events.rs
@@ -86,11 +86,11 @@
 fn batch(bytes: Bytes) -> Result<EventBatch, EventFault> {
     let mut count = 0;
     let mut done = false;
-    let mut carries = false;
+    let mut has_data = false;
     for line in bytes.split(|byte| *byte == b'\n') {
         if line.is_empty() {
-            count += u64::from(carries);
-            carries = false;
+            count += u64::from(has_data);
+            has_data = false;
             continue;
         }
         if !begins_with_field(line) {
@@ -99,7 +99,7 @@
         if line.starts_with(DONE) {
             done = true;
         } else if line.starts_with(b"data") {
-            carries = true;
+            has_data = true;
         }
     }
     Ok(EventBatch { bytes, count, done })
