--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::endpoint::load::LoadWatches;
+use crate::endpoint::load::LoadPolls;
 use crate::endpoint::orders::order_model;
 use crate::entry::context::EntryContext;
 use crate::peers::mesh::PeerMesh;
@@ -32,14 +32,14 @@
 impl OutsideHands {
     /// Carries out commands until `closing` is cancelled or the control thread ends.
     pub async fn run(self, mut commands: UnboundedReceiver<OutsideCommand>) {
-        let mut watches = LoadWatches::default();
+        let mut watches = LoadPolls::default();
         let closing = self.closing.clone();
         while let Some(Some(command)) = closing.run_until_cancelled(commands.recv()).await {
             self.carry_out(command, &mut watches);
         }
     }
 
-    fn carry_out(&self, command: OutsideCommand, watches: &mut LoadWatches) {
+    fn carry_out(&self, command: OutsideCommand, watches: &mut LoadPolls) {
         let context = &self.context;
         match command {
             OutsideCommand::WatchLoad { endpoint, on } => {
--- a/src/endpoint/load.rs
+++ b/src/endpoint/load.rs
@@ -45,11 +45,11 @@
 
 /// The running polls of endpoints' load.
 #[derive(Debug, Default)]
-pub struct LoadWatches {
+pub struct LoadPolls {
     running: BTreeMap<EndpointId, CancellationToken>,
 }
 
-impl LoadWatches {
+impl LoadPolls {
     /// Starts or stops polling an endpoint's load. Polling also stops when `closing` is cancelled.
     pub fn switch(
         &mut self,
