--- a/src/endpoint/load.rs
+++ b/src/endpoint/load.rs
@@ -67,12 +67,12 @@
         let token = self.running.entry(endpoint);
         if let std::collections::btree_map::Entry::Vacant(free) = token {
             let token = free.insert(closing.child_token()).clone();
-            tokio::spawn(token.run_until_cancelled_owned(watch(Arc::clone(context), endpoint)));
+            tokio::spawn(token.run_until_cancelled_owned(poll_load(Arc::clone(context), endpoint)));
         }
     }
 }
 
-async fn watch(context: Arc<EntryContext>, endpoint: EndpointId) {
+async fn poll_load(context: Arc<EntryContext>, endpoint: EndpointId) {
     let mut interval = time::interval(Duration::from_millis(context.config.load_ms));
     interval.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
