--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -43,7 +43,7 @@
         let context = &self.context;
         match command {
             OutsideCommand::WatchLoad { endpoint, on } => {
-                watches.switch(context, endpoint, on, &self.closing);
+                watches.set_polling(context, endpoint, on, &self.closing);
             }
             OutsideCommand::OrderModel {
                 endpoint,
--- a/src/endpoint/load.rs
+++ b/src/endpoint/load.rs
@@ -51,7 +51,7 @@
 
 impl LoadPolls {
     /// Starts or stops polling an endpoint's load. Polling also stops when `closing` is cancelled.
-    pub fn switch(
+    pub fn set_polling(
         &mut self,
         context: &Arc<EntryContext>,
         endpoint: EndpointId,
