--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::endpoint::load::LoadPolls;
-use crate::endpoint::orders::order_model;
+use crate::endpoint::orders::send_model_order;
 use crate::entry::context::EntryContext;
 use crate::peers::mesh::PeerMesh;
 use crate::sources::ConfigText;
@@ -50,7 +50,7 @@
                 pool,
                 fence,
             } => {
-                tokio::spawn(order_model(Arc::clone(context), endpoint, pool, fence));
+                tokio::spawn(send_model_order(Arc::clone(context), endpoint, pool, fence));
             }
             OutsideCommand::AdoptText { revision, text } => {
                 adopt(context, ConfigText { revision, text });
--- a/src/endpoint/orders.rs
+++ b/src/endpoint/orders.rs
@@ -32,7 +32,7 @@
 
 /// Sends an order and logs the answer. Whether the model was loaded shows in the endpoint's load
 /// reports.
-pub async fn order_model(
+pub async fn send_model_order(
     context: Arc<EntryContext>,
     endpoint: EndpointId,
     pool: PoolId,
