--- a/src/tickets/mod.rs
+++ b/src/tickets/mod.rs
@@ -143,9 +143,9 @@
     /// Signs a ticket that this router's core minted.
     #[must_use]
     pub fn sign(&self, name: TicketName) -> TicketText {
-        let code = self.code(name).finalize().into_bytes();
+        let keyed_mac = self.keyed_mac(name).finalize().into_bytes();
         let mut mac = [0; MAC_BYTES];
-        mac.copy_from_slice(&code[..MAC_BYTES]);
+        mac.copy_from_slice(&keyed_mac[..MAC_BYTES]);
         TicketText { name, mac }
     }
 
@@ -161,18 +161,18 @@
         if ticket.name.minter != self.minter {
             return Ok(ticket.name);
         }
-        self.code(ticket.name)
+        self.keyed_mac(ticket.name)
             .verify_truncated_left(&ticket.mac)
             .map_err(|_| TicketError::Forged)?;
         Ok(ticket.name)
     }
 
-    fn code(&self, name: TicketName) -> Hmac<Sha256> {
-        let mut code = <Hmac<Sha256> as Mac>::new(&self.secret.into());
-        code.update(VERSION.as_bytes());
-        code.update(&name.minter.0.to_be_bytes());
-        code.update(&name.number.to_be_bytes());
-        code
+    fn keyed_mac(&self, name: TicketName) -> Hmac<Sha256> {
+        let mut keyed_mac = <Hmac<Sha256> as Mac>::new(&self.secret.into());
+        keyed_mac.update(VERSION.as_bytes());
+        keyed_mac.update(&name.minter.0.to_be_bytes());
+        keyed_mac.update(&name.number.to_be_bytes());
+        keyed_mac
     }
 }
 
