--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -171,7 +171,7 @@
     }
 
     async fn read_plain(&mut self, head: AnswerHead, mut body: Incoming) -> ReadResult {
-        self.record_service(ServiceUnits(service::PLAIN_CALL));
+        self.record_service(ServiceUnits(service::PLAIN_CALL_UNITS));
         let length = body.size_hint().exact();
         let kept = self.context.config.kept_answer_bytes as u64;
         if length.is_some_and(|bytes| bytes <= kept) {
--- a/src/endpoint/service.rs
+++ b/src/endpoint/service.rs
@@ -2,14 +2,14 @@
 //!
 //! Model engines: one unit per input token (estimated as four bytes of the request's body) and two
 //! per output token (one event of a streamed answer; for an unstreamed answer the token count that
-//! it states, or else four bytes of it). Plain services: [`PLAIN_CALL`] per call.
+//! it states, or else four bytes of it). Plain services: [`PLAIN_CALL_UNITS`] per call.
 
 use serde::Deserialize;
 
 use crate::units::ServiceUnits;
 
 /// Service units of one call to a plain service.
-pub const PLAIN_CALL: u64 = 100;
+pub const PLAIN_CALL_UNITS: u64 = 100;
 const INPUT_WEIGHT: u64 = 1;
 const OUTPUT_WEIGHT: u64 = 2;
 const BYTES_PER_TOKEN: u64 = 4;
