--- a/src/endpoint/exchange.rs
+++ b/src/endpoint/exchange.rs
@@ -22,7 +22,7 @@
 /// Largest answer to an exchange, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 /// Timeout of a whole exchange.
-const EXCHANGE_TIME: Duration = Duration::from_secs(2);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The error of an exchange that failed.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
         connections.give_back(address, sender);
         Ok((status, read.to_bytes()))
     };
-    time::timeout(EXCHANGE_TIME, work)
+    time::timeout(EXCHANGE_TIMEOUT, work)
         .await
         .map_err(|_| Report::new(fault(ExchangeStep::Timeout)))?
 }
