--- a/tests/endpoint_faults.rs
+++ b/tests/endpoint_faults.rs
@@ -19,7 +19,7 @@
         .header("standin-do", fault)
 }
 
-async fn usual() -> SingleRouter {
+async fn start_router() -> SingleRouter {
     SingleRouter::start(SingleOptions::default()).await
 }
 
@@ -28,7 +28,7 @@
 // again.
 #[tokio::test]
 async fn a_cut_stream_is_resumed_where_it_stopped() {
-    let single = usual().await;
+    let single = start_router().await;
     for cut in [1, 7, 19] {
         let id = format!("cut-{cut}");
         let call = completion(&id, &format!("cut={cut}"), true);
@@ -58,7 +58,7 @@
 // must see that the answer is cut.
 #[tokio::test]
 async fn a_cut_plain_answer_breaks_the_connection() {
-    let single = usual().await;
+    let single = start_router().await;
     let call = Call::new(&key_of("nadi"), "GET", "/portal/night", "")
         .header("standin-do", "cut=200000")
         .header("standin-id", "a");
@@ -95,7 +95,7 @@
 // An endpoint fails every time: the caller must get an error in the end, with the correct outcome.
 #[tokio::test]
 async fn what_fails_every_time_ends_in_a_true_refusal() {
-    let single = usual().await;
+    let single = start_router().await;
     let refused = completion("a", "refuse", true)
         .send(single.router.callers)
         .await;
@@ -120,7 +120,7 @@
 // resend with the same ticket.
 #[tokio::test]
 async fn an_unrepeatable_call_is_not_tried_again_after_a_crash() {
-    let single = usual().await;
+    let single = start_router().await;
     let call = Call::new(&key_of("nadi"), "POST", "/portal/log", "mix")
         .header("standin-id", "m1")
         .header("standin-do", "once-crash");
@@ -138,7 +138,7 @@
 // The only endpoint is down before anything is sent: the outcome must be "not-run".
 #[tokio::test]
 async fn a_call_to_an_endpoint_that_is_away_did_not_run() {
-    let single = usual().await;
+    let single = start_router().await;
     single.portal.stop();
     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     let call = Call::new(&key_of("nadi"), "GET", "/portal/night", "");
