--- a/tests/path.rs
+++ b/tests/path.rs
@@ -16,24 +16,24 @@
 
 #[tokio::test]
 async fn a_streamed_and_an_unstreamed_answer_come_whole() {
-    let bench = SingleRouter::start(SingleOptions::default()).await;
+    let single = SingleRouter::start(SingleOptions::default()).await;
     let key = key_of("nadi");
     let streamed = Call::completion(&key, "luma", 40, true)
-        .send(bench.router.callers)
+        .send(single.router.callers)
         .await;
     assert_eq!(streamed.status(), Some(StatusCode::OK));
     assert_eq!(streamed_text(&streamed.text()), Some(expected_text(40)));
     let whole = Call::completion(&key, "luma", 5, false)
-        .send(bench.router.callers)
+        .send(single.router.callers)
         .await;
     assert_eq!(whole.status(), Some(StatusCode::OK));
     assert!(whole.text().contains(&expected_text(5)), "{whole:?}");
-    bench.router.stop().await;
+    single.router.stop().await;
 }
 
 #[tokio::test]
 async fn a_plain_service_gets_any_method_and_bodies_of_any_size_both_ways() {
-    let bench = SingleRouter::start(SingleOptions::default()).await;
+    let single = SingleRouter::start(SingleOptions::default()).await;
     let key = key_of("nadi");
     let body: Vec<u8> = (0..1_000_000_u32)
         .map(|index| index.to_le_bytes()[0])
@@ -41,16 +41,16 @@
     for size in [0, 10, 64 * 1024 + 1, body.len()] {
         let sent = &body[..size];
         let call = Call::new(&key, "PUT", "/portal/echo?night=1", sent.to_vec());
-        let end = call.send(bench.router.callers).await;
+        let end = call.send(single.router.callers).await;
         assert_eq!(end.status(), Some(StatusCode::OK), "{size} bytes");
         assert!(matches!(end, shared::caller::CallEnd::Answered { body, .. } if body == sent));
     }
-    bench.router.stop().await;
+    single.router.stop().await;
 }
 
 #[tokio::test]
 async fn an_unknown_key_learns_nothing() {
-    let bench = SingleRouter::start(SingleOptions::default()).await;
+    let single = SingleRouter::start(SingleOptions::default()).await;
     let mut answers = Vec::new();
     for (key, path) in [
         ("wrong", "/portal/x"),
@@ -58,7 +58,7 @@
         ("wrong", "/nowhere"),
     ] {
         let end = Call::new(key, "GET", path, "")
-            .send(bench.router.callers)
+            .send(single.router.callers)
             .await;
         assert_eq!(end.status(), Some(StatusCode::UNAUTHORIZED));
         assert_eq!(end.outcome(), "not-run");
@@ -66,7 +66,7 @@
     }
     answers.dedup();
     assert_eq!(answers.len(), 1, "all refusals of unknown keys are alike");
-    bench.router.stop().await;
+    single.router.stop().await;
 }
 
 // The answer to an unrepeatable write is lost on the way and the caller sends the write again with
@@ -74,30 +74,30 @@
 // run.
 #[tokio::test]
 async fn an_unrepeatable_call_runs_once_for_all_its_resends() {
-    let bench = SingleRouter::start(SingleOptions::default()).await;
+    let single = SingleRouter::start(SingleOptions::default()).await;
     let call = Call::new(&key_of("nadi"), "POST", "/portal/log", "mix").header("standin-id", "m1");
-    let offered = call.send(bench.router.callers).await;
+    let offered = call.send(single.router.callers).await;
     assert_eq!(offered.status(), Some(StatusCode::PRECONDITION_REQUIRED));
     assert_eq!(offered.outcome(), "not-run");
-    assert_eq!(bench.portal.executions_of("m1"), 0);
+    assert_eq!(single.portal.executions_of("m1"), 0);
     let call = call.header("verbenaturn-ticket", offered.ticket());
-    let first = call.send(bench.router.callers).await;
-    let again = call.send(bench.router.callers).await;
+    let first = call.send(single.router.callers).await;
+    let again = call.send(single.router.callers).await;
     assert_eq!(first.status(), Some(StatusCode::OK));
     assert_eq!(first, again);
-    assert_eq!(bench.portal.executions_of("m1"), 1);
-    bench.router.stop().await;
+    assert_eq!(single.portal.executions_of("m1"), 1);
+    single.router.stop().await;
 }
 
 // A caller disconnects while an answer streams: the engine must not keep generating it.
 #[tokio::test]
 async fn a_caller_that_leaves_frees_the_engine() {
-    let bench = SingleRouter::start(SingleOptions::default()).await;
+    let single = SingleRouter::start(SingleOptions::default()).await;
     let call = Call::completion(&key_of("nadi"), "luma", 1_000_000, true);
-    let response = call.open(bench.router.callers).await.unwrap();
+    let response = call.open(single.router.callers).await.unwrap();
     assert_eq!(response.status(), StatusCode::OK);
     drop(response);
-    let shared = &bench.engine.shared;
+    let shared = &single.engine.shared;
     let freed = async {
         while shared.cancelled.load(std::sync::atomic::Ordering::Relaxed) == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -106,5 +106,5 @@
     tokio::time::timeout(Duration::from_secs(20), freed)
         .await
         .expect("the engine goes on");
-    bench.router.stop().await;
+    single.router.stop().await;
 }
