--- a/tests/caller_limits.rs
+++ b/tests/caller_limits.rs
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn what_is_too_large_is_refused_and_did_not_run() {
+async fn oversized_bodies_and_headers_are_refused_without_running() {
     let single = with_limits(json!({"body_bytes": 100_000})).await;
     let key = key_of("nadi");
     for path in ["/portal/echo", "/v1/completions"] {
