--- a/tests/caller_limits.rs
+++ b/tests/caller_limits.rs
@@ -103,7 +103,7 @@
 
 // A caller that stops reading would occupy a slot of its endpoint forever.
 #[tokio::test]
-async fn a_caller_that_stops_reading_is_given_up() {
+async fn a_caller_that_stops_reading_is_disconnected() {
     let single = with_limits(json!({"answer_idle_ms": 200})).await;
     let call = Call::new(&key_of("nadi"), "GET", "/portal/bytes/300000000", "");
     let response = call.open(single.router.callers).await.unwrap();
