--- a/tests/caller_limits.rs
+++ b/tests/caller_limits.rs
@@ -77,7 +77,7 @@
 // A caller reads nothing of a large answer: backpressure must reach the endpoint, so that the
 // router does not buffer the answer in memory. The caller then reads on and gets all of it.
 #[tokio::test]
-async fn a_slow_reader_holds_its_endpoint_back() {
+async fn a_slow_reader_puts_backpressure_on_its_endpoint() {
     const LENGTH: u64 = 300_000_000;
     let single = with_limits(json!({})).await;
     let path = format!("/portal/bytes/{LENGTH}");
