--- a/tests/endpoint_faults.rs
+++ b/tests/endpoint_faults.rs
@@ -94,7 +94,7 @@
 
 // An endpoint fails every time: the caller must get an error in the end, with the correct outcome.
 #[tokio::test]
-async fn what_fails_every_time_ends_in_a_true_refusal() {
+async fn persistent_faults_end_in_an_error_with_the_correct_outcome() {
     let single = start_router().await;
     let refused = completion("a", "refuse", true)
         .send(single.router.callers)
