--- a/tests/endpoint_faults.rs
+++ b/tests/endpoint_faults.rs
@@ -137,7 +137,7 @@
 
 // The only endpoint is down before anything is sent: the outcome must be "not-run".
 #[tokio::test]
-async fn a_call_to_an_endpoint_that_is_away_did_not_run() {
+async fn a_call_to_an_endpoint_that_is_down_did_not_run() {
     let single = start_router().await;
     single.portal.stop();
     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
