--- a/tests/path.rs
+++ b/tests/path.rs
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn an_unknown_key_learns_nothing() {
+async fn refusals_of_unknown_keys_are_identical() {
     let single = SingleRouter::start(SingleOptions::default()).await;
     let mut answers = Vec::new();
     for (key, path) in [
