--- a/src/entry/headers.rs
+++ b/src/entry/headers.rs
@@ -88,7 +88,7 @@
     use super::*;
 
     #[test]
-    fn keys_and_connection_headers_stay_behind() {
+    fn keys_and_connection_headers_are_not_passed_on() {
         let mut headers = HeaderMap::new();
         for (name, value) in [
             ("authorization", "Bearer k"),
