--- a/src/endpoint/events.rs
+++ b/src/endpoint/events.rs
@@ -134,7 +134,7 @@
     }
 
     #[test]
-    fn what_is_no_event_is_refused() {
+    fn invalid_events_are_rejected() {
         assert_eq!(push_all(&["<html>\n\n"]), Err(EventFault));
         assert_eq!(push_all(&["<html><b"]), Err(EventFault));
         assert_eq!(push_all(&["data: ", &"x".repeat(99)]), Err(EventFault));
