--- a/src/tickets/mod.rs
+++ b/src/tickets/mod.rs
@@ -199,7 +199,7 @@
     }
 
     #[test]
-    fn another_number_needs_another_code() {
+    fn a_ticket_with_a_changed_number_is_rejected() {
         let mut ticket = signer().sign(name(3));
         ticket.name.number = 4;
         assert_eq!(signer().check(&ticket), Err(TicketError::Forged));
