--- a/src/endpoint/connections.rs
+++ b/src/endpoint/connections.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 struct IdleConnection {
     sender: SendRequest<OutgoingBody>,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// The pool of idle connections to all endpoints.
@@ -97,7 +97,7 @@
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
         connections.retain(|connection| {
-            !connection.sender.is_closed() && connection.since.elapsed() < self.idle_timeout
+            !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_timeout
         });
         let newest = connections
             .iter()
@@ -136,7 +136,7 @@
         if connections.len() < self.max_idle {
             connections.push(IdleConnection {
                 sender,
-                since: Instant::now(),
+                idle_since: Instant::now(),
             });
         }
     }
