--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -172,11 +172,11 @@
     path: &str,
     ticket: Option<TicketName>,
 ) -> RepeatRule {
-    let marked = team
+    let matches_unrepeatable_kind = team
         .kinds
         .values()
         .any(|other| other.unrepeatable && matches_call(other, method, path));
-    if kind.unrepeatable || marked || ticket.is_some() {
+    if kind.unrepeatable || matches_unrepeatable_kind || ticket.is_some() {
         return RepeatRule::Unrepeatable(ticket);
     }
     RepeatRule::Repeatable
