--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -26,7 +26,7 @@
 
 /// Chunks of an answer that are buffered for a slow caller before backpressure reaches the
 /// endpoint.
-pub const ANSWER_CHUNKS: usize = 4;
+pub const ANSWER_BUFFER_CHUNKS: usize = 4;
 
 /// The body of a call as a stream of chunks.
 pub type CallBody = Pin<Box<dyn Stream<Item = Result<Bytes, BodyFault>> + Send>>;
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -14,7 +14,7 @@
 
 use super::answers::AnswerHead;
 use super::answers::AnswerRecord;
-use super::call::ANSWER_CHUNKS;
+use super::call::ANSWER_BUFFER_CHUNKS;
 use super::call::AnswerBody;
 use super::call::CallAnswer;
 use super::refusal::CallFault;
@@ -92,7 +92,7 @@
             self.stage = stage;
             return;
         };
-        let (chunks, receiver) = mpsc::channel(ANSWER_CHUNKS);
+        let (chunks, receiver) = mpsc::channel(ANSWER_BUFFER_CHUNKS);
         let answer = answer_of(head, AnswerBody::chunks(receiver, Arc::clone(&self.whole)));
         if sender.send(answer).is_ok() {
             self.stage = CallerStage::Streaming(chunks);
