--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -6,8 +6,8 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::endpoint::load::LoadWatches;
-use crate::endpoint::orders::order_model;
+use crate::endpoint::load::LoadPolls;
+use crate::endpoint::orders::send_model_order;
 use crate::entry::context::EntryContext;
 use crate::peers::mesh::PeerMesh;
 use crate::sources::ConfigText;
@@ -32,25 +32,25 @@
 impl OutsideHands {
     /// Carries out commands until `closing` is cancelled or the control thread ends.
     pub async fn run(self, mut commands: UnboundedReceiver<OutsideCommand>) {
-        let mut watches = LoadWatches::default();
+        let mut watches = LoadPolls::default();
         let closing = self.closing.clone();
         while let Some(Some(command)) = closing.run_until_cancelled(commands.recv()).await {
             self.carry_out(command, &mut watches);
         }
     }
 
-    fn carry_out(&self, command: OutsideCommand, watches: &mut LoadWatches) {
+    fn carry_out(&self, command: OutsideCommand, watches: &mut LoadPolls) {
         let context = &self.context;
         match command {
             OutsideCommand::WatchLoad { endpoint, on } => {
-                watches.switch(context, endpoint, on, &self.closing);
+                watches.set_polling(context, endpoint, on, &self.closing);
             }
             OutsideCommand::OrderModel {
                 endpoint,
                 pool,
                 fence,
             } => {
-                tokio::spawn(order_model(Arc::clone(context), endpoint, pool, fence));
+                tokio::spawn(send_model_order(Arc::clone(context), endpoint, pool, fence));
             }
             OutsideCommand::AdoptText { revision, text } => {
                 adopt(context, ConfigText { revision, text });
--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -1,5 +1,6 @@
-//! Reading an endpoint's answer and passing it on. Nothing is read ahead of the caller by more
-//! than a few chunks, so a slow caller holds its endpoint back and not this router's memory.
+//! Reading an endpoint's answer and passing it on to the caller. At most a few chunks are read
+//! ahead of the caller, so a slow caller puts backpressure on its endpoint instead of filling this
+//! router's memory.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -34,43 +35,43 @@
 use super::events::EventSplitter;
 use super::service;
 
-/// Growth of a kept answer that the core is told of, in bytes.
-const KEPT_STEP: usize = 32 * 1024;
+/// Growth of a stored answer after which its size is reported to the core again, in bytes.
+const STORED_STEP_BYTES: usize = 32 * 1024;
 
-/// How an attempt ended, and the rest of its body if its end was not read yet.
+/// How an attempt ended, and the answer's body if its end has not been read yet.
 pub type ReadResult = (AttemptOutcome, Option<Incoming>);
 
-/// Reads one answer.
+/// Reads one answer of an endpoint.
 pub struct AnswerReader<'a> {
-    /// What all requests share.
+    /// State shared by all requests.
     pub context: &'a EntryContext,
     /// The request.
     pub request: RequestId,
-    /// What the core decided.
+    /// The core's decision: attempt number, endpoint, resume offset and latest send time.
     pub order: DispatchOrder,
-    /// What the answer shall look like.
+    /// The expected form of the answer.
     pub shape: AnswerShape,
-    /// Bytes of the request's body.
+    /// Size of the buffered part of the request's body, in bytes.
     pub request_bytes: usize,
-    /// Service so far.
+    /// Service used so far, in service units.
     pub meter: &'a AtomicU64,
-    /// Where the answer goes.
+    /// The caller that gets the answer.
     pub caller: &'a mut CallerSide,
-    /// Set false if the answer can't be resumed.
+    /// Set to false if the answer can't be resumed.
     pub can_resume: &'a mut bool,
 }
 
-/// Why no more of an answer came.
+/// Why an answer could not be read to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReadFault {
-    /// The connection broke, or nothing came for too long.
+    /// The connection broke, or no data arrived for too long.
     Lost,
-    /// It is larger than what is kept.
+    /// The answer exceeds the buffer limit.
     TooLarge,
 }
 
 impl AnswerReader<'_> {
-    /// Reads the answer to its end.
+    /// Reads the answer to its end and returns how the attempt ended.
     pub async fn read(mut self, response: Response<Incoming>) -> ReadResult {
         let (parts, body) = response.into_parts();
         let mut fields = parts.headers;
@@ -89,20 +90,20 @@
         }
     }
 
-    fn note_service(&self, units: ServiceUnits) {
+    fn record_service(&self, units: ServiceUnits) {
         self.meter.store(units.0, Ordering::Relaxed);
     }
 
-    /// Tells the core how much is kept for resends, each time that it grew by much: the core
-    /// bounds what all such answers take together.
-    fn tell_kept(&self, told: &mut usize) {
+    /// Reports to the core how many bytes are stored for resends, each time the stored part has
+    /// grown considerably: the core limits the total size of all stored answers.
+    fn report_stored_bytes(&self, last_reported: &mut usize) {
         let Some(kept) = self.caller.record().and_then(|record| record.kept_bytes()) else {
             return;
         };
-        if kept < *told + KEPT_STEP {
+        if kept < *last_reported + STORED_STEP_BYTES {
             return;
         }
-        *told = kept;
+        *last_reported = kept;
         self.context.control.tell(CoreEvent::AnswerKept {
             request: self.request,
             bytes: Some(ByteSize(kept as u64)),
@@ -163,27 +164,28 @@
             return (AttemptOutcome::Garbage, None);
         }
         let tokens = tokens.unwrap_or(0);
-        self.note_service(service::engine_service(self.request_bytes, tokens));
-        self.caller.give_whole(with_length(head, text.len()), text);
+        self.record_service(service::engine_service(self.request_bytes, tokens));
+        self.caller
+            .send_complete(with_length(head, text.len()), text);
         (AttemptOutcome::Whole, None)
     }
 
     async fn read_plain(&mut self, head: AnswerHead, mut body: Incoming) -> ReadResult {
-        self.note_service(ServiceUnits(service::PLAIN_CALL));
+        self.record_service(ServiceUnits(service::PLAIN_CALL_UNITS));
         let length = body.size_hint().exact();
         let kept = self.context.config.kept_answer_bytes as u64;
         if length.is_some_and(|bytes| bytes <= kept) {
             let Ok(text) = self.read_all(&mut body, usize::MAX).await else {
                 return (AttemptOutcome::LostBeforeAnswer, None);
             };
-            self.caller.give_whole(with_outcome(head), text);
+            self.caller.send_complete(with_outcome(head), text);
             return (AttemptOutcome::Whole, None);
         }
         self.caller.begin(with_outcome(head));
-        let (mut passed, mut told) = (0, 0);
+        let (mut passed, mut last_reported) = (0, 0);
         loop {
-            // With a stated length the caller's connection is done at the last byte and its
-            // leaving then must not be taken for a cancel: the end is known without another read.
+            // A caller that knows the length may disconnect right after the last byte, which must
+            // not be treated as a cancellation. So the answer ends here, without another read.
             if length == Some(passed) {
                 return (AttemptOutcome::Whole, Some(body));
             }
@@ -191,7 +193,7 @@
                 Ok(Some(chunk)) => {
                     passed += chunk.len() as u64;
                     self.caller.push(chunk).await;
-                    self.tell_kept(&mut told);
+                    self.report_stored_bytes(&mut last_reported);
                 }
                 Ok(None) => return (AttemptOutcome::Whole, None),
                 Err(_) => return (AttemptOutcome::CutAt(passed), None),
@@ -200,35 +202,35 @@
     }
 
     async fn read_events(&mut self, head: AnswerHead, mut body: Incoming) -> ReadResult {
-        let begun = self.order.resume_at;
-        let at_fault = |passed: u64| match passed {
+        let start_event = self.order.resume_at;
+        let cut_outcome = |passed: u64| match passed {
             0 => AttemptOutcome::LostBeforeAnswer,
             _ => AttemptOutcome::CutAt(passed),
         };
         if !is_event_stream(&head.headers) {
             return (
-                match begun {
+                match start_event {
                     0 => AttemptOutcome::Garbage,
-                    _ => AttemptOutcome::CutAt(begun),
+                    _ => AttemptOutcome::CutAt(start_event),
                 },
                 None,
             );
         }
         let resumed = resumed_at(&head.headers);
         *self.can_resume = resumed.is_some();
-        // An endpoint that can't resume begins anew: passing that on would give the caller the
-        // beginning twice.
-        if begun > 0 && resumed != Some(begun) {
+        // An endpoint that can't resume starts from the beginning, which the caller already has:
+        // passing it on would duplicate that part.
+        if start_event > 0 && resumed != Some(start_event) {
             *self.can_resume = false;
-            return (AttemptOutcome::CutAt(begun), None);
+            return (AttemptOutcome::CutAt(start_event), None);
         }
         let mut head = Some(head);
         let mut splitter = EventSplitter::new(self.context.config.event_bytes);
-        let mut passed = begun;
-        let (mut told, mut kept) = (Instant::now(), 0);
+        let mut passed = start_event;
+        let (mut last_reported, mut kept) = (Instant::now(), 0);
         loop {
             let Ok(Some(chunk)) = self.next_chunk(&mut body).await else {
-                return (at_fault(passed), None);
+                return (cut_outcome(passed), None);
             };
             let batch = match splitter.push(chunk) {
                 Ok(Some(batch)) => batch,
@@ -240,22 +242,25 @@
                 self.caller.begin(without_length(head));
             }
             self.caller.push(batch.bytes).await;
-            self.tell_kept(&mut kept);
+            self.report_stored_bytes(&mut kept);
             passed += batch.count;
-            self.note_service(service::engine_service(self.request_bytes, passed - begun));
+            self.record_service(service::engine_service(
+                self.request_bytes,
+                passed - start_event,
+            ));
             if batch.done {
                 return (AttemptOutcome::Whole, Some(body));
             }
-            self.tell_progress(&mut told);
+            self.report_progress(&mut last_reported);
         }
     }
 
-    fn tell_progress(&self, told: &mut Instant) {
+    fn report_progress(&self, last_reported: &mut Instant) {
         let interval = Duration::from_millis(self.context.config.progress_ms);
-        if told.elapsed() < interval {
+        if last_reported.elapsed() < interval {
             return;
         }
-        *told = Instant::now();
+        *last_reported = Instant::now();
         self.context.control.tell(CoreEvent::Progress {
             request: self.request,
             attempt: self.order.attempt,
@@ -288,7 +293,8 @@
     head
 }
 
-/// An endpoint's own error answer means that the request reached it and ran as far as it says.
+/// Adds the outcome "ran" to an endpoint's own error answer: the request reached the endpoint and
+/// ran as far as the error states.
 fn with_outcome(mut head: AnswerHead) -> AnswerHead {
     let is_error = head.status.is_client_error() || head.status.is_server_error();
     if is_error {
--- a/src/entry/admit.rs
+++ b/src/entry/admit.rs
@@ -1,4 +1,4 @@
-//! Taking a call in: key, path, kind, ticket and body are checked, then the core is told.
+//! Admission of a call: validates its key, path, kind, ticket and body, then passes it to the core.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::units::TeamId;
 use crate::units::TimeSpan;
 
-use super::body::BodyTime;
+use super::body::BodyTimeouts;
 use super::body::StoredBody;
 use super::body::bounded_rest;
 use super::body::read_body;
@@ -27,7 +27,7 @@
 use super::call::CallBody;
 use super::call::CallOrigin;
 use super::call::IncomingCall;
-use super::caller::CallerLinks;
+use super::caller::CallerConnection;
 use super::caller::CallerSide;
 use super::catalog::EntryCatalog;
 use super::context::EntryContext;
@@ -39,8 +39,8 @@
 use super::task::RequestTask;
 use super::task::StoredCall;
 
-/// Answers a call, whichever way it came. Dropping the returned future or the answer's body
-/// tells that the caller left.
+/// Answers a call from a caller or a peer. Dropping the returned future or the answer's body means
+/// that the caller has disconnected.
 pub async fn answer(context: &Arc<EntryContext>, call: IncomingCall) -> CallAnswer {
     match admit(context, call).await {
         Ok(answer) => answer,
@@ -55,18 +55,18 @@
     }
     let left = CancellationToken::new();
     let guard = left.clone().drop_guard();
-    let links = CallerLinks {
+    let caller_connection = CallerConnection {
         left,
         abort: call.abort.clone(),
         idle: catalog.fleet.caller_limits.answer_idle.as_duration(),
     };
-    let task = take_in(context, &catalog, call).await?;
+    let task = validate_call(context, &catalog, call).await?;
     let (sender, receiver) = oneshot::channel();
     let request = task.facts.request;
     context
         .tasks
-        .spawn(task.run(CallerSide::new(sender, links)));
-    // A task that ended without an answer was stopped with the whole process.
+        .spawn(task.run(CallerSide::new(sender, caller_connection)));
+    // A task ends without an answer only when the whole process shuts down.
     let mut answer = receiver.await.map_err(|_| CallFault::Refused {
         reason: RefusalReason::Draining,
         outcome: RunOutcome::Unknown,
@@ -80,7 +80,7 @@
     Ok(answer)
 }
 
-async fn take_in(
+async fn validate_call(
     context: &Arc<EntryContext>,
     catalog: &Arc<EntryCatalog>,
     call: IncomingCall,
@@ -92,10 +92,10 @@
     let ticket = route::ticket_of(&context.signer, &call.headers)?;
     let repeat = route::repeat_rule(team, entry, &call.method, &path, ticket);
     let target = route::path_target(catalog, &call.method, &path)?;
-    let taken = take_body(context, catalog, target, &call.headers, call.body).await?;
+    let taken = route_body(context, catalog, target, &call.headers, call.body).await?;
     let time_left = match &call.origin {
         CallOrigin::Caller => entry.deadline,
-        CallOrigin::Peer(vouch) => vouch.time_left.min(entry.deadline),
+        CallOrigin::Peer(forwarded_facts) => forwarded_facts.time_left.min(entry.deadline),
     };
     let facts = RequestFacts {
         request: context.next_request(),
@@ -128,7 +128,7 @@
     fields: &HeaderMap,
 ) -> Result<(TeamId, &'a TeamEntry), CallFault> {
     let team = match origin {
-        CallOrigin::Peer(vouch) => Some(vouch.team),
+        CallOrigin::Peer(forwarded_facts) => Some(forwarded_facts.team),
         CallOrigin::Caller => bearer_key(fields).and_then(|key| catalog.team_of_key(key)),
     };
     let team = team.ok_or(CallFault::UnknownKey)?;
@@ -146,30 +146,30 @@
 
 fn kind_name(team: &TeamEntry, call: &IncomingCall, path: &str) -> Result<KindName, CallFault> {
     match &call.origin {
-        CallOrigin::Peer(vouch) => Ok(vouch.kind.clone()),
+        CallOrigin::Peer(forwarded_facts) => Ok(forwarded_facts.kind.clone()),
         CallOrigin::Caller => {
             route::kind_of(team, &call.method, path, &call.headers).map(|(name, _)| name.clone())
         }
     }
 }
 
-struct TakenBody {
+struct RoutedBody {
     pool: PoolId,
     body: BodySource,
     shape: AnswerShape,
     prefix: u64,
 }
 
-async fn take_body(
+async fn route_body(
     context: &EntryContext,
     catalog: &EntryCatalog,
     target: PathTarget,
     fields: &HeaderMap,
     body: CallBody,
-) -> Result<TakenBody, CallFault> {
+) -> Result<RoutedBody, CallFault> {
     let config = &context.config;
     let limits = &catalog.fleet.caller_limits;
-    let time = BodyTime {
+    let time = BodyTimeouts {
         pause: limits.body_idle.as_duration(),
         whole: Duration::from_millis(config.body_ms),
     };
@@ -185,7 +185,7 @@
                 return Err(too_large);
             };
             let completion = route::completion_route(catalog, &kept)?;
-            Ok(TakenBody {
+            Ok(RoutedBody {
                 pool: completion.pool,
                 body: BodySource::Kept(kept),
                 shape: if completion.streamed {
@@ -211,7 +211,7 @@
                     BodySource::streamed(read.kept, rest, length)
                 }
             };
-            Ok(TakenBody {
+            Ok(RoutedBody {
                 pool,
                 body,
                 shape: AnswerShape::Plain,
@@ -234,7 +234,7 @@
         .ok()
 }
 
-/// The headers that go on to an endpoint.
+/// Returns the caller's headers that are sent to an endpoint.
 #[must_use]
 pub fn endpoint_headers(fields: &HeaderMap) -> HeaderMap {
     let mut passed = headers::for_endpoint(fields);
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's side of one request: it gets a head, chunks and an end, or an error, once.
+//! Delivery of one request's answer to its caller: a head, chunks and an end, or an error.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -14,7 +14,7 @@
 
 use super::answers::AnswerHead;
 use super::answers::AnswerRecord;
-use super::call::ANSWER_CHUNKS;
+use super::call::ANSWER_BUFFER_CHUNKS;
 use super::call::AnswerBody;
 use super::call::CallAnswer;
 use super::refusal::CallFault;
@@ -26,63 +26,63 @@
     Ended,
 }
 
-/// The caller of one request.
+/// The caller of one request and how much of the answer it has received.
 #[derive(Debug)]
 pub struct CallerSide {
     stage: CallerStage,
-    links: CallerLinks,
+    caller_connection: CallerConnection,
     whole: Arc<AtomicBool>,
     record: Option<Arc<AnswerRecord>>,
 }
 
-/// What ties a caller to its connection.
+/// Connects a request's task to the caller's connection.
 #[derive(Debug)]
-pub struct CallerLinks {
-    /// Cancelled when the caller leaves.
+pub struct CallerConnection {
+    /// Cancelled when the caller disconnects.
     pub left: CancellationToken,
-    /// Cancelled to close the caller's connection.
+    /// Cancelling it closes the caller's connection.
     pub abort: CancellationToken,
-    /// Longest pause of a caller that reads its answer.
+    /// Longest time that the caller may take to read the next chunk.
     pub idle: Duration,
 }
 
 impl CallerSide {
-    /// A caller that waits for the head at the other end of `sender`.
+    /// Creates a caller that waits for the answer's head at the receiving end of `sender`.
     #[must_use]
-    pub fn new(sender: oneshot::Sender<CallAnswer>, links: CallerLinks) -> Self {
+    pub fn new(sender: oneshot::Sender<CallAnswer>, caller_connection: CallerConnection) -> Self {
         Self {
             stage: CallerStage::Waiting(sender),
-            links,
+            caller_connection,
             whole: Arc::default(),
             record: None,
         }
     }
 
-    /// Keeps the answer for resends as well. The answer then comes to its end even if this
-    /// caller leaves.
-    pub fn keep_in(&mut self, record: Arc<AnswerRecord>) {
+    /// Also stores the answer in `record` for resends. The record is filled to the end even if
+    /// this caller disconnects.
+    pub fn store_in(&mut self, record: Arc<AnswerRecord>) {
         self.record = Some(record);
     }
 
-    /// The record that the answer is kept in.
+    /// Returns the record that the answer is stored in.
     #[must_use]
     pub fn record(&self) -> Option<&Arc<AnswerRecord>> {
         self.record.as_ref()
     }
 
-    /// Cancelled when the caller leaves.
+    /// Returns a token that is cancelled when the caller disconnects.
     #[must_use]
     pub fn left(&self) -> CancellationToken {
-        self.links.left.clone()
+        self.caller_connection.left.clone()
     }
 
-    /// True if a part of the answer may have reached the caller.
+    /// Returns true if part of the answer may have reached the caller.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         !matches!(self.stage, CallerStage::Waiting(_))
     }
 
-    /// Gives the head of an answer that comes in chunks.
+    /// Sends the head of an answer that follows in chunks.
     pub fn begin(&mut self, head: AnswerHead) {
         if let Some(record) = &self.record {
             record.set_head(&head);
@@ -92,15 +92,16 @@
             self.stage = stage;
             return;
         };
-        let (chunks, receiver) = mpsc::channel(ANSWER_CHUNKS);
+        let (chunks, receiver) = mpsc::channel(ANSWER_BUFFER_CHUNKS);
         let answer = answer_of(head, AnswerBody::chunks(receiver, Arc::clone(&self.whole)));
         if sender.send(answer).is_ok() {
             self.stage = CallerStage::Streaming(chunks);
         }
     }
 
-    /// Gives a chunk; waits while the caller reads slowly. One that reads nothing at all for too
-    /// long would hold its endpoint's slot for ever: its connection is closed.
+    /// Sends a chunk and waits while the caller's buffer is full. The connection of a caller that
+    /// reads nothing for too long is closed, since it would otherwise occupy a slot of its
+    /// endpoint forever.
     pub async fn push(&mut self, chunk: Bytes) {
         if let Some(record) = &self.record {
             record.push(&chunk);
@@ -111,15 +112,15 @@
         let Err(full) = sender.try_send(chunk) else {
             return;
         };
-        let sent = time::timeout(self.links.idle, sender.send(full.into_inner())).await;
+        let sent = time::timeout(self.caller_connection.idle, sender.send(full.into_inner())).await;
         if !matches!(sent, Ok(Ok(()))) {
-            self.links.abort.cancel();
+            self.caller_connection.abort.cancel();
             self.stage = CallerStage::Ended;
         }
     }
 
-    /// Gives an answer that is here whole.
-    pub fn give_whole(&mut self, head: AnswerHead, body: Bytes) {
+    /// Sends a complete answer with its head.
+    pub fn send_complete(&mut self, head: AnswerHead, body: Bytes) {
         if let Some(record) = &self.record {
             record.set_head(&head);
             record.push(&body);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Ends an answer that is whole.
+    /// Ends the answer as complete.
     pub fn end(&mut self) {
         if let Some(record) = &self.record {
             record.end(true);
@@ -139,8 +140,8 @@
         self.stage = CallerStage::Ended;
     }
 
-    /// Tells the caller of a fault: as an error answer, or, if the answer has begun, by aborting
-    /// the transport. A caller must never take a part for the whole.
+    /// Reports a fault to the caller: as an error answer, or, if the answer has begun, by aborting
+    /// the connection, so that the caller can't mistake a partial answer for a complete one.
     pub fn fail(&mut self, fault: CallFault) {
         if let Some(record) = &self.record {
             record.end(false);
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Passes another request's kept answer on.
+    /// Sends another request's stored answer and ends.
     pub async fn copy(&mut self, record: &AnswerRecord) {
         if let CallerStage::Streaming(sender) = &self.stage {
             let whole = record.copy_to(sender).await;
