--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -45,7 +45,7 @@
 
 /// Unreachable endpoints after which a call is given up. An address that does not respond costs the
 /// connection timeout, so three of them use up most of an objective.
-const MOST_UNREACHED: usize = 3;
+const MAX_UNREACHED_ENDPOINTS: usize = 3;
 
 /// What happens to a caller's connection after a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -262,7 +262,7 @@
         }
         AttemptOutcome::NotRun(NotRunCause::NotReached | NotRunCause::Gone | NotRunCause::Left) => {
             call.unreached += 1;
-            if call.unreached < MOST_UNREACHED {
+            if call.unreached < MAX_UNREACHED_ENDPOINTS {
                 return None;
             }
             Some(given_up(traffic, caller, call, "endpoints not reached").await)
