--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -94,7 +94,7 @@
         let reply = unavailable(traffic.shared.config.retry_after_ms);
         return refuse(traffic, caller, &id, reply, "shutting down", false).await;
     }
-    let route = match routed(&table, &head, &facts) {
+    let route = match find_route(&table, &head, &facts) {
         Ok(route) => route,
         Err((status, cause)) => {
             return reject(traffic, caller, &id, status, cause, keep).await;
@@ -143,7 +143,7 @@
 }
 
 /// Finds the route of a call and checks the caller's key.
-fn routed<'a>(
+fn find_route<'a>(
     table: &'a RouteTable,
     head: &RequestHead,
     facts: &CallFacts,
