--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -171,7 +171,7 @@
     table: &Arc<RouteTable>,
 ) -> CallEnd {
     let standing = {
-        let ask = ask_of(call, table);
+        let ask = admission_request(call, table);
         traffic
             .shared
             .core()
@@ -184,7 +184,7 @@
     }
     loop {
         let admission = {
-            let ask = ask_of(call, table);
+            let ask = admission_request(call, table);
             let now = traffic.shared.clock.now();
             traffic.shared.core().admit(now, &ask, standing)
         };
@@ -216,7 +216,7 @@
 }
 
 /// The admission request for the next attempt of a call.
-fn ask_of<'a>(call: &'a CallState, table: &'a RouteTable) -> AdmissionRequest<'a> {
+fn admission_request<'a>(call: &'a CallState, table: &'a RouteTable) -> AdmissionRequest<'a> {
     let now = Instant::now();
     let micros = |span: Duration| TimeSpan(u64::try_from(span.as_micros()).unwrap_or(u64::MAX));
     AdmissionRequest {
