--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -254,7 +254,7 @@
             Some(given_up(traffic, caller, call, "time up").await)
         }
         AttemptOutcome::Answer(answer) => {
-            if is_failure(&answer) && call.can_repeat() && takes_repeat(traffic, call) {
+            if is_failure(&answer) && call.can_repeat() && reserve_retry(traffic, call) {
                 call.may_have_run = true;
                 return None;
             }
@@ -268,14 +268,14 @@
             Some(given_up(traffic, caller, call, "endpoints not reached").await)
         }
         AttemptOutcome::NotRun(_) => {
-            if takes_repeat(traffic, call) {
+            if reserve_retry(traffic, call) {
                 return None;
             }
             Some(given_up(traffic, caller, call, "endpoint refused").await)
         }
         AttemptOutcome::Broken(cause) => {
             call.may_have_run = true;
-            if call.can_repeat() && takes_repeat(traffic, call) {
+            if call.can_repeat() && reserve_retry(traffic, call) {
                 return None;
             }
             Some(given_up(traffic, caller, call, cause).await)
@@ -285,7 +285,7 @@
 
 /// Takes a retry from the retry budget. Returns whether the request may be sent to another
 /// endpoint.
-fn takes_repeat<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState) -> bool {
+fn reserve_retry<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState) -> bool {
     let now = traffic.shared.clock.now();
     call.has_attempts() && traffic.shared.core().take_retry(now, &call.service)
 }
