--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -209,7 +209,7 @@
             "calls: id={} endpoint={endpoint} outcome={outcome:?}",
             call.facts.call_id
         );
-        if let Some(end) = settled(traffic, caller, call, endpoint, outcome).await {
+        if let Some(end) = handle_outcome(traffic, caller, call, endpoint, outcome).await {
             return end;
         }
     }
@@ -234,7 +234,7 @@
 
 /// Handles the outcome of an attempt. Returns the end of the call, or `None` if another attempt
 /// follows.
-async fn settled<P: CallProtocol>(
+async fn handle_outcome<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
