--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -251,7 +251,7 @@
         AttemptOutcome::CallerLeft => Some(CallEnd::CallerLeft),
         AttemptOutcome::TimeUp => {
             call.may_have_run = true;
-            Some(given_up(traffic, caller, call, "time up").await)
+            Some(give_up(traffic, caller, call, "time up").await)
         }
         AttemptOutcome::Answer(answer) => {
             if is_failure(&answer) && call.can_repeat() && reserve_retry(traffic, call) {
@@ -265,20 +265,20 @@
             if call.unreached < MAX_UNREACHED_ENDPOINTS {
                 return None;
             }
-            Some(given_up(traffic, caller, call, "endpoints not reached").await)
+            Some(give_up(traffic, caller, call, "endpoints not reached").await)
         }
         AttemptOutcome::NotRun(_) => {
             if reserve_retry(traffic, call) {
                 return None;
             }
-            Some(given_up(traffic, caller, call, "endpoint refused").await)
+            Some(give_up(traffic, caller, call, "endpoint refused").await)
         }
         AttemptOutcome::Broken(cause) => {
             call.may_have_run = true;
             if call.can_repeat() && reserve_retry(traffic, call) {
                 return None;
             }
-            Some(given_up(traffic, caller, call, cause).await)
+            Some(give_up(traffic, caller, call, cause).await)
         }
     }
 }
@@ -314,11 +314,11 @@
         return CallEnd::Cut("stream's next run failed");
     }
     if answer.head.is_success() && !answer.is_proven {
-        return given_up(traffic, caller, call, "success without proof").await;
+        return give_up(traffic, caller, call, "success without proof").await;
     }
     let at_most_once = call.route.repeats == Repeatability::AtMostOnce;
     if at_most_once && promises_not_run(answer.head.status) {
-        return given_up(traffic, caller, call, "unproven refusal").await;
+        return give_up(traffic, caller, call, "unproven refusal").await;
     }
     let framing = ReplyFraming::Length(answer.body.len());
     let mut out = caller_head(&answer.head, framing, call.keep);
@@ -331,7 +331,7 @@
 }
 
 /// Replies to a call for which no endpoint gave a usable answer.
-async fn given_up<P: CallProtocol>(
+async fn give_up<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &CallState,
@@ -360,7 +360,7 @@
     retry_after: TimeSpan,
 ) -> CallEnd {
     if call.head_sent || call.may_have_run {
-        return given_up(traffic, caller, call, cause.label()).await;
+        return give_up(traffic, caller, call, cause.label()).await;
     }
     let status = match cause {
         RefusalCause::OverShare => OwnStatus::TooManyRequests,
