--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -180,7 +180,7 @@
     call.decided.is_beyond = standing != ShareStanding::Within;
     if standing != ShareStanding::Within && traffic.callers.lag(call.arrived) >= LagLevel::Late {
         let wait = TimeSpan::from_millis(traffic.shared.config.retry_after_ms);
-        return refused(traffic, caller, call, RefusalCause::OverShare, wait).await;
+        return reply_refused(traffic, caller, call, RefusalCause::OverShare, wait).await;
     }
     loop {
         let admission = {
@@ -196,7 +196,7 @@
                 expected_ms,
             } => {
                 call.decided.predicted_ms = expected_ms;
-                return refused(traffic, caller, call, cause, retry_after).await;
+                return reply_refused(traffic, caller, call, cause, retry_after).await;
             }
         };
         call.decided.placed(&ticket);
@@ -352,7 +352,7 @@
 }
 
 /// Replies to a call that the decision core refused.
-async fn refused<P: CallProtocol>(
+async fn reply_refused<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &CallState,
