--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -258,7 +258,7 @@
                 call.may_have_run = true;
                 return None;
             }
-            Some(answered(traffic, caller, call, answer).await)
+            Some(pass_answer(traffic, caller, call, answer).await)
         }
         AttemptOutcome::NotRun(NotRunCause::NotReached | NotRunCause::Gone | NotRunCause::Left) => {
             call.unreached += 1;
@@ -303,7 +303,7 @@
 }
 
 /// Passes a complete answer on to the caller.
-async fn answered<P: CallProtocol>(
+async fn pass_answer<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
