--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -348,7 +348,7 @@
     } else {
         OwnReply::plain(OwnStatus::BadGateway)
     };
-    own(traffic, caller, call, reply, cause).await
+    send_own_reply(traffic, caller, call, reply, cause).await
 }
 
 /// Replies to a call that the decision core refused.
@@ -381,7 +381,7 @@
         | RefusalCause::Quarantined => spread(retry_after.as_duration()),
     };
     let reply = OwnReply::later(status, wait);
-    own(traffic, caller, call, reply, cause.label()).await
+    send_own_reply(traffic, caller, call, reply, cause.label()).await
 }
 
 /// A 503 reply: the request did not run and may be retried after `wait_ms`.
@@ -396,7 +396,7 @@
 }
 
 /// Sends the router's own reply to a call.
-async fn own<P: CallProtocol>(
+async fn send_own_reply<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &CallState,
