--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -134,7 +134,7 @@
         tried: Vec::new(),
         unreached: 0,
     };
-    let end = attempts(traffic, caller, &mut call, &table).await;
+    let end = run_attempts(traffic, caller, &mut call, &table).await;
     record(traffic, &call, end, table.version);
     match end {
         CallEnd::Answered(_) | CallEnd::Own(..) if call.keep => AfterCall::Keep,
@@ -164,7 +164,7 @@
 }
 
 /// Makes attempts until one yields the end of the call or no further one is allowed.
-async fn attempts<P: CallProtocol>(
+async fn run_attempts<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
