--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use super::call::tell_refused;
+use super::call::record_refusal;
 use super::front::Traffic;
 use super::front::serve_connection;
 use super::http::BodyFraming;
@@ -112,7 +112,7 @@
     traffic.shared.link.received(arrived.len());
     let call_id = &facts.call_id;
     let reply = refusal_when_late(traffic, &facts);
-    tell_refused(traffic, call_id, &reply, ROUTER_FULL);
+    record_refusal(traffic, call_id, &reply, ROUTER_FULL);
     let bytes = reply.bytes(&traffic.protocol, call_id, false);
     traffic.shared.link.sent(bytes.len());
     if let Err(fault) = stream.write_all(&bytes) {
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -419,7 +419,7 @@
     cause: &'static str,
     keep: bool,
 ) -> AfterCall {
-    tell_refused(traffic, call_id, &reply, cause);
+    record_refusal(traffic, call_id, &reply, cause);
     let bytes = reply.bytes(&traffic.protocol, call_id, keep);
     match caller.send_watching(&bytes).await {
         Ok(()) if keep => AfterCall::Keep,
@@ -428,7 +428,7 @@
 }
 
 /// Logs and counts the reply to a call that is refused before an admission decision.
-pub fn tell_refused<P: CallProtocol>(
+pub fn record_refusal<P: CallProtocol>(
     traffic: &Traffic<P>,
     call_id: &str,
     reply: &OwnReply,
