--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -298,7 +298,7 @@
 /// Returns whether callers take this status to mean that the request did not run. Without the
 /// endpoint's proof it must not be passed on for a request that may run at most once: the caller
 /// would send the request again.
-fn promises_not_run(status: u16) -> bool {
+fn implies_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
@@ -317,7 +317,7 @@
         return give_up(traffic, caller, call, "success without proof").await;
     }
     let at_most_once = call.route.repeats == Repeatability::AtMostOnce;
-    if at_most_once && promises_not_run(answer.head.status) {
+    if at_most_once && implies_not_run(answer.head.status) {
         return give_up(traffic, caller, call, "unproven refusal").await;
     }
     let framing = ReplyFraming::Length(answer.body.len());
