--- a/src/gateway/call_record.rs
+++ b/src/gateway/call_record.rs
@@ -63,7 +63,7 @@
         metrics.team_tokens(team, standing, call.sends > 0, tokens);
     }
     if let (Some(team), Some(_)) = (&call.team, prompt)
-        && fell_short(call, end)
+        && missed_objective(call, end)
     {
         traffic.shared.core().record_unserved(team);
     }
@@ -90,7 +90,7 @@
 }
 
 /// Returns whether a generation was refused or had no output within its objective.
-fn fell_short(call: &CallState, end: CallEnd) -> bool {
+fn missed_objective(call: &CallState, end: CallEnd) -> bool {
     let objective = Duration::from_millis(call.route.objective_ms);
     let waited = match (call.first_output, end) {
         (Some(first), _) => first - call.arrived,
