--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -177,7 +177,7 @@
             .core()
             .arrived(traffic.shared.clock.now(), &ask)
     };
-    call.decided.is_beyond = standing != ShareStanding::Within;
+    call.decided.is_over_share = standing != ShareStanding::Within;
     if standing != ShareStanding::Within && traffic.callers.lag(call.arrived) >= LagLevel::Late {
         let wait = TimeSpan::from_millis(traffic.shared.config.retry_after_ms);
         return reply_refused(traffic, caller, call, RefusalCause::OverShare, wait).await;
--- a/src/gateway/call_record.rs
+++ b/src/gateway/call_record.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecisionFacts {
     /// Whether the call's team was over its share.
-    pub is_beyond: bool,
+    pub is_over_share: bool,
     /// Predicted time to the first output, in ms.
     pub predicted_ms: f64,
     /// Prompt tokens queued ahead of the call at its endpoint.
@@ -51,7 +51,7 @@
         .map_or(0, |at| (at - call.arrived).as_millis());
     let team = call.team.as_ref().map_or("-", |team| team.0.as_str());
     let endpoint = call.tried.last().map_or("-", |key| key.0.as_str());
-    let standing = if call.decided.is_beyond {
+    let standing = if call.decided.is_over_share {
         "beyond"
     } else {
         "within"
