--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -288,7 +288,7 @@
 ) -> Result<AnswerStart, AttemptOutcome> {
     let bounds = WaitBounds {
         deadline: call.deadline,
-        stall: Instant::now() + call.patience(ticket),
+        stall: Instant::now() + call.silence_limit(ticket),
     };
     loop {
         let head = match ResponseHead::take(&mut endpoint.buffer, MAX_ANSWER_HEAD_BYTES) {
--- a/src/gateway/call_state.rs
+++ b/src/gateway/call_state.rs
@@ -101,7 +101,7 @@
     /// for another one only if the request may be repeated; otherwise the wait lasts until the
     /// deadline.
     #[must_use]
-    pub fn patience(&self, ticket: &AttemptTicket) -> Duration {
+    pub fn silence_limit(&self, ticket: &AttemptTicket) -> Duration {
         if !self.can_repeat() || !self.has_attempts() {
             return self.deadline.saturating_duration_since(Instant::now());
         }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -154,14 +154,14 @@
         if ends {
             return AttemptOutcome::Delivered(start.head.status);
         }
-        let patience = if has_output {
+        let silence_limit = if has_output {
             STREAM_STALL
         } else {
-            call.patience(ticket)
+            call.silence_limit(ticket)
         };
         let bounds = WaitBounds {
             deadline: call.deadline,
-            stall: call.stall_at(Instant::now() + patience),
+            stall: call.stall_at(Instant::now() + silence_limit),
         };
         match read_watching(endpoint, caller, ticket, bounds).await {
             Ok(Ok(0)) if start.decoder.end_of_stream() => {}
