--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -29,7 +29,7 @@
 
 /// Most bytes that are read from a caller while its call runs. Beyond that its connection is not
 /// read, and a disconnect shows only when something is written.
-const MOST_AHEAD_BYTES: usize = 65_536;
+const MAX_READ_AHEAD_BYTES: usize = 65_536;
 
 /// The outcome of an attempt.
 #[derive(Debug)]
@@ -111,7 +111,7 @@
 
 /// Resolves when the caller has closed its connection. Bytes that it sends meanwhile are buffered.
 async fn caller_left(caller: &mut WireStream) {
-    while caller.buffer.len() < MOST_AHEAD_BYTES {
+    while caller.buffer.len() < MAX_READ_AHEAD_BYTES {
         match caller.fill().await {
             Ok(0) | Err(_) => return,
             Ok(_) => {}
