--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -173,7 +173,7 @@
 }
 
 /// Takes an idle connection to the endpoint from the pool, or opens a new one.
-async fn connected<P: CallProtocol>(
+async fn connect_endpoint<P: CallProtocol>(
     traffic: &Traffic<P>,
     ticket: &AttemptTicket,
 ) -> Result<WireStream, NotRunCause> {
@@ -223,7 +223,7 @@
     call: &mut CallState,
     ticket: &mut AttemptTicket,
 ) -> AttemptOutcome {
-    let mut endpoint = match connected(traffic, ticket).await {
+    let mut endpoint = match connect_endpoint(traffic, ticket).await {
         Ok(stream) => stream,
         Err(cause) => return AttemptOutcome::NotRun(cause),
     };
