--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -248,7 +248,7 @@
         },
     );
     call.sends += 1;
-    if let Some(ended) = sent(&mut endpoint, caller, call.deadline, &bytes).await {
+    if let Some(ended) = write_request(&mut endpoint, caller, call.deadline, &bytes).await {
         return ended;
     }
     let start = match answer_start(traffic, &mut endpoint, caller, call, ticket).await {
@@ -259,7 +259,7 @@
 }
 
 /// Writes the request. Returns the outcome if that ended the attempt.
-async fn sent(
+async fn write_request(
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     deadline: Instant,
