--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -251,7 +251,7 @@
     if let Some(ended) = write_request(&mut endpoint, caller, call.deadline, &bytes).await {
         return ended;
     }
-    let start = match answer_start(traffic, &mut endpoint, caller, call, ticket).await {
+    let start = match read_answer_start(traffic, &mut endpoint, caller, call, ticket).await {
         Ok(start) => start,
         Err(outcome) => return outcome,
     };
@@ -279,7 +279,7 @@
 }
 
 /// Reads answers' heads until one belongs to this call, and skips all others.
-async fn answer_start<P: CallProtocol>(
+async fn read_answer_start<P: CallProtocol>(
     traffic: &Traffic<P>,
     endpoint: &mut WireStream,
     caller: &mut WireStream,
