--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -294,7 +294,7 @@
         let head = match ResponseHead::take(&mut endpoint.buffer, MAX_ANSWER_HEAD_BYTES) {
             Ok(Some(head)) => head,
             Ok(None) => {
-                more(endpoint, caller, ticket, bounds).await?;
+                read_more(endpoint, caller, ticket, bounds).await?;
                 continue;
             }
             Err(_) => return Err(AttemptOutcome::Broken("not an answer")),
@@ -339,7 +339,7 @@
 }
 
 /// Reads more bytes of the answer's head.
-async fn more(
+async fn read_more(
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     ticket: &AttemptTicket,
@@ -370,6 +370,6 @@
         if decoder.is_complete() {
             return Ok(());
         }
-        more(endpoint, caller, ticket, bounds).await?;
+        read_more(endpoint, caller, ticket, bounds).await?;
     }
 }
