--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -317,7 +317,7 @@
                 "endpoint: key={} call={id} extra answer dropped",
                 ticket.entry.key
             );
-            skip(endpoint, caller, ticket, bounds, &mut decoder).await?;
+            skip_body(endpoint, caller, ticket, bounds, &mut decoder).await?;
             continue;
         }
         if facts.not_run {
@@ -354,7 +354,7 @@
 }
 
 /// Reads and drops the body of an answer that does not belong to this call.
-async fn skip(
+async fn skip_body(
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     ticket: &AttemptTicket,
