--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -57,7 +57,7 @@
         }
         stream(traffic, caller, call, ticket, &mut endpoint, &mut start).await
     } else {
-        whole(traffic, caller, call, ticket, &mut endpoint, &mut start).await
+        collect_answer(traffic, caller, call, ticket, &mut endpoint, &mut start).await
     };
     let done = matches!(
         outcome,
@@ -75,7 +75,7 @@
 }
 
 /// Collects an answer that is not a stream.
-async fn whole<P: CallProtocol>(
+async fn collect_answer<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &CallState,
