--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -55,7 +55,7 @@
         if !start.is_proven {
             return AttemptOutcome::Broken("success without proof");
         }
-        stream(traffic, caller, call, ticket, &mut endpoint, &mut start).await
+        relay_stream(traffic, caller, call, ticket, &mut endpoint, &mut start).await
     } else {
         collect_answer(traffic, caller, call, ticket, &mut endpoint, &mut start).await
     };
@@ -117,7 +117,7 @@
 }
 
 /// Passes a stream on to the caller, event by event.
-async fn stream<P: CallProtocol>(
+async fn relay_stream<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
