--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -124,7 +124,7 @@
 }
 
 /// The limits of the routes in force, or the defaults before any routes are known.
-fn limits_of(shared: &SharedState) -> CallerLimits {
+fn current_limits(shared: &SharedState) -> CallerLimits {
     shared
         .routes()
         .map(|table| table.limits.clone())
@@ -140,7 +140,7 @@
     if caller.buffer.is_empty() {
         wait_for_request(traffic, caller).await?;
     }
-    let limits = limits_of(shared);
+    let limits = current_limits(shared);
     let until = Instant::now() + Duration::from_millis(limits.head_timeout_ms);
     let head = read_head(caller, &limits, until).await?;
     let framing = BodyFraming::of_request(&head)
@@ -161,7 +161,7 @@
     caller: &mut WireStream,
 ) -> Result<(), ReadEnd> {
     let shared = &traffic.shared;
-    let idle = Duration::from_millis(limits_of(shared).idle_timeout_ms);
+    let idle = Duration::from_millis(current_limits(shared).idle_timeout_ms);
     let read = tokio::select! {
         read = caller.fill() => read,
         () = sleep(idle) => return Err(ReadEnd::Quiet),
