--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -86,7 +86,7 @@
 /// Why no request was read.
 enum ReadEnd {
     /// The connection ended or is to be closed; no reply is due.
-    Quiet,
+    NoReply,
     /// The router replies and closes the connection; the second value is the logged cause.
     Reply(OwnReply, &'static str),
 }
@@ -104,7 +104,7 @@
     loop {
         let request = match read_request(&traffic, &mut caller).await {
             Ok(request) => request,
-            Err(ReadEnd::Quiet) => return,
+            Err(ReadEnd::NoReply) => return,
             Err(ReadEnd::Reply(reply, cause)) => {
                 refuse(&traffic, &mut caller, "", reply, cause, false).await;
                 return;
@@ -164,12 +164,12 @@
     let idle = Duration::from_millis(current_limits(shared).idle_timeout_ms);
     let read = tokio::select! {
         read = caller.fill() => read,
-        () = sleep(idle) => return Err(ReadEnd::Quiet),
-        () = traffic.callers.idle_too_long(Instant::now()) => return Err(ReadEnd::Quiet),
-        () = shared.life.closing.cancelled() => return Err(ReadEnd::Quiet),
+        () = sleep(idle) => return Err(ReadEnd::NoReply),
+        () = traffic.callers.idle_too_long(Instant::now()) => return Err(ReadEnd::NoReply),
+        () = shared.life.closing.cancelled() => return Err(ReadEnd::NoReply),
     };
     match read {
-        Ok(0) | Err(_) => Err(ReadEnd::Quiet),
+        Ok(0) | Err(_) => Err(ReadEnd::NoReply),
         Ok(_) => Ok(()),
     }
 }
@@ -191,7 +191,7 @@
             }
         }
         match timeout_at(until, caller.fill()).await {
-            Ok(Ok(0) | Err(_)) => return Err(ReadEnd::Quiet),
+            Ok(Ok(0) | Err(_)) => return Err(ReadEnd::NoReply),
             Ok(Ok(_)) => {}
             Err(_) => return Err(ReadEnd::of(OwnStatus::RequestTimeout, "slow head")),
         }
@@ -217,7 +217,7 @@
         return Err(no_memory(shared));
     };
     if expects_continue(head) && caller.send(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
-        return Err(ReadEnd::Quiet);
+        return Err(ReadEnd::NoReply);
     }
     let pause = Duration::from_millis(limits.idle_timeout_ms);
     let mut decoder = BodyDecoder::new(framing);
@@ -237,7 +237,7 @@
             return Ok((body.freeze(), Some(memory)));
         }
         match timeout_at(Instant::now() + pause, caller.fill()).await {
-            Ok(Ok(0) | Err(_)) => return Err(ReadEnd::Quiet),
+            Ok(Ok(0) | Err(_)) => return Err(ReadEnd::NoReply),
             Ok(Ok(_)) => {}
             Err(_) => return Err(ReadEnd::of(OwnStatus::RequestTimeout, "slow body")),
         }
