--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -33,7 +33,7 @@
 
 /// Connections accepted in one turn of the traffic thread. A connection that is not refused at once
 /// takes two further turns until its request is read, so this bounds how many wait in between.
-const ACCEPTS_A_TURN: usize = 64;
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 /// Size from which a request is not refused at once, in bytes; a usual head with a short body is
 /// below it. A longer request is read first: closing a connection with unread bytes resets it, and
@@ -65,7 +65,7 @@
     scratch: &mut [u8],
 ) -> io::Result<()> {
     let mut ready = listener.readable().await?;
-    for _ in 0..ACCEPTS_A_TURN {
+    for _ in 0..MAX_ACCEPTS_PER_TURN {
         let Ok(accepted) = ready.try_io(|listener| listener.get_ref().accept()) else {
             traffic.callers.queue_emptied();
             return Ok(());
