--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -38,7 +38,7 @@
 /// Size from which a request is not refused at once, in bytes; a usual head with a short body is
 /// below it. A longer request is read first: closing a connection with unread bytes resets it, and
 /// the caller would lose the reply.
-const MOST_REFUSED_BYTES: usize = 8_192;
+const INLINE_REFUSAL_BYTES: usize = 8_192;
 
 /// Accepts callers until the router stops.
 ///
@@ -48,7 +48,7 @@
     traffic: Rc<Traffic<P>>,
     listener: AsyncFd<TcpListener>,
 ) {
-    let mut scratch = vec![0; MOST_REFUSED_BYTES];
+    let mut scratch = vec![0; INLINE_REFUSAL_BYTES];
     loop {
         if let Err(fault) = accept_turn(&traffic, &listener, &mut scratch).await {
             spdlog::warn!("gateway: step=accept fault=\"{fault}\"");
@@ -123,11 +123,11 @@
 
 /// Decodes the call if the bytes are exactly one complete request.
 fn whole_request<P: CallProtocol>(traffic: &Traffic<P>, arrived: &BytesMut) -> Option<CallFacts> {
-    if arrived.len() == MOST_REFUSED_BYTES {
+    if arrived.len() == INLINE_REFUSAL_BYTES {
         return None;
     }
     let mut rest = arrived.clone();
-    let head = RequestHead::take(&mut rest, MOST_REFUSED_BYTES).ok()??;
+    let head = RequestHead::take(&mut rest, INLINE_REFUSAL_BYTES).ok()??;
     let BodyFraming::Length(length) = BodyFraming::of_request(&head).ok()? else {
         return None;
     };
