--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -76,7 +76,7 @@
         let mut arrived = BytesMut::new();
         if is_too_late(traffic, now) {
             arrived = read_at_once(&stream, scratch);
-            if refused_at_once(traffic, &stream, &arrived) {
+            if try_refuse(traffic, &stream, &arrived) {
                 continue;
             }
         }
@@ -101,7 +101,7 @@
 ///
 /// Such a refusal needs no task and no further turn. When callers arrive faster than the router can
 /// refuse them, they wait in the accept queue until they time out.
-fn refused_at_once<P: CallProtocol>(
+fn try_refuse<P: CallProtocol>(
     traffic: &Traffic<P>,
     mut stream: &TcpStream,
     arrived: &BytesMut,
