--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -75,7 +75,7 @@
         traffic.callers.queue_took(now);
         let mut arrived = BytesMut::new();
         if is_too_late(traffic, now) {
-            arrived = read_at_once(&stream, scratch);
+            arrived = read_available(&stream, scratch);
             if try_refuse(traffic, &stream, &arrived) {
                 continue;
             }
@@ -89,7 +89,7 @@
 }
 
 /// Reads the bytes that have already arrived on a new connection.
-fn read_at_once(mut stream: &TcpStream, scratch: &mut [u8]) -> BytesMut {
+fn read_available(mut stream: &TcpStream, scratch: &mut [u8]) -> BytesMut {
     // "Nothing yet", the end of the stream and errors all give 0 bytes here; the next read tells
     // them apart.
     let count = stream.read(scratch).unwrap_or_default();
