--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -72,7 +72,7 @@
         };
         let (stream, _) = accepted?;
         let now = Instant::now();
-        traffic.callers.queue_took(now);
+        traffic.callers.record_accepted_connection(now);
         let mut arrived = BytesMut::new();
         if is_too_late(traffic, now) {
             arrived = read_available(&stream, scratch);
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -148,7 +148,7 @@
     }
 
     /// Records an accepted connection.
-    pub fn queue_took(&self, now: Instant) {
+    pub fn record_accepted_connection(&self, now: Instant) {
         let mut queue = self.queue.get();
         queue.took(now);
         self.queue.set(queue);
