--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -67,7 +67,7 @@
     let mut ready = listener.readable().await?;
     for _ in 0..MAX_ACCEPTS_PER_TURN {
         let Ok(accepted) = ready.try_io(|listener| listener.get_ref().accept()) else {
-            traffic.callers.queue_emptied();
+            traffic.callers.record_empty_queue();
             return Ok(());
         };
         let (stream, _) = accepted?;
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -155,7 +155,7 @@
     }
 
     /// Records that the accept queue is empty.
-    pub fn queue_emptied(&self) {
+    pub fn record_empty_queue(&self) {
         self.queue.set(AcceptQueue::default());
     }
 
