--- a/src/gateway/accept_queue.rs
+++ b/src/gateway/accept_queue.rs
@@ -18,7 +18,7 @@
 
 impl AcceptQueue {
     /// Records that a connection was accepted from the queue.
-    pub fn took(&mut self, now: Instant) {
+    pub fn record_accept(&mut self, now: Instant) {
         self.standing_since.get_or_insert(now);
     }
 
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -150,7 +150,7 @@
     /// Records an accepted connection.
     pub fn record_accepted_connection(&self, now: Instant) {
         let mut queue = self.queue.get();
-        queue.took(now);
+        queue.record_accept(now);
         self.queue.set(queue);
     }
 
--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -49,7 +49,7 @@
         let accepted = waiting.min(taken);
         waiting -= accepted;
         if accepted > 0 {
-            queue.took(now);
+            queue.record_accept(now);
         }
         longest = longest.max(queue.standing(now));
         if waiting == 0 {
