--- a/src/gateway/accept_queue.rs
+++ b/src/gateway/accept_queue.rs
@@ -13,19 +13,19 @@
 /// The listener's queue as the accepting task sees it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AcceptQueue {
-    standing_since: Option<Instant>,
+    non_empty_since: Option<Instant>,
 }
 
 impl AcceptQueue {
     /// Records that a connection was accepted from the queue.
     pub fn record_accept(&mut self, now: Instant) {
-        self.standing_since.get_or_insert(now);
+        self.non_empty_since.get_or_insert(now);
     }
 
     /// How long the queue has been non-empty; zero if it is empty.
     #[must_use]
     pub fn standing(&self, now: Instant) -> Duration {
-        self.standing_since
+        self.non_empty_since
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 }
