--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -55,7 +55,7 @@
 /// Cap on the lag counted for a standing accept queue, in ms. The queue may stand for seconds while
 /// each connection waits for only a fraction of one, and an uncapped value would stay in the moving
 /// average and refuse callers after the queue has drained.
-const MOST_STANDING_MS: f64 = 2.0 * ALL_LAG_MS;
+const MAX_STANDING_MS: f64 = 2.0 * ALL_LAG_MS;
 
 /// Use of the link above which this router's measurements of endpoints are distorted by its own
 /// delay, in percent. If calls arrive in bursts, a half-full link already builds up a queue as long
@@ -144,7 +144,7 @@
         let standing_ms = self.queue.get().standing(now).as_secs_f64() * 1e3;
         self.timers_late_ms
             .get()
-            .max(standing_ms.min(MOST_STANDING_MS))
+            .max(standing_ms.min(MAX_STANDING_MS))
     }
 
     /// Records an accepted connection.
