--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -29,7 +29,7 @@
 
 /// Use of descriptors, of the link or of the allowed lag above which the router is overloaded, in
 /// percent.
-const ASK_PERCENT: usize = 75;
+const OVERLOAD_ENTER_PERCENT: usize = 75;
 
 /// Use at or below which the router is no longer overloaded, in percent. The gap between the two
 /// bounds keeps readiness from flapping.
@@ -211,7 +211,7 @@
         let is_disturbed = is_late || link.percent() > DISTURBED_LINK_PERCENT;
         shared.core().set_disturbed(is_disturbed);
         let percent = used.percent(shared.config.descriptors);
-        if percent > ASK_PERCENT {
+        if percent > OVERLOAD_ENTER_PERCENT {
             traffic.callers.scarce.notify_waiters();
         }
         let fullest = percent.max(link.percent());
@@ -260,7 +260,11 @@
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn is_overloaded(percent: usize, lag_ms: f64, most_lag_ms: u64, was: bool) -> bool {
-    let bound = if was { TAKE_PERCENT } else { ASK_PERCENT };
+    let bound = if was {
+        TAKE_PERCENT
+    } else {
+        OVERLOAD_ENTER_PERCENT
+    };
     let lag = most_lag_ms as f64 * bound as f64 / 100.0;
     percent > bound || lag_ms > lag
 }
