--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -33,7 +33,7 @@
 
 /// Use at or below which the router is no longer overloaded, in percent. The gap between the two
 /// bounds keeps readiness from flapping.
-const TAKE_PERCENT: usize = 50;
+const OVERLOAD_LEAVE_PERCENT: usize = 50;
 
 /// Use of descriptors above which calls are refused, in percent. The rest is for connections that a
 /// balancer still sends for two seconds, so that each of them gets a reply.
@@ -261,7 +261,7 @@
 #[allow(clippy::cast_precision_loss)]
 pub fn is_overloaded(percent: usize, lag_ms: f64, most_lag_ms: u64, was: bool) -> bool {
     let bound = if was {
-        TAKE_PERCENT
+        OVERLOAD_LEAVE_PERCENT
     } else {
         OVERLOAD_ENTER_PERCENT
     };
