--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -45,7 +45,7 @@
 
 /// Lag above which calls of teams over their share are refused without placing them, in ms. These
 /// calls cause most of a router's lag, and each placement costs processor time.
-const BEYOND_LAG_MS: f64 = 60.0;
+const OVER_SHARE_LAG_MS: f64 = 60.0;
 
 /// Lag above which all calls are refused, in ms. A lagging router also notices late that a caller
 /// has left, and endpoints keep working in vain; a refusal sends the caller to another router at
@@ -247,7 +247,7 @@
     pub fn of(late_ms: f64) -> Self {
         if late_ms > ALL_LAG_MS {
             Self::TooLate
-        } else if late_ms > BEYOND_LAG_MS {
+        } else if late_ms > OVER_SHARE_LAG_MS {
             Self::Late
         } else {
             Self::InTime
