--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -50,12 +50,12 @@
 /// Lag above which all calls are refused, in ms. A lagging router also notices late that a caller
 /// has left, and endpoints keep working in vain; a refusal sends the caller to another router at
 /// once. A fraction of the half second within which such work has to end.
-const ALL_LAG_MS: f64 = 150.0;
+const REFUSE_ALL_LAG_MS: f64 = 150.0;
 
 /// Cap on the lag counted for a standing accept queue, in ms. The queue may stand for seconds while
 /// each connection waits for only a fraction of one, and an uncapped value would stay in the moving
 /// average and refuse callers after the queue has drained.
-const MAX_STANDING_MS: f64 = 2.0 * ALL_LAG_MS;
+const MAX_STANDING_MS: f64 = 2.0 * REFUSE_ALL_LAG_MS;
 
 /// Use of the link above which this router's measurements of endpoints are distorted by its own
 /// delay, in percent. If calls arrive in bursts, a half-full link already builds up a queue as long
@@ -245,7 +245,7 @@
     /// The level for a lag of `late_ms`.
     #[must_use]
     pub fn of(late_ms: f64) -> Self {
-        if late_ms > ALL_LAG_MS {
+        if late_ms > REFUSE_ALL_LAG_MS {
             Self::TooLate
         } else if late_ms > OVER_SHARE_LAG_MS {
             Self::Late
