--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -19,7 +19,7 @@
 use super::link::LinkUse;
 
 /// Interval between two load checks.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Descriptors reserved for files, listeners, peers and the store, out of the process's limit.
 const OTHER_DESCRIPTORS: usize = 300;
@@ -196,8 +196,8 @@
     let mut looked = Instant::now();
     let mut lag_ms = 0.0;
     loop {
-        let due = Instant::now() + LOOK_PAUSE;
-        sleep(LOOK_PAUSE).await;
+        let due = Instant::now() + LOAD_CHECK_INTERVAL;
+        sleep(LOAD_CHECK_INTERVAL).await;
         let late = Instant::now().saturating_duration_since(due).as_secs_f64() * 1e3;
         traffic.callers.timers_late_ms.set(late);
         let late = traffic.callers.late_ms(Instant::now());
