--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -67,7 +67,7 @@
 const DISTURBED_LAG_MS: f64 = 20.0;
 
 /// Weight of a new lag sample in the moving average: a steady lag shows within a second.
-const LAG_WEIGHT: f64 = 0.2;
+const LAG_SAMPLE_WEIGHT: f64 = 0.2;
 
 /// Descriptors held by connections.
 ///
@@ -201,7 +201,7 @@
         let late = Instant::now().saturating_duration_since(due).as_secs_f64() * 1e3;
         traffic.callers.timers_late_ms.set(late);
         let late = traffic.callers.late_ms(Instant::now());
-        lag_ms += LAG_WEIGHT * (late - lag_ms);
+        lag_ms += LAG_SAMPLE_WEIGHT * (late - lag_ms);
         let was = shared.is_overloaded();
         let used = descriptor_use(&traffic);
         let passed = Instant::now().saturating_duration_since(looked);
