--- a/src/gateway/link.rs
+++ b/src/gateway/link.rs
@@ -23,7 +23,7 @@
 /// Weight of a new sample in the moving average. After a step, three samples of a tenth of a second
 /// cover two thirds of it, so that a single burst, which network buffers absorb anyway, does not
 /// count as a full link.
-const LOOK_WEIGHT: f64 = 0.3;
+const LINK_SAMPLE_WEIGHT: f64 = 0.3;
 
 /// Speed of a link, in Mbit/s.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize, JsonSchema)]
@@ -95,8 +95,8 @@
             let bytes = now.saturating_sub(before) * (100 + HEADER_PERCENT) / 100;
             bytes as f64 / carried
         };
-        self.received += LOOK_WEIGHT * (part(totals.0, self.totals.0) - self.received);
-        self.sent += LOOK_WEIGHT * (part(totals.1, self.totals.1) - self.sent);
+        self.received += LINK_SAMPLE_WEIGHT * (part(totals.0, self.totals.0) - self.received);
+        self.sent += LINK_SAMPLE_WEIGHT * (part(totals.1, self.totals.1) - self.sent);
         self.totals = totals;
     }
 
