--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -256,15 +256,15 @@
 }
 
 /// Returns whether the router is overloaded and should get fewer callers. `percent` is the use of
-/// descriptors or of the link, and `most_lag_ms` the lag that counts as 100 percent.
+/// descriptors or of the link, and `max_lag_ms` the lag that counts as 100 percent.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
-pub fn is_overloaded(percent: usize, lag_ms: f64, most_lag_ms: u64, was: bool) -> bool {
+pub fn is_overloaded(percent: usize, lag_ms: f64, max_lag_ms: u64, was: bool) -> bool {
     let bound = if was {
         OVERLOAD_LEAVE_PERCENT
     } else {
         OVERLOAD_ENTER_PERCENT
     };
-    let lag = most_lag_ms as f64 * bound as f64 / 100.0;
+    let lag = max_lag_ms as f64 * bound as f64 / 100.0;
     percent > bound || lag_ms > lag
 }
