--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -193,7 +193,7 @@
 pub async fn watch_load<P>(traffic: Rc<Traffic<P>>) {
     let shared = &traffic.shared;
     let mut link = LinkUse::default();
-    let mut looked = Instant::now();
+    let mut last_check = Instant::now();
     let mut lag_ms = 0.0;
     loop {
         let due = Instant::now() + LOAD_CHECK_INTERVAL;
@@ -204,8 +204,8 @@
         lag_ms += LAG_SAMPLE_WEIGHT * (late - lag_ms);
         let was = shared.is_overloaded();
         let used = descriptor_use(&traffic);
-        let passed = Instant::now().saturating_duration_since(looked);
-        looked = Instant::now();
+        let passed = Instant::now().saturating_duration_since(last_check);
+        last_check = Instant::now();
         link.look(shared.link.totals(), passed, shared.config.link_mbps);
         let is_late = lag_ms > DISTURBED_LAG_MS;
         let is_disturbed = is_late || link.percent() > DISTURBED_LINK_PERCENT;
