--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -120,7 +120,7 @@
 pub struct CallerTable {
     count: Cell<usize>,
     /// Delay of the timer at the last load check, in ms.
-    timers_late_ms: Cell<f64>,
+    timer_delay_ms: Cell<f64>,
     queue: Cell<AcceptQueue>,
     scarce: Notify,
 }
@@ -142,7 +142,7 @@
     /// larger.
     fn late_ms(&self, now: Instant) -> f64 {
         let standing_ms = self.queue.get().standing(now).as_secs_f64() * 1e3;
-        self.timers_late_ms
+        self.timer_delay_ms
             .get()
             .max(standing_ms.min(MAX_STANDING_MS))
     }
@@ -199,7 +199,7 @@
         let due = Instant::now() + LOAD_CHECK_INTERVAL;
         sleep(LOAD_CHECK_INTERVAL).await;
         let late = Instant::now().saturating_duration_since(due).as_secs_f64() * 1e3;
-        traffic.callers.timers_late_ms.set(late);
+        traffic.callers.timer_delay_ms.set(late);
         let late = traffic.callers.late_ms(Instant::now());
         lag_ms += LAG_SAMPLE_WEIGHT * (late - lag_ms);
         let was = shared.is_overloaded();
