--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -202,7 +202,7 @@
         traffic.callers.timer_delay_ms.set(late);
         let late = traffic.callers.late_ms(Instant::now());
         lag_ms += LAG_SAMPLE_WEIGHT * (late - lag_ms);
-        let was = shared.is_overloaded();
+        let was_overloaded = shared.is_overloaded();
         let used = descriptor_use(&traffic);
         let passed = Instant::now().saturating_duration_since(last_check);
         last_check = Instant::now();
@@ -215,8 +215,13 @@
             traffic.callers.scarce.notify_waiters();
         }
         let fullest = percent.max(link.percent());
-        let is = is_overloaded(fullest, lag_ms, shared.config.overload_lag_ms, was);
-        if is != was {
+        let is = is_overloaded(
+            fullest,
+            lag_ms,
+            shared.config.overload_lag_ms,
+            was_overloaded,
+        );
+        if is != was_overloaded {
             let DescriptorUse { callers, calls, .. } = used;
             let (received, sent) = link.both();
             spdlog::warn!(
@@ -259,8 +264,8 @@
 /// descriptors or of the link, and `max_lag_ms` the lag that counts as 100 percent.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
-pub fn is_overloaded(percent: usize, lag_ms: f64, max_lag_ms: u64, was: bool) -> bool {
-    let bound = if was {
+pub fn is_overloaded(percent: usize, lag_ms: f64, max_lag_ms: u64, was_overloaded: bool) -> bool {
+    let bound = if was_overloaded {
         OVERLOAD_LEAVE_PERCENT
     } else {
         OVERLOAD_ENTER_PERCENT
