--- a/src/gateway/link.rs
+++ b/src/gateway/link.rs
@@ -89,7 +89,7 @@
 impl LinkUse {
     /// Adds a sample: the meter's totals, `passed` after the previous sample.
     #[allow(clippy::cast_precision_loss)]
-    pub fn look(&mut self, totals: (u64, u64), passed: Duration, speed: LinkSpeed) {
+    pub fn add_sample(&mut self, totals: (u64, u64), passed: Duration, speed: LinkSpeed) {
         let carried = speed.bytes_in(passed).max(1.0);
         let part = |now: u64, before: u64| {
             let bytes = now.saturating_sub(before) * (100 + HEADER_PERCENT) / 100;
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -206,7 +206,7 @@
         let used = descriptor_use(&traffic);
         let passed = Instant::now().saturating_duration_since(last_check);
         last_check = Instant::now();
-        link.look(shared.link.totals(), passed, shared.config.link_mbps);
+        link.add_sample(shared.link.totals(), passed, shared.config.link_mbps);
         let is_late = lag_ms > DISTURBED_LAG_MS;
         let is_disturbed = is_late || link.percent() > DISTURBED_LINK_PERCENT;
         shared.core().set_disturbed(is_disturbed);
--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -139,12 +139,12 @@
         for _ in 0..10 {
             meter.received(12_000);
         }
-        link.look(meter.totals(), look, LinkSpeed(10.0));
+        link.add_sample(meter.totals(), look, LinkSpeed(10.0));
     }
     assert!(link.percent() > 90, "{}", link.percent());
     assert!(is_overloaded(link.percent(), 0.0, 60, false));
     for _ in 0..10 {
-        link.look(meter.totals(), look, LinkSpeed(10.0));
+        link.add_sample(meter.totals(), look, LinkSpeed(10.0));
     }
     assert!(!is_overloaded(link.percent(), 0.0, 60, true));
 }
@@ -156,7 +156,7 @@
     let meter = LinkMeter::default();
     let mut link = LinkUse::default();
     meter.received(125_000);
-    link.look(meter.totals(), Duration::from_millis(100), LinkSpeed(10.0));
+    link.add_sample(meter.totals(), Duration::from_millis(100), LinkSpeed(10.0));
     assert!(!is_overloaded(link.percent(), 0.0, 60, false));
 }
 
