--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -134,17 +134,17 @@
 fn a_full_link_asks_for_fewer_callers() {
     let meter = LinkMeter::default();
     let mut link = LinkUse::default();
-    let look = Duration::from_millis(100);
+    let sample_interval = Duration::from_millis(100);
     for _ in 0..10 {
         for _ in 0..10 {
             meter.received(12_000);
         }
-        link.add_sample(meter.totals(), look, LinkSpeed(10.0));
+        link.add_sample(meter.totals(), sample_interval, LinkSpeed(10.0));
     }
     assert!(link.percent() > 90, "{}", link.percent());
     assert!(is_overloaded(link.percent(), 0.0, 60, false));
     for _ in 0..10 {
-        link.add_sample(meter.totals(), look, LinkSpeed(10.0));
+        link.add_sample(meter.totals(), sample_interval, LinkSpeed(10.0));
     }
     assert!(!is_overloaded(link.percent(), 0.0, 60, true));
 }
