--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -14,7 +14,7 @@
 
 /// Most idle connections kept per endpoint. A router has a few requests at each endpoint at the
 /// same time; more idle connections than that are left over from a peak.
-const MOST_IDLE: usize = 12;
+const MAX_IDLE_PER_ENDPOINT: usize = 12;
 
 /// Time before an endpoint's stated idle limit from which a connection is no longer used, so that
 /// no request is in flight when the endpoint closes. Covers the network delay and a late timer.
@@ -75,7 +75,7 @@
     pub fn put(&self, endpoint: &EndpointLife, stream: WireStream, idle_limit: Duration) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(endpoint.clone()).or_default();
-        if connections.len() < MOST_IDLE && self.count.get() < self.most {
+        if connections.len() < MAX_IDLE_PER_ENDPOINT && self.count.get() < self.most {
             self.count.set(self.count.get() + 1);
             connections.push(IdleConnection {
                 stream,
