--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -31,7 +31,7 @@
 pub struct EndpointPool {
     /// Most connections in total, so that a router with hundreds of endpoints keeps descriptors
     /// for its callers.
-    most: usize,
+    max_idle: usize,
     /// Number of idle connections.
     count: Cell<usize>,
     idle: RefCell<BTreeMap<EndpointLife, Vec<IdleConnection>>>,
@@ -40,9 +40,9 @@
 impl EndpointPool {
     /// Creates an empty pool with this limit on its total number of connections.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_idle: usize) -> Self {
         Self {
-            most,
+            max_idle,
             count: Cell::new(0),
             idle: RefCell::default(),
         }
@@ -75,7 +75,7 @@
     pub fn put(&self, endpoint: &EndpointLife, stream: WireStream, idle_limit: Duration) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(endpoint.clone()).or_default();
-        if connections.len() < MAX_IDLE_PER_ENDPOINT && self.count.get() < self.most {
+        if connections.len() < MAX_IDLE_PER_ENDPOINT && self.count.get() < self.max_idle {
             self.count.set(self.count.get() + 1);
             connections.push(IdleConnection {
                 stream,
