--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -103,12 +103,12 @@
     if head.old || has_connection_option(&head.fields, "close") {
         return None;
     }
-    let stated = head.text("keep-alive").and_then(timeout_of);
+    let stated = head.text("keep-alive").and_then(keep_alive_timeout);
     Some(stated.map_or(unstated, |limit| limit.saturating_sub(IDLE_MARGIN)))
 }
 
 /// The timeout in a `Keep-Alive` header.
-fn timeout_of(text: &str) -> Option<Duration> {
+fn keep_alive_timeout(text: &str) -> Option<Duration> {
     text.split(',')
         .filter_map(|part| part.trim().strip_prefix("timeout="))
         .find_map(|seconds| seconds.trim().parse().ok())
