--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -8,7 +8,7 @@
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
-use super::super::protocol::SpokenWords;
+use super::super::protocol::EndpointAnnouncement;
 use super::super::routes::EndpointEntry;
 use super::super::routes::EndpointKey;
 use super::super::routes::EndpointState;
@@ -247,9 +247,9 @@
         &mut self,
         now: Moment,
         entry: &EndpointEntry,
-        words: SpokenWords,
+        words: EndpointAnnouncement,
     ) -> bool {
-        let SpokenWords { is_leaving, pause } = words;
+        let EndpointAnnouncement { is_leaving, pause } = words;
         let life = entry.life().hash();
         if let Some(pause) = pause {
             self.words.wants_pause(now, life, pause);
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -97,12 +97,12 @@
     /// Whether the endpoint states that it did not run the request.
     pub not_run: bool,
     /// What the endpoint announces about itself.
-    pub words: SpokenWords,
+    pub words: EndpointAnnouncement,
 }
 
 /// What an endpoint announces about itself in an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SpokenWords {
+pub struct EndpointAnnouncement {
     /// Whether the endpoint is leaving.
     pub is_leaving: bool,
     /// How long this router should send it no requests, if it asked for a pause.
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -26,7 +26,7 @@
 use super::follow::StoreRevision;
 use super::link::LinkMeter;
 use super::metrics::GatewayMetrics;
-use super::protocol::SpokenWords;
+use super::protocol::EndpointAnnouncement;
 use super::routes::EndpointEntry;
 use super::routes::RouteTable;
 
@@ -136,8 +136,8 @@
     }
 
     /// Takes over what an endpoint says of itself in an answer.
-    pub fn endpoint_said(&self, entry: &EndpointEntry, words: SpokenWords) {
-        if words == SpokenWords::default() {
+    pub fn endpoint_said(&self, entry: &EndpointEntry, words: EndpointAnnouncement) {
+        if words == EndpointAnnouncement::default() {
             return;
         }
         let is_news = self
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use verbenaturn::gateway::protocol::SpokenWords;
+use verbenaturn::gateway::protocol::EndpointAnnouncement;
 use verbenaturn::gateway::routes::EndpointBirth;
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
@@ -13,7 +13,7 @@
 use self::engines::ready;
 use self::engines::router_with;
 
-const LEAVING: SpokenWords = SpokenWords {
+const LEAVING: EndpointAnnouncement = EndpointAnnouncement {
     is_leaving: true,
     pause: None,
 };
@@ -22,8 +22,8 @@
     Moment(millis * 1_000)
 }
 
-fn pause(millis: u64) -> SpokenWords {
-    SpokenWords {
+fn pause(millis: u64) -> EndpointAnnouncement {
+    EndpointAnnouncement {
         is_leaving: false,
         pause: Some(TimeSpan::from_millis(millis)),
     }
