--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -307,7 +307,9 @@
             return Err(AttemptOutcome::Broken("ambiguous length"));
         };
         let facts = traffic.protocol.answer_facts(&head, &call.facts.call_id);
-        traffic.shared.endpoint_said(&ticket.entry, facts.words);
+        traffic
+            .shared
+            .endpoint_said(&ticket.entry, facts.announcement);
         let mut decoder = BodyDecoder::new(framing);
         if !facts.is_ours {
             // An endpoint may answer an earlier request twice. The extra answer is skipped by its
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -97,7 +97,7 @@
     /// Whether the endpoint states that it did not run the request.
     pub not_run: bool,
     /// What the endpoint announces about itself.
-    pub words: EndpointAnnouncement,
+    pub announcement: EndpointAnnouncement,
 }
 
 /// What an endpoint announces about itself in an answer.
