--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -48,7 +48,7 @@
 use super::metrics::GatewayMetrics;
 use super::pool::EndpointPool;
 use super::protocol::CallProtocol;
-use super::readiness::AnswerTopic;
+use super::readiness::ListenerKind;
 use super::readiness::answer_questions;
 use super::shared::SharedState;
 
@@ -244,14 +244,14 @@
     tokio::spawn(answer_questions(
         Arc::clone(&shared),
         readiness,
-        AnswerTopic::Readiness,
+        ListenerKind::Readiness,
     ));
     if let Some(metrics) = listeners.metrics {
         let metrics = TcpListener::from_std(metrics)?;
         tokio::spawn(answer_questions(
             Arc::clone(&shared),
             metrics,
-            AnswerTopic::Metrics,
+            ListenerKind::Metrics,
         ));
     }
     tokio::spawn(serve_state(
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -14,7 +14,7 @@
 
 /// What a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerTopic {
+pub enum ListenerKind {
     /// The readiness probe: 200 while this router takes calls, else 503.
     Readiness,
     /// The metrics as text.
@@ -22,7 +22,11 @@
 }
 
 /// Serves a listener until the router stops.
-pub async fn answer_questions(shared: Arc<SharedState>, listener: TcpListener, topic: AnswerTopic) {
+pub async fn answer_questions(
+    shared: Arc<SharedState>,
+    listener: TcpListener,
+    topic: ListenerKind,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -36,7 +40,7 @@
     }
 }
 
-async fn answer_connection(shared: Arc<SharedState>, stream: TcpStream, topic: AnswerTopic) {
+async fn answer_connection(shared: Arc<SharedState>, stream: TcpStream, topic: ListenerKind) {
     let mut asker = WireStream::new(stream);
     loop {
         match RequestHead::take(&mut asker.buffer, MAX_QUESTION_BYTES) {
@@ -55,9 +59,9 @@
     }
 }
 
-fn answer(shared: &SharedState, topic: AnswerTopic) -> Vec<u8> {
+fn answer(shared: &SharedState, topic: ListenerKind) -> Vec<u8> {
     match topic {
-        AnswerTopic::Readiness => {
+        ListenerKind::Readiness => {
             let line = if is_ready(shared) {
                 "200 OK"
             } else {
@@ -65,7 +69,7 @@
             };
             format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n").into_bytes()
         }
-        AnswerTopic::Metrics => {
+        ListenerKind::Metrics => {
             let body = shared.metrics.text();
             let length = body.len();
             let mut out = format!(
