--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -22,15 +22,11 @@
 }
 
 /// Serves a listener until the router stops.
-pub async fn answer_questions(
-    shared: Arc<SharedState>,
-    listener: TcpListener,
-    topic: ListenerKind,
-) {
+pub async fn answer_questions(shared: Arc<SharedState>, listener: TcpListener, kind: ListenerKind) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(answer_connection(Arc::clone(&shared), stream, topic));
+                tokio::spawn(answer_connection(Arc::clone(&shared), stream, kind));
             }
             Err(fault) => {
                 spdlog::warn!("readiness: step=accept fault=\"{fault}\"");
@@ -40,12 +36,12 @@
     }
 }
 
-async fn answer_connection(shared: Arc<SharedState>, stream: TcpStream, topic: ListenerKind) {
+async fn answer_connection(shared: Arc<SharedState>, stream: TcpStream, kind: ListenerKind) {
     let mut asker = WireStream::new(stream);
     loop {
         match RequestHead::take(&mut asker.buffer, MAX_QUESTION_BYTES) {
             Ok(Some(_)) => {
-                let answer = answer(&shared, topic);
+                let answer = answer(&shared, kind);
                 if asker.send(&answer).await.is_err() {
                     return;
                 }
@@ -59,8 +55,8 @@
     }
 }
 
-fn answer(shared: &SharedState, topic: ListenerKind) -> Vec<u8> {
-    match topic {
+fn answer(shared: &SharedState, kind: ListenerKind) -> Vec<u8> {
+    match kind {
         ListenerKind::Readiness => {
             let line = if is_ready(shared) {
                 "200 OK"
