--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -49,7 +49,7 @@
 use super::pool::EndpointPool;
 use super::protocol::CallProtocol;
 use super::readiness::ListenerKind;
-use super::readiness::answer_questions;
+use super::readiness::serve_listener;
 use super::shared::SharedState;
 
 /// Pause between two looks whether the last call has ended.
@@ -241,14 +241,14 @@
 ) -> io::Result<ExitCode> {
     let mut signals = ProcessSignals::listen()?;
     let readiness = TcpListener::from_std(listeners.readiness)?;
-    tokio::spawn(answer_questions(
+    tokio::spawn(serve_listener(
         Arc::clone(&shared),
         readiness,
         ListenerKind::Readiness,
     ));
     if let Some(metrics) = listeners.metrics {
         let metrics = TcpListener::from_std(metrics)?;
-        tokio::spawn(answer_questions(
+        tokio::spawn(serve_listener(
             Arc::clone(&shared),
             metrics,
             ListenerKind::Metrics,
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -22,7 +22,7 @@
 }
 
 /// Serves a listener until the router stops.
-pub async fn answer_questions(shared: Arc<SharedState>, listener: TcpListener, kind: ListenerKind) {
+pub async fn serve_listener(shared: Arc<SharedState>, listener: TcpListener, kind: ListenerKind) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
