--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -26,7 +26,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(answer_connection(Arc::clone(&shared), stream, kind));
+                tokio::spawn(serve_probe_connection(Arc::clone(&shared), stream, kind));
             }
             Err(fault) => {
                 spdlog::warn!("readiness: step=accept fault=\"{fault}\"");
@@ -36,7 +36,7 @@
     }
 }
 
-async fn answer_connection(shared: Arc<SharedState>, stream: TcpStream, kind: ListenerKind) {
+async fn serve_probe_connection(shared: Arc<SharedState>, stream: TcpStream, kind: ListenerKind) {
     let mut asker = WireStream::new(stream);
     loop {
         match RequestHead::take(&mut asker.buffer, MAX_QUESTION_BYTES) {
