--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -10,7 +10,7 @@
 use super::shared::SharedState;
 
 /// Largest request head, in bytes; balancers send a few hundred.
-const MAX_QUESTION_BYTES: usize = 4_096;
+const MAX_PROBE_HEAD_BYTES: usize = 4_096;
 
 /// What a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 async fn serve_probe_connection(shared: Arc<SharedState>, stream: TcpStream, kind: ListenerKind) {
     let mut asker = WireStream::new(stream);
     loop {
-        match RequestHead::take(&mut asker.buffer, MAX_QUESTION_BYTES) {
+        match RequestHead::take(&mut asker.buffer, MAX_PROBE_HEAD_BYTES) {
             Ok(Some(_)) => {
                 let answer = answer(&shared, kind);
                 if asker.send(&answer).await.is_err() {
