--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -37,16 +37,16 @@
 }
 
 async fn serve_probe_connection(shared: Arc<SharedState>, stream: TcpStream, kind: ListenerKind) {
-    let mut asker = WireStream::new(stream);
+    let mut client = WireStream::new(stream);
     loop {
-        match RequestHead::take(&mut asker.buffer, MAX_PROBE_HEAD_BYTES) {
+        match RequestHead::take(&mut client.buffer, MAX_PROBE_HEAD_BYTES) {
             Ok(Some(_)) => {
                 let answer = answer(&shared, kind);
-                if asker.send(&answer).await.is_err() {
+                if client.send(&answer).await.is_err() {
                     return;
                 }
             }
-            Ok(None) => match asker.fill().await {
+            Ok(None) => match client.fill().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             },
