--- a/src/gateway/http/framing.rs
+++ b/src/gateway/http/framing.rs
@@ -183,7 +183,7 @@
                     self.state = DecoderState::ChunkEnd;
                 }
                 DecoderState::ChunkSize | DecoderState::ChunkEnd | DecoderState::Trailer => {
-                    let Some(line) = line_of(buffer)? else {
+                    let Some(line) = take_line(buffer)? else {
                         return Ok(());
                     };
                     self.state = after_line(&self.state, &line)?;
@@ -204,7 +204,7 @@
 }
 
 /// Takes one line from `buffer`, without its line end; `None` if it is incomplete.
-fn line_of(buffer: &mut BytesMut) -> Result<Option<BytesMut>, FramingFault> {
+fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, FramingFault> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         if buffer.len() > MAX_LINE_BYTES {
             return Err(FramingFault::BadChunk);
