--- a/src/gateway/http/framing.rs
+++ b/src/gateway/http/framing.rs
@@ -167,7 +167,7 @@
                     return Ok(());
                 }
                 DecoderState::Length(left) => {
-                    let left = left - moved(buffer, body, left);
+                    let left = left - move_bytes(buffer, body, left);
                     if left > 0 {
                         self.state = DecoderState::Length(left);
                         return Ok(());
@@ -175,7 +175,7 @@
                     self.state = DecoderState::Complete;
                 }
                 DecoderState::ChunkData(left) => {
-                    let left = left - moved(buffer, body, left);
+                    let left = left - move_bytes(buffer, body, left);
                     if left > 0 {
                         self.state = DecoderState::ChunkData(left);
                         return Ok(());
@@ -194,7 +194,7 @@
 }
 
 /// Moves at most `left` bytes and returns their number.
-fn moved(buffer: &mut BytesMut, body: &mut BytesMut, left: u64) -> u64 {
+fn move_bytes(buffer: &mut BytesMut, body: &mut BytesMut, left: u64) -> u64 {
     let count = usize::try_from(left)
         .unwrap_or(usize::MAX)
         .min(buffer.len());
