--- a/src/gateway/http/head.rs
+++ b/src/gateway/http/head.rs
@@ -117,7 +117,7 @@
 }
 
 /// Copies parsed fields as slices of the head's bytes.
-fn kept(head: &Bytes, fields: &[httparse::Header<'_>]) -> Vec<HeaderField> {
+fn copy_fields(head: &Bytes, fields: &[httparse::Header<'_>]) -> Vec<HeaderField> {
     fields
         .iter()
         .map(|field| HeaderField {
@@ -153,7 +153,7 @@
         Ok(Some(Self {
             method: head.slice_ref(method.as_bytes()),
             target: head.slice_ref(path.as_bytes()),
-            fields: kept(&head, parsed.headers),
+            fields: copy_fields(&head, parsed.headers),
         }))
     }
 
@@ -196,7 +196,7 @@
         };
         Ok(Some(Self {
             status,
-            fields: kept(&head, parsed.headers),
+            fields: copy_fields(&head, parsed.headers),
             old: version == 0,
         }))
     }
