--- a/src/gateway/http/connection.rs
+++ b/src/gateway/http/connection.rs
@@ -60,7 +60,7 @@
 
     /// Sets `TCP_NODELAY`, so that small writes are sent at once. An answer sent in one write does
     /// not need it and saves the system call.
-    pub fn send_pieces_at_once(&self) {
+    pub fn disable_nagle(&self) {
         if let Err(fault) = self.stream.set_nodelay(true) {
             spdlog::debug!("gateway: step=nodelay fault=\"{fault}\"");
         }
@@ -73,7 +73,7 @@
     pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
         let connecting = time::timeout(limit, TcpStream::connect(address));
         let stream = Self::new(connecting.await.map_err(|_| io::ErrorKind::TimedOut)??);
-        stream.send_pieces_at_once();
+        stream.disable_nagle();
         Ok(stream)
     }
 
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -192,7 +192,7 @@
     let mut out = Vec::with_capacity(events.len() + 512);
     if !call.head_sent {
         call.head_sent = true;
-        caller.send_pieces_at_once();
+        caller.disable_nagle();
         call.first_output = Some(Instant::now());
         out.extend_from_slice(&caller_head(head, ReplyFraming::Chunked, call.keep));
     }
