--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -232,7 +232,7 @@
     }
     // A router that lags reads requests whose callers have already left, and an endpoint would work
     // on them in vain. This is checked last, since connecting takes time as well.
-    if caller.has_left() {
+    if caller.peer_has_closed() {
         return AttemptOutcome::CallerLeft;
     }
     let bytes = endpoint_request(
--- a/src/gateway/http/connection.rs
+++ b/src/gateway/http/connection.rs
@@ -143,7 +143,7 @@
     /// lagging router, where most callers leave, polls late. A close behind unread bytes is not
     /// seen until they are read.
     #[must_use]
-    pub fn has_left(&self) -> bool {
+    pub fn peer_has_closed(&self) -> bool {
         let mut ahead = [MaybeUninit::uninit(); 1];
         match SockRef::from(&self.stream).peek(&mut ahead) {
             Ok(count) => count == 0,
