--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -267,7 +267,7 @@
 ) -> Option<AttemptOutcome> {
     tokio::select! {
         biased;
-        written = endpoint.send_watching(bytes) => match written {
+        written = endpoint.send_while_reading(bytes) => match written {
             // An endpoint may refuse a long request before it has read it and then close; its
             // answer is in the buffer.
             Err(_) if endpoint.buffer.is_empty() => Some(AttemptOutcome::Broken("write failed")),
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -324,7 +324,7 @@
     let mut out = caller_head(&answer.head, framing, call.keep);
     out.extend_from_slice(&answer.body);
     call.first_output = Some(Instant::now());
-    match caller.send_watching(&out).await {
+    match caller.send_while_reading(&out).await {
         Ok(()) => CallEnd::Answered(answer.head.status),
         Err(_) => CallEnd::CallerLeft,
     }
@@ -404,7 +404,7 @@
     cause: &'static str,
 ) -> CallEnd {
     let bytes = reply.bytes(&traffic.protocol, &call.facts.call_id, call.keep);
-    match caller.send_watching(&bytes).await {
+    match caller.send_while_reading(&bytes).await {
         Ok(()) => CallEnd::Own(reply.status, cause),
         Err(_) => CallEnd::CallerLeft,
     }
@@ -421,7 +421,7 @@
 ) -> AfterCall {
     record_refusal(traffic, call_id, &reply, cause);
     let bytes = reply.bytes(&traffic.protocol, call_id, keep);
-    match caller.send_watching(&bytes).await {
+    match caller.send_while_reading(&bytes).await {
         Ok(()) if keep => AfterCall::Keep,
         _ => AfterCall::End,
     }
--- a/src/gateway/http/connection.rs
+++ b/src/gateway/http/connection.rs
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// If the connection broke or the peer closed its side.
-    pub async fn send_watching(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub async fn send_while_reading(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.count_sent(bytes.len());
         // Almost every write fits the socket's buffer, so that nothing has to be read meanwhile.
         let mut sent = match self.stream.try_write(bytes) {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -202,5 +202,5 @@
     if ends {
         out.extend_from_slice(LAST_CHUNK);
     }
-    caller.send_watching(&out).await
+    caller.send_while_reading(&out).await
 }
