--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -139,7 +139,7 @@
 ///
 /// # Errors
 /// The reason if the wait ended without a read.
-pub async fn read_watching(
+pub async fn read_or_interrupt(
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     ticket: &AttemptTicket,
@@ -347,7 +347,7 @@
     ticket: &AttemptTicket,
     bounds: WaitBounds,
 ) -> Result<(), AttemptOutcome> {
-    let read = read_watching(endpoint, caller, ticket, bounds).await;
+    let read = read_or_interrupt(endpoint, caller, ticket, bounds).await;
     match read.map_err(Interruption::outcome)? {
         Ok(0) => Err(AttemptOutcome::Broken("closed before its answer")),
         Ok(_) => Ok(()),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -13,7 +13,7 @@
 use super::attempt::AttemptOutcome;
 use super::attempt::Interruption;
 use super::attempt::WaitBounds;
-use super::attempt::read_watching;
+use super::attempt::read_or_interrupt;
 use super::call_state::CallState;
 use super::decide::AttemptTicket;
 use super::front::Traffic;
@@ -106,7 +106,7 @@
                 is_proven: start.is_proven,
             });
         }
-        match read_watching(endpoint, caller, ticket, bounds).await {
+        match read_or_interrupt(endpoint, caller, ticket, bounds).await {
             Ok(Ok(0)) if start.decoder.end_of_stream() => {}
             Ok(Ok(0)) => return AttemptOutcome::Broken("answer was cut"),
             Ok(Ok(_)) => {}
@@ -163,7 +163,7 @@
             deadline: call.deadline,
             stall: call.stall_at(Instant::now() + silence_limit),
         };
-        match read_watching(endpoint, caller, ticket, bounds).await {
+        match read_or_interrupt(endpoint, caller, ticket, bounds).await {
             Ok(Ok(0)) if start.decoder.end_of_stream() => {}
             Ok(Ok(0)) => return AttemptOutcome::Broken("stream was cut"),
             Ok(Ok(_)) => ticket.record_activity(traffic.shared.clock.now()),
