--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -38,7 +38,7 @@
 
 /// The longest time for which the queue stays non-empty within two seconds, if `arriving`
 /// connections come in each millisecond and up to `taken` of them can be accepted.
-fn longest_standing(arriving: impl Fn(u64) -> u64, taken: u64) -> Duration {
+fn longest_non_empty(arriving: impl Fn(u64) -> u64, taken: u64) -> Duration {
     let begun = Instant::now();
     let mut queue = AcceptQueue::default();
     let mut waiting = 0;
@@ -65,9 +65,9 @@
 #[test]
 fn a_queue_that_stands_makes_a_router_late_and_bursts_do_not() {
     let late = |standing: Duration| LagLevel::of(standing.as_secs_f64() * 1e3);
-    let flood = longest_standing(|_| 8, 4);
+    let flood = longest_non_empty(|_| 8, 4);
     assert_eq!(late(flood), LagLevel::TooLate);
-    let bursts = longest_standing(|at| if at % 100 == 0 { 160 } else { 0 }, 4);
+    let bursts = longest_non_empty(|at| if at % 100 == 0 { 160 } else { 0 }, 4);
     assert_eq!(late(bursts), LagLevel::InTime);
 }
 
