--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -96,7 +96,7 @@
 /// Six of ninety routers have most of all calls, and their gossip decides where work goes. If all
 /// routers sent as many messages, a small host would spend a seventh of its time on them.
 #[test]
-fn routers_tell_more_the_more_they_have() {
+fn busier_routers_send_more_messages() {
     assert_eq!(messages_per_round(7, 0, 1_000), 7);
     let idle = messages_per_round(89, 0, 1_000);
     let usual = messages_per_round(89, 11, 979);
