--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn digests_say_the_same_after_the_way() {
+fn digests_decode_to_what_was_encoded() {
     let sent = digest(5, 3);
     let read = RouterDigest::decode(&sent.encode_to_vec()[..]).unwrap();
     assert_eq!(read, sent);
