--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -152,7 +152,7 @@
 /// A single burst of calls fills a slow link for a moment, and network buffers absorb it. If each
 /// burst counted as overload, callers would be moved back and forth between routers.
 #[test]
-fn one_clump_of_calls_does_not_fill_a_link() {
+fn one_burst_of_calls_does_not_fill_a_link() {
     let meter = LinkMeter::default();
     let mut link = LinkUse::default();
     meter.received(125_000);
