--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -87,7 +87,7 @@
 /// An overloaded router stays overloaded until its use falls to half. With a single threshold its
 /// readiness would flap, and a balancer would add and remove it each second.
 #[test]
-fn a_full_router_takes_callers_again_at_half() {
+fn an_overloaded_router_recovers_at_half_of_its_use() {
     assert!(!is_overloaded(60, 0.0, 60, false));
     assert!(is_overloaded(60, 0.0, 60, true));
     assert!(!is_overloaded(40, 0.0, 60, true));
