--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -1,5 +1,5 @@
-//! Callers' new connections: taken in turn with the calls, and refused on the spot by a router
-//! that is late.
+//! Accepts callers' connections in turn with serving calls. While the router is too late, requests
+//! that have arrived completely are refused without a task of their own.
 
 use std::io;
 use std::io::Read;
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use super::call::tell_refused;
+use super::call::record_refusal;
 use super::front::Traffic;
 use super::front::serve_connection;
 use super::http::BodyFraming;
@@ -28,26 +28,27 @@
 use super::protocol::CallFacts;
 use super::protocol::CallProtocol;
 
-/// Pause after a connection could not be accepted, in ms: descriptors free up within that time.
+/// Pause after a failed accept. Descriptors free up within that time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Connections accepted in one turn of the traffic thread. Each that is not refused on the spot
-/// takes two further turns until its request is read, so that few wait in between.
-const ACCEPTS_A_TURN: usize = 64;
+/// Connections accepted in one turn of the traffic thread. A connection that is not refused at once
+/// takes two further turns until its request is read, so this bounds how many wait in between.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// Most bytes of a request that is refused on the spot: a usual head with a short body. What is
-/// longer is read first, since closing before that would take the answer away.
-const MOST_REFUSED_BYTES: usize = 8_192;
+/// Size from which a request is not refused at once, in bytes; a usual head with a short body is
+/// below it. A longer request is read first: closing a connection with unread bytes resets it, and
+/// the caller would lose the reply.
+const INLINE_REFUSAL_BYTES: usize = 8_192;
 
-/// Accepts callers until the router ends.
+/// Accepts callers until the router stops.
 ///
 /// Guards against a flood of new connections that are accepted faster than their requests are
-/// read: they would take all descriptors, and callers would wait unread until they give up.
+/// read: they would use up all descriptors, and callers would wait unserved until they time out.
 pub async fn accept_callers<P: CallProtocol>(
     traffic: Rc<Traffic<P>>,
     listener: AsyncFd<TcpListener>,
 ) {
-    let mut scratch = vec![0; MOST_REFUSED_BYTES];
+    let mut scratch = vec![0; INLINE_REFUSAL_BYTES];
     loop {
         if let Err(fault) = accept_turn(&traffic, &listener, &mut scratch).await {
             spdlog::warn!("gateway: step=accept fault=\"{fault}\"");
@@ -57,25 +58,25 @@
     }
 }
 
-/// Waits for a connection and accepts those that are there, up to the bound of a turn.
+/// Waits for a connection, then accepts all that are pending, up to the limit of one turn.
 async fn accept_turn<P: CallProtocol>(
     traffic: &Rc<Traffic<P>>,
     listener: &AsyncFd<TcpListener>,
     scratch: &mut [u8],
 ) -> io::Result<()> {
     let mut ready = listener.readable().await?;
-    for _ in 0..ACCEPTS_A_TURN {
+    for _ in 0..MAX_ACCEPTS_PER_TURN {
         let Ok(accepted) = ready.try_io(|listener| listener.get_ref().accept()) else {
-            traffic.callers.queue_emptied();
+            traffic.callers.record_empty_queue();
             return Ok(());
         };
         let (stream, _) = accepted?;
         let now = Instant::now();
-        traffic.callers.queue_took(now);
+        traffic.callers.record_accepted_connection(now);
         let mut arrived = BytesMut::new();
         if is_too_late(traffic, now) {
-            arrived = read_at_once(&stream, scratch);
-            if refused_at_once(traffic, &stream, &arrived) {
+            arrived = read_available(&stream, scratch);
+            if try_refuse(traffic, &stream, &arrived) {
                 continue;
             }
         }
@@ -87,18 +88,20 @@
     Ok(())
 }
 
-/// What has come on a new connection.
-fn read_at_once(mut stream: &TcpStream, scratch: &mut [u8]) -> BytesMut {
-    // Nothing yet, an end and a broken connection are told apart by whoever reads on.
+/// Reads the bytes that have already arrived on a new connection.
+fn read_available(mut stream: &TcpStream, scratch: &mut [u8]) -> BytesMut {
+    // "Nothing yet", the end of the stream and errors all give 0 bytes here; the next read tells
+    // them apart.
     let count = stream.read(scratch).unwrap_or_default();
     BytesMut::from(&scratch[..count])
 }
 
-/// Refuses the request of a new connection if it has come as a whole; whether it did.
+/// Refuses the request of a new connection if it has arrived completely. Returns whether it was
+/// refused.
 ///
-/// Such a refusal takes no task and no turn. A router that gets more callers than it can refuse
-/// leaves them waiting to be accepted until they give up.
-fn refused_at_once<P: CallProtocol>(
+/// Such a refusal needs no task and no further turn. When callers arrive faster than the router can
+/// refuse them, they wait in the accept queue until they time out.
+fn try_refuse<P: CallProtocol>(
     traffic: &Traffic<P>,
     mut stream: &TcpStream,
     arrived: &BytesMut,
@@ -109,7 +112,7 @@
     traffic.shared.link.received(arrived.len());
     let call_id = &facts.call_id;
     let reply = refusal_when_late(traffic, &facts);
-    tell_refused(traffic, call_id, &reply, ROUTER_FULL);
+    record_refusal(traffic, call_id, &reply, ROUTER_FULL);
     let bytes = reply.bytes(&traffic.protocol, call_id, false);
     traffic.shared.link.sent(bytes.len());
     if let Err(fault) = stream.write_all(&bytes) {
@@ -118,13 +121,13 @@
     true
 }
 
-/// What the one request says that these bytes are, if they are just that.
+/// Decodes the call if the bytes are exactly one complete request.
 fn whole_request<P: CallProtocol>(traffic: &Traffic<P>, arrived: &BytesMut) -> Option<CallFacts> {
-    if arrived.len() == MOST_REFUSED_BYTES {
+    if arrived.len() == INLINE_REFUSAL_BYTES {
         return None;
     }
     let mut rest = arrived.clone();
-    let head = RequestHead::take(&mut rest, MOST_REFUSED_BYTES).ok()??;
+    let head = RequestHead::take(&mut rest, INLINE_REFUSAL_BYTES).ok()??;
     let BodyFraming::Length(length) = BodyFraming::of_request(&head).ok()? else {
         return None;
     };
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint: connection, request, head of the answer.
+//! Makes one attempt at one endpoint: connects, sends the request and reads the head of the answer.
 
 use std::io;
 use std::time::Duration;
@@ -24,31 +24,31 @@
 use super::reply::endpoint_request;
 
 /// Largest head of an endpoint's answer, in bytes: twice what callers may send, since endpoints
-/// echo some of it.
+/// echo some of the request's fields.
 const MAX_ANSWER_HEAD_BYTES: usize = 32_768;
 
-/// Most bytes that a caller may send ahead while its call runs. Beyond that its connection is not
-/// read, and its leaving shows only when something is written.
-const MOST_AHEAD_BYTES: usize = 65_536;
+/// Most bytes that are read from a caller while its call runs. Beyond that its connection is not
+/// read, and a disconnect shows only when something is written.
+const MAX_READ_AHEAD_BYTES: usize = 65_536;
 
-/// What became of an attempt.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The caller has the whole answer.
+    /// The whole answer was passed on to the caller, with this status.
     Delivered(u16),
-    /// An answer that was not passed on yet.
+    /// A complete answer that was not passed on yet.
     Answer(BufferedAnswer),
     /// The request did not run at this endpoint.
     NotRun(NotRunCause),
-    /// The endpoint broke off; the request may have run. The caller may have part of a stream.
+    /// The endpoint failed; the request may have run, and the caller may have part of a stream.
     Broken(&'static str),
-    /// The caller left.
+    /// The caller closed its connection.
     CallerLeft,
     /// The caller's deadline or the route's timeout passed.
     TimeUp,
 }
 
-/// How it is known that a request did not run.
+/// Why a request is known not to have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunCause {
     /// No connection was made.
@@ -57,14 +57,14 @@
     Gone,
     /// The endpoint left, or asked for a pause, while the connection was made.
     Left,
-    /// The endpoint refused it.
+    /// The endpoint refused the request.
     Refused,
     /// Another endpoint has the address.
     OtherEndpoint,
 }
 
 impl AttemptOutcome {
-    /// What the outcome says of the endpoint, for a request that asks this.
+    /// What the decision core records about the endpoint for this outcome.
     #[must_use]
     pub fn end(&self, fingerprint: RequestFingerprint) -> AttemptEnd {
         match self {
@@ -86,18 +86,18 @@
 /// Why waiting for an endpoint ended.
 #[derive(Debug)]
 pub enum Interruption {
-    /// The caller left.
+    /// The caller closed its connection.
     CallerLeft,
-    /// The time is over.
+    /// The deadline passed.
     TimeUp,
     /// The endpoint was silent for too long.
     Stalled,
-    /// Another process has taken the endpoint's place.
+    /// The endpoint registered again as a new process.
     Replaced,
 }
 
 impl Interruption {
-    /// The outcome of an attempt that this ended.
+    /// The outcome of an attempt that this interruption ended.
     #[must_use]
     pub fn outcome(self) -> AttemptOutcome {
         match self {
@@ -109,9 +109,9 @@
     }
 }
 
-/// Resolves when the caller has closed its connection. Keeps what it sends ahead.
+/// Resolves when the caller has closed its connection. Bytes that it sends meanwhile are buffered.
 async fn caller_left(caller: &mut WireStream) {
-    while caller.buffer.len() < MOST_AHEAD_BYTES {
+    while caller.buffer.len() < MAX_READ_AHEAD_BYTES {
         match caller.fill().await {
             Ok(0) | Err(_) => return,
             Ok(_) => {}
@@ -120,24 +120,26 @@
     std::future::pending::<()>().await;
 }
 
-/// How long to wait for an endpoint's next bytes.
+/// Time limits of a wait for an endpoint's next bytes.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitBounds {
-    /// When the caller's time is over.
+    /// The call's deadline.
     pub deadline: Instant,
     /// When silence counts as the endpoint's failure.
     pub stall: Instant,
 }
 
-/// Reads from the endpoint while it watches the caller, the time and the endpoint's life.
+/// Reads from the endpoint until bytes arrive, the caller leaves, a time limit passes or the
+/// endpoint is replaced.
 ///
-/// Guards against a process that ended behind a cut: its connection stays silent without an end,
-/// and the caller would wait out its deadline for an answer that nobody makes. That the endpoint
-/// registered with a later start proves the end; bytes that are here already still go first.
+/// Guards against an endpoint that crashes behind a network cut: its connection stays open and
+/// silent, and the caller would wait until its deadline for an answer that never comes. A
+/// registration of the endpoint with a later start proves that the old process has ended; bytes
+/// that have already arrived are read first.
 ///
 /// # Errors
-/// What ended the wait.
-pub async fn read_watching(
+/// The reason if the wait ended without a read.
+pub async fn read_or_interrupt(
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     ticket: &AttemptTicket,
@@ -157,21 +159,21 @@
     }
 }
 
-/// The head of an answer, and what is known of the connection that it came on.
+/// The head of an answer and the state of the connection that it came on.
 #[derive(Debug)]
 pub struct AnswerStart {
-    /// The head.
+    /// The answer's head.
     pub head: ResponseHead,
-    /// Where the body ends.
+    /// Decodes the body and finds its end.
     pub decoder: BodyDecoder,
     /// Whether the endpoint proves that it made the answer.
     pub is_proven: bool,
-    /// How long the connection may be idle afterwards; nothing if it can't be used again.
+    /// How long the connection may be idle afterwards; `None` if it can't be reused.
     pub reuse: Option<Duration>,
 }
 
-/// A connection on which the request may go out at once.
-async fn connected<P: CallProtocol>(
+/// Takes an idle connection to the endpoint from the pool, or opens a new one.
+async fn connect_endpoint<P: CallProtocol>(
     traffic: &Traffic<P>,
     ticket: &AttemptTicket,
 ) -> Result<WireStream, NotRunCause> {
@@ -196,7 +198,8 @@
     Ok(stream.metered(&shared.link))
 }
 
-/// Whether the endpoint takes work at the moment at which the request would go out.
+/// Returns whether the endpoint still takes work. It is checked just before the request is sent,
+/// since the endpoint may have left or asked for a pause while the connection was made.
 fn still_takes_work<P: CallProtocol>(traffic: &Traffic<P>, ticket: &AttemptTicket) -> bool {
     let (shared, entry) = (&traffic.shared, &ticket.entry);
     let takes_work = shared
@@ -212,23 +215,24 @@
     takes_work
 }
 
-/// Sends the call to one endpoint and passes its answer on where that can't be undone later.
+/// Sends the call to one endpoint and reads its answer. A stream is passed on as it arrives; any
+/// other answer is returned whole, so that the caller can still get another endpoint's instead.
 pub async fn run_attempt<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     ticket: &mut AttemptTicket,
 ) -> AttemptOutcome {
-    let mut endpoint = match connected(traffic, ticket).await {
+    let mut endpoint = match connect_endpoint(traffic, ticket).await {
         Ok(stream) => stream,
         Err(cause) => return AttemptOutcome::NotRun(cause),
     };
     if !still_takes_work(traffic, ticket) {
         return AttemptOutcome::NotRun(NotRunCause::Left);
     }
-    // A router that lags reads requests whose callers have left in the meantime; an endpoint would
-    // work on them for nobody. The look comes last, since a connection takes time as well.
-    if caller.has_left() {
+    // A router that lags reads requests whose callers have already left, and an endpoint would work
+    // on them in vain. This is checked last, since connecting takes time as well.
+    if caller.peer_has_closed() {
         return AttemptOutcome::CallerLeft;
     }
     let bytes = endpoint_request(
@@ -244,18 +248,18 @@
         },
     );
     call.sends += 1;
-    if let Some(ended) = sent(&mut endpoint, caller, call.deadline, &bytes).await {
+    if let Some(ended) = write_request(&mut endpoint, caller, call.deadline, &bytes).await {
         return ended;
     }
-    let start = match answer_start(traffic, &mut endpoint, caller, call, ticket).await {
+    let start = match read_answer_start(traffic, &mut endpoint, caller, call, ticket).await {
         Ok(start) => start,
         Err(outcome) => return outcome,
     };
     relay::pass_on(traffic, caller, call, ticket, endpoint, start).await
 }
 
-/// Writes the request; an outcome if the attempt is over.
-async fn sent(
+/// Writes the request. Returns the outcome if that ended the attempt.
+async fn write_request(
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     deadline: Instant,
@@ -263,7 +267,7 @@
 ) -> Option<AttemptOutcome> {
     tokio::select! {
         biased;
-        written = endpoint.send_watching(bytes) => match written {
+        written = endpoint.send_while_reading(bytes) => match written {
             // An endpoint may refuse a long request before it has read it and then close; its
             // answer is in the buffer.
             Err(_) if endpoint.buffer.is_empty() => Some(AttemptOutcome::Broken("write failed")),
@@ -274,8 +278,8 @@
     }
 }
 
-/// Reads heads until one answers this call.
-async fn answer_start<P: CallProtocol>(
+/// Reads answers' heads until one belongs to this call, and skips all others.
+async fn read_answer_start<P: CallProtocol>(
     traffic: &Traffic<P>,
     endpoint: &mut WireStream,
     caller: &mut WireStream,
@@ -284,13 +288,13 @@
 ) -> Result<AnswerStart, AttemptOutcome> {
     let bounds = WaitBounds {
         deadline: call.deadline,
-        stall: Instant::now() + call.patience(ticket),
+        stall: Instant::now() + call.silence_limit(ticket),
     };
     loop {
         let head = match ResponseHead::take(&mut endpoint.buffer, MAX_ANSWER_HEAD_BYTES) {
             Ok(Some(head)) => head,
             Ok(None) => {
-                more(endpoint, caller, ticket, bounds).await?;
+                read_more(endpoint, caller, ticket, bounds).await?;
                 continue;
             }
             Err(_) => return Err(AttemptOutcome::Broken("not an answer")),
@@ -303,17 +307,19 @@
             return Err(AttemptOutcome::Broken("ambiguous length"));
         };
         let facts = traffic.protocol.answer_facts(&head, &call.facts.call_id);
-        traffic.shared.endpoint_said(&ticket.entry, facts.words);
+        traffic
+            .shared
+            .endpoint_said(&ticket.entry, facts.announcement);
         let mut decoder = BodyDecoder::new(framing);
         if !facts.is_ours {
-            // A second answer to an earlier request may arrive where this one's is due. Its bytes
-            // are read past by its own framing; what follows is this call's.
+            // An endpoint may answer an earlier request twice. The extra answer is skipped by its
+            // own framing; this call's answer follows it.
             let id = &call.facts.call_id;
             spdlog::warn!(
                 "endpoint: key={} call={id} extra answer dropped",
                 ticket.entry.key
             );
-            skip(endpoint, caller, ticket, bounds, &mut decoder).await?;
+            skip_body(endpoint, caller, ticket, bounds, &mut decoder).await?;
             continue;
         }
         if facts.not_run {
@@ -334,13 +340,14 @@
     }
 }
 
-async fn more(
+/// Reads more bytes of the answer's head.
+async fn read_more(
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     ticket: &AttemptTicket,
     bounds: WaitBounds,
 ) -> Result<(), AttemptOutcome> {
-    let read = read_watching(endpoint, caller, ticket, bounds).await;
+    let read = read_or_interrupt(endpoint, caller, ticket, bounds).await;
     match read.map_err(Interruption::outcome)? {
         Ok(0) => Err(AttemptOutcome::Broken("closed before its answer")),
         Ok(_) => Ok(()),
@@ -348,7 +355,8 @@
     }
 }
 
-async fn skip(
+/// Reads and drops the body of an answer that does not belong to this call.
+async fn skip_body(
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     ticket: &AttemptTicket,
@@ -364,6 +372,6 @@
         if decoder.is_complete() {
             return Ok(());
         }
-        more(endpoint, caller, ticket, bounds).await?;
+        read_more(endpoint, caller, ticket, bounds).await?;
     }
 }
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,4 +1,5 @@
-//! One call of a caller: route, key, attempts, and the answer when no attempt gives one.
+//! Serves one call: finds its route and team, makes attempts at endpoints, and replies itself when
+//! no attempt yields an answer.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -42,16 +43,17 @@
 use super::routes::RouteEntry;
 use super::routes::RouteTable;
 
-/// Endpoints that a call may find unreachable. A dark address costs the connection timeout, so
-/// that three of them use up most of an objective.
-const MOST_UNREACHED: usize = 3;
+/// Unreachable endpoints after which a call is given up. An address that does not respond costs the
+/// connection timeout, so three of them use up most of an objective.
+const MAX_UNREACHED_ENDPOINTS: usize = 3;
 
-/// What a caller's connection does after a call.
+/// What happens to a caller's connection after a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterCall {
-    /// Takes the next one.
+    /// It stays open for the next call.
     Keep,
-    /// Is closed. A part of an answer can't be taken for the whole: its framing is not complete.
+    /// It is closed. After a partial answer the incomplete framing shows the caller that the rest
+    /// is missing.
     End,
 }
 
@@ -65,7 +67,7 @@
 ) -> AfterCall {
     let _in_flight = traffic.shared.begin_call();
     let arrived = Instant::now();
-    // A caller that connects anew comes to another router.
+    // A caller whose connection is closed reconnects, usually to another router.
     let sheds = traffic.shared.life.draining.is_cancelled() || traffic.shared.is_overloaded();
     let keep = keep && !sheds;
     let Ok(facts) = traffic.protocol.call_facts(&head) else {
@@ -92,7 +94,7 @@
         let reply = unavailable(traffic.shared.config.retry_after_ms);
         return refuse(traffic, caller, &id, reply, "shutting down", false).await;
     }
-    let route = match routed(&table, &head, &facts) {
+    let route = match find_route(&table, &head, &facts) {
         Ok(route) => route,
         Err((status, cause)) => {
             return reject(traffic, caller, &id, status, cause, keep).await;
@@ -132,7 +134,7 @@
         tried: Vec::new(),
         unreached: 0,
     };
-    let end = attempts(traffic, caller, &mut call, &table).await;
+    let end = run_attempts(traffic, caller, &mut call, &table).await;
     record(traffic, &call, end, table.version);
     match end {
         CallEnd::Answered(_) | CallEnd::Own(..) if call.keep => AfterCall::Keep,
@@ -140,7 +142,8 @@
     }
 }
 
-fn routed<'a>(
+/// Finds the route of a call and checks the caller's key.
+fn find_route<'a>(
     table: &'a RouteTable,
     head: &RequestHead,
     facts: &CallFacts,
@@ -160,28 +163,28 @@
     Ok(route)
 }
 
-/// Makes attempts until one answers or none may be made.
-async fn attempts<P: CallProtocol>(
+/// Makes attempts until one yields the end of the call or no further one is allowed.
+async fn run_attempts<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     table: &Arc<RouteTable>,
 ) -> CallEnd {
     let standing = {
-        let ask = ask_of(call, table);
+        let ask = admission_request(call, table);
         traffic
             .shared
             .core()
             .arrived(traffic.shared.clock.now(), &ask)
     };
-    call.decided.is_beyond = standing != ShareStanding::Within;
+    call.decided.is_over_share = standing != ShareStanding::Within;
     if standing != ShareStanding::Within && traffic.callers.lag(call.arrived) >= LagLevel::Late {
         let wait = TimeSpan::from_millis(traffic.shared.config.retry_after_ms);
-        return refused(traffic, caller, call, RefusalCause::OverShare, wait).await;
+        return reply_refused(traffic, caller, call, RefusalCause::OverShare, wait).await;
     }
     loop {
         let admission = {
-            let ask = ask_of(call, table);
+            let ask = admission_request(call, table);
             let now = traffic.shared.clock.now();
             traffic.shared.core().admit(now, &ask, standing)
         };
@@ -193,7 +196,7 @@
                 expected_ms,
             } => {
                 call.decided.predicted_ms = expected_ms;
-                return refused(traffic, caller, call, cause, retry_after).await;
+                return reply_refused(traffic, caller, call, cause, retry_after).await;
             }
         };
         call.decided.placed(&ticket);
@@ -206,13 +209,14 @@
             "calls: id={} endpoint={endpoint} outcome={outcome:?}",
             call.facts.call_id
         );
-        if let Some(end) = settled(traffic, caller, call, endpoint, outcome).await {
+        if let Some(end) = handle_outcome(traffic, caller, call, endpoint, outcome).await {
             return end;
         }
     }
 }
 
-fn ask_of<'a>(call: &'a CallState, table: &'a RouteTable) -> AdmissionRequest<'a> {
+/// The admission request for the next attempt of a call.
+fn admission_request<'a>(call: &'a CallState, table: &'a RouteTable) -> AdmissionRequest<'a> {
     let now = Instant::now();
     let micros = |span: Duration| TimeSpan(u64::try_from(span.as_micros()).unwrap_or(u64::MAX));
     AdmissionRequest {
@@ -228,8 +232,9 @@
     }
 }
 
-/// The end of the call, or nothing if another attempt follows.
-async fn settled<P: CallProtocol>(
+/// Handles the outcome of an attempt. Returns the end of the call, or `None` if another attempt
+/// follows.
+async fn handle_outcome<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
@@ -246,56 +251,59 @@
         AttemptOutcome::CallerLeft => Some(CallEnd::CallerLeft),
         AttemptOutcome::TimeUp => {
             call.may_have_run = true;
-            Some(given_up(traffic, caller, call, "time up").await)
+            Some(give_up(traffic, caller, call, "time up").await)
         }
         AttemptOutcome::Answer(answer) => {
-            if is_failure(&answer) && call.can_repeat() && takes_repeat(traffic, call) {
+            if is_failure(&answer) && call.can_repeat() && reserve_retry(traffic, call) {
                 call.may_have_run = true;
                 return None;
             }
-            Some(answered(traffic, caller, call, answer).await)
+            Some(pass_answer(traffic, caller, call, answer).await)
         }
         AttemptOutcome::NotRun(NotRunCause::NotReached | NotRunCause::Gone | NotRunCause::Left) => {
             call.unreached += 1;
-            if call.unreached < MOST_UNREACHED {
+            if call.unreached < MAX_UNREACHED_ENDPOINTS {
                 return None;
             }
-            Some(given_up(traffic, caller, call, "endpoints not reached").await)
+            Some(give_up(traffic, caller, call, "endpoints not reached").await)
         }
         AttemptOutcome::NotRun(_) => {
-            if takes_repeat(traffic, call) {
+            if reserve_retry(traffic, call) {
                 return None;
             }
-            Some(given_up(traffic, caller, call, "endpoint refused").await)
+            Some(give_up(traffic, caller, call, "endpoint refused").await)
         }
         AttemptOutcome::Broken(cause) => {
             call.may_have_run = true;
-            if call.can_repeat() && takes_repeat(traffic, call) {
+            if call.can_repeat() && reserve_retry(traffic, call) {
                 return None;
             }
-            Some(given_up(traffic, caller, call, cause).await)
+            Some(give_up(traffic, caller, call, cause).await)
         }
     }
 }
 
-/// Whether the request may be written to one more endpoint.
-fn takes_repeat<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState) -> bool {
+/// Takes a retry from the retry budget. Returns whether the request may be sent to another
+/// endpoint.
+fn reserve_retry<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState) -> bool {
     let now = traffic.shared.clock.now();
     call.has_attempts() && traffic.shared.core().take_retry(now, &call.service)
 }
 
+/// Returns whether an answer counts as the endpoint's failure.
 fn is_failure(answer: &BufferedAnswer) -> bool {
     answer.head.status >= 500 || (answer.head.is_success() && !answer.is_proven)
 }
 
-/// Whether an endpoint's status promises that the request did not run, which the endpoint did not
-/// prove. Passed on, it would make the caller send an unrepeatable request again.
-fn promises_not_run(status: u16) -> bool {
+/// Returns whether callers take this status to mean that the request did not run. Without the
+/// endpoint's proof it must not be passed on for a request that may run at most once: the caller
+/// would send the request again.
+fn implies_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-/// Passes a whole answer on.
-async fn answered<P: CallProtocol>(
+/// Passes a complete answer on to the caller.
+async fn pass_answer<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
@@ -306,24 +314,24 @@
         return CallEnd::Cut("stream's next run failed");
     }
     if answer.head.is_success() && !answer.is_proven {
-        return given_up(traffic, caller, call, "success without proof").await;
+        return give_up(traffic, caller, call, "success without proof").await;
     }
     let at_most_once = call.route.repeats == Repeatability::AtMostOnce;
-    if at_most_once && promises_not_run(answer.head.status) {
-        return given_up(traffic, caller, call, "unproven refusal").await;
+    if at_most_once && implies_not_run(answer.head.status) {
+        return give_up(traffic, caller, call, "unproven refusal").await;
     }
     let framing = ReplyFraming::Length(answer.body.len());
     let mut out = caller_head(&answer.head, framing, call.keep);
     out.extend_from_slice(&answer.body);
     call.first_output = Some(Instant::now());
-    match caller.send_watching(&out).await {
+    match caller.send_while_reading(&out).await {
         Ok(()) => CallEnd::Answered(answer.head.status),
         Err(_) => CallEnd::CallerLeft,
     }
 }
 
-/// Answers a call that no endpoint answered.
-async fn given_up<P: CallProtocol>(
+/// Replies to a call for which no endpoint gave a usable answer.
+async fn give_up<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &CallState,
@@ -340,11 +348,11 @@
     } else {
         OwnReply::plain(OwnStatus::BadGateway)
     };
-    own(traffic, caller, call, reply, cause).await
+    send_own_reply(traffic, caller, call, reply, cause).await
 }
 
-/// Answers a call that the core refused.
-async fn refused<P: CallProtocol>(
+/// Replies to a call that the decision core refused.
+async fn reply_refused<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &CallState,
@@ -352,7 +360,7 @@
     retry_after: TimeSpan,
 ) -> CallEnd {
     if call.head_sent || call.may_have_run {
-        return given_up(traffic, caller, call, cause.label()).await;
+        return give_up(traffic, caller, call, cause.label()).await;
     }
     let status = match cause {
         RefusalCause::OverShare => OwnStatus::TooManyRequests,
@@ -362,7 +370,7 @@
         | RefusalCause::Quarantined => OwnStatus::Unavailable,
     };
     let wait = match cause {
-        // Callers are spread behind the pause and no further: its end is known.
+        // The end of the pause is known, so retries are spread over a short time right after it.
         RefusalCause::Paused => {
             let least = Duration::from_millis(traffic.shared.config.retry_after_ms);
             retry_after.as_duration() + least.mul_f64(rand::rng().random())
@@ -373,20 +381,22 @@
         | RefusalCause::Quarantined => spread(retry_after.as_duration()),
     };
     let reply = OwnReply::later(status, wait);
-    own(traffic, caller, call, reply, cause.label()).await
+    send_own_reply(traffic, caller, call, reply, cause.label()).await
 }
 
-/// Says that a request did not run and may come back after so many ms.
+/// A 503 reply: the request did not run and may be retried after `wait_ms`.
 fn unavailable(wait_ms: u64) -> OwnReply {
     OwnReply::later(OwnStatus::Unavailable, Duration::from_millis(wait_ms))
 }
 
-/// Spreads the return of callers that are refused together over as much time again.
+/// Adds random jitter of up to the same time again, so that callers refused together do not retry
+/// together.
 fn spread(wait: Duration) -> Duration {
     wait.mul_f64(rand::rng().random_range(1.0..2.0))
 }
 
-async fn own<P: CallProtocol>(
+/// Sends the router's own reply to a call.
+async fn send_own_reply<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &CallState,
@@ -394,13 +404,13 @@
     cause: &'static str,
 ) -> CallEnd {
     let bytes = reply.bytes(&traffic.protocol, &call.facts.call_id, call.keep);
-    match caller.send_watching(&bytes).await {
+    match caller.send_while_reading(&bytes).await {
         Ok(()) => CallEnd::Own(reply.status, cause),
         Err(_) => CallEnd::CallerLeft,
     }
 }
 
-/// Answers a call for which nothing was decided yet.
+/// Replies to a call that is refused before an admission decision, and logs and counts the reply.
 pub async fn refuse<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
@@ -409,16 +419,16 @@
     cause: &'static str,
     keep: bool,
 ) -> AfterCall {
-    tell_refused(traffic, call_id, &reply, cause);
+    record_refusal(traffic, call_id, &reply, cause);
     let bytes = reply.bytes(&traffic.protocol, call_id, keep);
-    match caller.send_watching(&bytes).await {
+    match caller.send_while_reading(&bytes).await {
         Ok(()) if keep => AfterCall::Keep,
         _ => AfterCall::End,
     }
 }
 
-/// Logs and counts the answer to a call for which nothing was decided.
-pub fn tell_refused<P: CallProtocol>(
+/// Logs and counts the reply to a call that is refused before an admission decision.
+pub fn record_refusal<P: CallProtocol>(
     traffic: &Traffic<P>,
     call_id: &str,
     reply: &OwnReply,
@@ -430,7 +440,7 @@
     spdlog::info!("calls: id={call_id} status={status} cause=\"{cause}\"");
 }
 
-/// Rejects a call that can't be served whenever it comes.
+/// Rejects a call that a retry would not help, with a reply without `Retry-After`.
 pub async fn reject<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -8,7 +8,7 @@
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
-use super::super::protocol::SpokenWords;
+use super::super::protocol::EndpointAnnouncement;
 use super::super::routes::EndpointEntry;
 use super::super::routes::EndpointKey;
 use super::super::routes::EndpointState;
@@ -247,9 +247,9 @@
         &mut self,
         now: Moment,
         entry: &EndpointEntry,
-        notices: SpokenWords,
+        notices: EndpointAnnouncement,
     ) -> bool {
-        let SpokenWords { is_leaving, pause } = notices;
+        let EndpointAnnouncement { is_leaving, pause } = notices;
         let life = entry.life().hash();
         if let Some(pause) = pause {
             self.notices.record_pause(now, life, pause);
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: one task each, from its first request to its last.
+//! Callers' connections: one task per connection reads its requests and serves them in order.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -34,23 +34,23 @@
 use super::shared::MemoryGuard;
 use super::shared::SharedState;
 
-/// Pause between two sweeps of idle connections to endpoints.
+/// Interval between two sweeps of the idle connections to endpoints.
 const SWEEP_PAUSE: Duration = Duration::from_secs(1);
 
-/// What the tasks of the traffic thread share.
+/// State that all tasks of the traffic thread share.
 #[derive(Debug)]
 pub struct Traffic<P> {
     /// State shared with the control thread.
     pub shared: Arc<SharedState>,
-    /// The deployment's headers.
+    /// Decodes and writes the deployment's headers.
     pub protocol: P,
     /// Idle connections to endpoints.
     pub pool: EndpointPool,
-    /// Callers' open connections.
+    /// Open connections of callers.
     pub callers: CallerTable,
 }
 
-/// Serves callers until the router ends.
+/// Accepts and serves callers until the router stops.
 pub async fn serve_callers<P: CallProtocol>(
     traffic: Rc<Traffic<P>>,
     listener: AsyncFd<TcpListener>,
@@ -62,6 +62,7 @@
     ended.cancelled().await;
 }
 
+/// Drops pooled connections that expired or whose endpoint restarted, left or is unregistered.
 async fn sweep_pool<P: CallProtocol>(traffic: Rc<Traffic<P>>) {
     loop {
         sleep(SWEEP_PAUSE).await;
@@ -74,7 +75,7 @@
     }
 }
 
-/// A request that was read.
+/// A request that was read as a whole.
 struct ReadRequest {
     head: RequestHead,
     body: Bytes,
@@ -84,9 +85,9 @@
 
 /// Why no request was read.
 enum ReadEnd {
-    /// The connection is over; nothing is owed.
-    Quiet,
-    /// It is answered and closed.
+    /// The connection ended or is to be closed; no reply is due.
+    NoReply,
+    /// The router replies and closes the connection; the second value is the logged cause.
     Reply(OwnReply, &'static str),
 }
 
@@ -96,14 +97,14 @@
     }
 }
 
-/// Serves the calls of one connection; of the first one, a part may have been read already.
+/// Serves the calls of one connection. Its buffer may already hold the start of the first request.
 pub async fn serve_connection<P: CallProtocol>(traffic: Rc<Traffic<P>>, caller: WireStream) {
     let mut caller = caller.metered(&traffic.shared.link);
     let _open = traffic.callers.open();
     loop {
         let request = match read_request(&traffic, &mut caller).await {
             Ok(request) => request,
-            Err(ReadEnd::Quiet) => return,
+            Err(ReadEnd::NoReply) => return,
             Err(ReadEnd::Reply(reply, cause)) => {
                 refuse(&traffic, &mut caller, "", reply, cause, false).await;
                 return;
@@ -122,13 +123,15 @@
     }
 }
 
-fn limits_of(shared: &SharedState) -> CallerLimits {
+/// The limits of the routes in force, or the defaults before any routes are known.
+fn current_limits(shared: &SharedState) -> CallerLimits {
     shared
         .routes()
         .map(|table| table.limits.clone())
         .unwrap_or_default()
 }
 
+/// Reads one request: waits for it to begin, then reads its head and its body.
 async fn read_request<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
@@ -137,7 +140,7 @@
     if caller.buffer.is_empty() {
         wait_for_request(traffic, caller).await?;
     }
-    let limits = limits_of(shared);
+    let limits = current_limits(shared);
     let until = Instant::now() + Duration::from_millis(limits.head_timeout_ms);
     let head = read_head(caller, &limits, until).await?;
     let framing = BodyFraming::of_request(&head)
@@ -158,15 +161,15 @@
     caller: &mut WireStream,
 ) -> Result<(), ReadEnd> {
     let shared = &traffic.shared;
-    let idle = Duration::from_millis(limits_of(shared).idle_timeout_ms);
+    let idle = Duration::from_millis(current_limits(shared).idle_timeout_ms);
     let read = tokio::select! {
         read = caller.fill() => read,
-        () = sleep(idle) => return Err(ReadEnd::Quiet),
-        () = traffic.callers.idle_too_long(Instant::now()) => return Err(ReadEnd::Quiet),
-        () = shared.life.closing.cancelled() => return Err(ReadEnd::Quiet),
+        () = sleep(idle) => return Err(ReadEnd::NoReply),
+        () = traffic.callers.idle_too_long(Instant::now()) => return Err(ReadEnd::NoReply),
+        () = shared.life.closing.cancelled() => return Err(ReadEnd::NoReply),
     };
     match read {
-        Ok(0) | Err(_) => Err(ReadEnd::Quiet),
+        Ok(0) | Err(_) => Err(ReadEnd::NoReply),
         Ok(_) => Ok(()),
     }
 }
@@ -188,7 +191,7 @@
             }
         }
         match timeout_at(until, caller.fill()).await {
-            Ok(Ok(0) | Err(_)) => return Err(ReadEnd::Quiet),
+            Ok(Ok(0) | Err(_)) => return Err(ReadEnd::NoReply),
             Ok(Ok(_)) => {}
             Err(_) => return Err(ReadEnd::of(OwnStatus::RequestTimeout, "slow head")),
         }
@@ -214,7 +217,7 @@
         return Err(no_memory(shared));
     };
     if expects_continue(head) && caller.send(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
-        return Err(ReadEnd::Quiet);
+        return Err(ReadEnd::NoReply);
     }
     let pause = Duration::from_millis(limits.idle_timeout_ms);
     let mut decoder = BodyDecoder::new(framing);
@@ -234,14 +237,15 @@
             return Ok((body.freeze(), Some(memory)));
         }
         match timeout_at(Instant::now() + pause, caller.fill()).await {
-            Ok(Ok(0) | Err(_)) => return Err(ReadEnd::Quiet),
+            Ok(Ok(0) | Err(_)) => return Err(ReadEnd::NoReply),
             Ok(Ok(_)) => {}
             Err(_) => return Err(ReadEnd::of(OwnStatus::RequestTimeout, "slow body")),
         }
     }
 }
 
-/// Bodies beyond the memory for them would end the process, and every call in flight with it.
+/// Refuses a body that does not fit the memory reserved for bodies. Running out of memory would end
+/// the process and with it every call in flight.
 fn no_memory(shared: &SharedState) -> ReadEnd {
     let wait = Duration::from_millis(shared.config.retry_after_ms);
     ReadEnd::Reply(
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -48,8 +48,8 @@
 use super::metrics::GatewayMetrics;
 use super::pool::EndpointPool;
 use super::protocol::CallProtocol;
-use super::readiness::AnswerTopic;
-use super::readiness::answer_questions;
+use super::readiness::ListenerKind;
+use super::readiness::serve_listener;
 use super::shared::SharedState;
 
 /// Pause between two looks whether the last call has ended.
@@ -241,17 +241,17 @@
 ) -> io::Result<ExitCode> {
     let mut signals = ProcessSignals::listen()?;
     let readiness = TcpListener::from_std(listeners.readiness)?;
-    tokio::spawn(answer_questions(
+    tokio::spawn(serve_listener(
         Arc::clone(&shared),
         readiness,
-        AnswerTopic::Readiness,
+        ListenerKind::Readiness,
     ));
     if let Some(metrics) = listeners.metrics {
         let metrics = TcpListener::from_std(metrics)?;
-        tokio::spawn(answer_questions(
+        tokio::spawn(serve_listener(
             Arc::clone(&shared),
             metrics,
-            AnswerTopic::Metrics,
+            ListenerKind::Metrics,
         ));
     }
     tokio::spawn(serve_state(
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -1,4 +1,4 @@
-//! The listeners for a balancer's question and for metrics.
+//! Listeners for balancers' readiness probes and for metrics scrapes.
 
 use std::sync::Arc;
 
@@ -9,24 +9,24 @@
 use super::http::WireStream;
 use super::shared::SharedState;
 
-/// Largest head of a question, in bytes; balancers send a few hundred.
-const MAX_QUESTION_BYTES: usize = 4_096;
+/// Largest request head, in bytes; balancers send a few hundred.
+const MAX_PROBE_HEAD_BYTES: usize = 4_096;
 
-/// What a listener answers.
+/// What a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerTopic {
-    /// 200 while this router takes calls, else 503.
+pub enum ListenerKind {
+    /// The readiness probe: 200 while this router takes calls, else 503.
     Readiness,
-    /// The metrics.
+    /// The metrics as text.
     Metrics,
 }
 
-/// Answers on a listener until the router ends.
-pub async fn answer_questions(shared: Arc<SharedState>, listener: TcpListener, topic: AnswerTopic) {
+/// Serves a listener until the router stops.
+pub async fn serve_listener(shared: Arc<SharedState>, listener: TcpListener, kind: ListenerKind) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(answer_connection(Arc::clone(&shared), stream, topic));
+                tokio::spawn(serve_probe_connection(Arc::clone(&shared), stream, kind));
             }
             Err(fault) => {
                 spdlog::warn!("readiness: step=accept fault=\"{fault}\"");
@@ -36,17 +36,17 @@
     }
 }
 
-async fn answer_connection(shared: Arc<SharedState>, stream: TcpStream, topic: AnswerTopic) {
-    let mut asker = WireStream::new(stream);
+async fn serve_probe_connection(shared: Arc<SharedState>, stream: TcpStream, kind: ListenerKind) {
+    let mut client = WireStream::new(stream);
     loop {
-        match RequestHead::take(&mut asker.buffer, MAX_QUESTION_BYTES) {
+        match RequestHead::take(&mut client.buffer, MAX_PROBE_HEAD_BYTES) {
             Ok(Some(_)) => {
-                let answer = answer(&shared, topic);
-                if asker.send(&answer).await.is_err() {
+                let answer = answer(&shared, kind);
+                if client.send(&answer).await.is_err() {
                     return;
                 }
             }
-            Ok(None) => match asker.fill().await {
+            Ok(None) => match client.fill().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             },
@@ -55,9 +55,9 @@
     }
 }
 
-fn answer(shared: &SharedState, topic: AnswerTopic) -> Vec<u8> {
-    match topic {
-        AnswerTopic::Readiness => {
+fn answer(shared: &SharedState, kind: ListenerKind) -> Vec<u8> {
+    match kind {
+        ListenerKind::Readiness => {
             let line = if is_ready(shared) {
                 "200 OK"
             } else {
@@ -65,7 +65,7 @@
             };
             format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n").into_bytes()
         }
-        AnswerTopic::Metrics => {
+        ListenerKind::Metrics => {
             let body = shared.metrics.text();
             let length = body.len();
             let mut out = format!(
@@ -78,8 +78,8 @@
     }
 }
 
-/// Whether callers should come here: routes are known, and the router is neither on its way out
-/// nor overloaded.
+/// Returns whether this router should get new callers: its routes are known, and it is neither
+/// draining nor overloaded.
 #[must_use]
 pub fn is_ready(shared: &SharedState) -> bool {
     let stays = !shared.life.draining.is_cancelled();
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,7 +1,7 @@
-//! The body of an answer on its way to the caller.
+//! Passes the body of an answer on to the caller.
 //!
-//! Plain answers are passed on when they are whole. Streams are passed on event by event, each
-//! read of the endpoint in one write to the caller.
+//! Plain answers are passed on when they are complete. Streams are passed on in whole events; the
+//! events of one read from the endpoint go to the caller in one write.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::attempt::AttemptOutcome;
 use super::attempt::Interruption;
 use super::attempt::WaitBounds;
-use super::attempt::read_watching;
+use super::attempt::read_or_interrupt;
 use super::call_state::CallState;
 use super::decide::AttemptTicket;
 use super::front::Traffic;
@@ -25,23 +25,24 @@
 use super::reply::caller_head;
 use super::reply::push_chunk;
 
-/// Silence in the middle of a stream after which its connection is taken for dead, in ms. Callers
-/// give a stream up after 2 s or more, so a resumed run must start before; an engine that works
-/// is silent for far less than a second.
+/// Silence in the middle of a stream after which its connection counts as dead. Callers give up a
+/// stream after 2 s or more, so a resumed run must start before that; a working engine is silent
+/// for far less than a second.
 const STREAM_STALL: Duration = Duration::from_millis(1_500);
 
-/// A whole answer that is not a stream.
+/// A complete answer that is not a stream.
 #[derive(Debug)]
 pub struct BufferedAnswer {
-    /// Its head.
+    /// The answer's head.
     pub head: ResponseHead,
-    /// Its body.
+    /// The answer's body.
     pub body: Bytes,
     /// Whether the endpoint proves that it made the answer.
     pub is_proven: bool,
 }
 
-/// Passes an answer on: a stream at once, anything else when it is whole.
+/// Relays an answer: a stream is passed on as it arrives, any other answer is collected and
+/// returned. A connection that can be reused goes back to the pool.
 pub async fn pass_on<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
@@ -54,15 +55,15 @@
         if !start.is_proven {
             return AttemptOutcome::Broken("success without proof");
         }
-        stream(traffic, caller, call, ticket, &mut endpoint, &mut start).await
+        relay_stream(traffic, caller, call, ticket, &mut endpoint, &mut start).await
     } else {
-        whole(traffic, caller, call, ticket, &mut endpoint, &mut start).await
+        collect_answer(traffic, caller, call, ticket, &mut endpoint, &mut start).await
     };
     let done = matches!(
         outcome,
         AttemptOutcome::Delivered(_) | AttemptOutcome::Answer(_)
     );
-    // Bytes after a complete answer belong to no request: such a connection is dropped.
+    // Bytes after a complete answer belong to no request, so such a connection is dropped.
     if let Some(limit) = start.reuse
         && done
         && start.decoder.is_complete()
@@ -73,7 +74,8 @@
     outcome
 }
 
-async fn whole<P: CallProtocol>(
+/// Collects an answer that is not a stream.
+async fn collect_answer<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &CallState,
@@ -104,7 +106,7 @@
                 is_proven: start.is_proven,
             });
         }
-        match read_watching(endpoint, caller, ticket, bounds).await {
+        match read_or_interrupt(endpoint, caller, ticket, bounds).await {
             Ok(Ok(0)) if start.decoder.end_of_stream() => {}
             Ok(Ok(0)) => return AttemptOutcome::Broken("answer was cut"),
             Ok(Ok(_)) => {}
@@ -114,7 +116,8 @@
     }
 }
 
-async fn stream<P: CallProtocol>(
+/// Passes a stream on to the caller, event by event.
+async fn relay_stream<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call: &mut CallState,
@@ -151,16 +154,16 @@
         if ends {
             return AttemptOutcome::Delivered(start.head.status);
         }
-        let patience = if has_output {
+        let silence_limit = if has_output {
             STREAM_STALL
         } else {
-            call.patience(ticket)
+            call.silence_limit(ticket)
         };
         let bounds = WaitBounds {
             deadline: call.deadline,
-            stall: call.stall_at(Instant::now() + patience),
+            stall: call.stall_at(Instant::now() + silence_limit),
         };
-        match read_watching(endpoint, caller, ticket, bounds).await {
+        match read_or_interrupt(endpoint, caller, ticket, bounds).await {
             Ok(Ok(0)) if start.decoder.end_of_stream() => {}
             Ok(Ok(0)) => return AttemptOutcome::Broken("stream was cut"),
             Ok(Ok(_)) => ticket.record_activity(traffic.shared.clock.now()),
@@ -171,10 +174,11 @@
     }
 }
 
-/// Writes events, with the head before the first of them and the last chunk after the last.
+/// Writes events to the caller, with the head before the first event and the last chunk after the
+/// last one.
 ///
-/// The head waits for the first event: an endpoint that breaks off before it can then still be
-/// replaced by another one, with an answer of that one's own.
+/// The head is held back until the first event: if the endpoint fails before that, another endpoint
+/// can still answer with a head of its own.
 async fn deliver(
     caller: &mut WireStream,
     call: &mut CallState,
@@ -188,7 +192,7 @@
     let mut out = Vec::with_capacity(events.len() + 512);
     if !call.head_sent {
         call.head_sent = true;
-        caller.send_pieces_at_once();
+        caller.disable_nagle();
         call.first_output = Some(Instant::now());
         out.extend_from_slice(&caller_head(head, ReplyFraming::Chunked, call.keep));
     }
@@ -198,5 +202,5 @@
     if ends {
         out.extend_from_slice(LAST_CHUNK);
     }
-    caller.send_watching(&out).await
+    caller.send_while_reading(&out).await
 }
