--- a/src/wire/forward.rs
+++ b/src/wire/forward.rs
@@ -1,5 +1,5 @@
-//! Frames of a forwarded request: one connection carries one request at a time, so that the
-//! flow control of TCP gives back-pressure from end to end.
+//! Frames of a forwarded request. A connection carries one request at a time, so that TCP flow
+//! control gives end-to-end back-pressure.
 
 use prost::Message;
 use prost::Oneof;
@@ -7,33 +7,33 @@
 /// One frame of a forwarding connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct ForwardFrame {
-    /// What it carries.
+    /// The frame's content.
     #[prost(oneof = "ForwardBody", tags = "1, 2, 3, 4, 5, 6, 7")]
     pub body: Option<ForwardBody>,
 }
 
-/// The closed set of frames.
+/// All kinds of frames of a forwarding connection.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum ForwardBody {
-    /// Begins a request.
+    /// Starts a request.
     #[prost(message, tag = "1")]
     Head(ForwardHead),
-    /// A piece of the request's body.
+    /// A piece of the request body.
     #[prost(bytes = "bytes", tag = "2")]
     Body(prost::bytes::Bytes),
-    /// The request's body is whole.
+    /// The request body is complete.
     #[prost(bool, tag = "3")]
     BodyEnd(bool),
-    /// Begins the answer.
+    /// Starts the answer.
     #[prost(message, tag = "4")]
     AnswerHead(ForwardAnswerHead),
-    /// A piece of the answer's body.
+    /// A piece of the answer body.
     #[prost(bytes = "bytes", tag = "5")]
     AnswerBody(prost::bytes::Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     #[prost(bool, tag = "6")]
     AnswerEnd(bool),
-    /// The caller left.
+    /// The caller has disconnected.
     #[prost(bool, tag = "7")]
     Cancel(bool),
 }
@@ -49,7 +49,7 @@
     pub value: prost::bytes::Bytes,
 }
 
-/// A forwarded request up to its body.
+/// A forwarded request without its body.
 #[derive(Clone, PartialEq, Message)]
 pub struct ForwardHead {
     /// HTTP method.
@@ -70,15 +70,15 @@
     /// Milliseconds left until the caller gives up.
     #[prost(uint64, tag = "6")]
     pub deadline_ms: u64,
-    /// The ticket's minter; 0 without a ticket.
+    /// The router incarnation that issued the ticket; 0 without a ticket.
     #[prost(fixed64, tag = "7")]
     pub ticket_minter: u64,
-    /// The ticket's number; 0 without a ticket.
+    /// The ticket's number at its issuer; 0 without a ticket.
     #[prost(uint64, tag = "8")]
     pub ticket_number: u64,
 }
 
-/// An answer up to its body.
+/// An answer without its body.
 #[derive(Clone, PartialEq, Message)]
 pub struct ForwardAnswerHead {
     /// HTTP status.
--- a/src/wire/handshake.rs
+++ b/src/wire/handshake.rs
@@ -1,9 +1,9 @@
-//! The first frames of a connection between routers. Their layout stays the same in every
-//! version, so that two routers of different versions can tell each other so.
+//! The first frames of a connection between routers. Their layout is the same in every version, so
+//! that routers of different versions can detect the mismatch.
 
 use prost::Message;
 
-/// Who is at one end of a connection and what the connection is for.
+/// The identity of one end of a connection, and the connection's purpose.
 #[derive(Clone, PartialEq, Message)]
 pub struct HelloFrame {
     /// [`super::WIRE_VERSION`] of the sender.
@@ -15,10 +15,10 @@
     /// The sender's incarnation.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// 0 control messages, 1 forwarded requests. The dialer decides.
+    /// 0: control messages; 1: forwarded requests. Only the dialer's value is used.
     #[prost(uint32, tag = "4")]
     pub purpose: u32,
-    /// 32 random bytes, fresh for each connection.
+    /// 32 random bytes, new for each connection.
     #[prost(bytes = "bytes", tag = "5")]
     pub nonce: prost::bytes::Bytes,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Messages between routers, as `prost` structs. Generated code is not needed: the structs
-//! are written by hand and derive their codec.
+//! Messages between routers: hand-written structs that derive their `prost` encoding, so that no
+//! generated code is needed.
 
 pub mod allotment;
 pub mod demand;
@@ -21,39 +21,39 @@
 use self::publication::PublicationRequest;
 use self::quarantine::QuarantineNotice;
 
-/// Version of the messages below. Peers of another version are refused at the handshake.
+/// Version of the message format. The handshake refuses peers of another version.
 pub const WIRE_VERSION: u32 = 1;
 
 /// One control message from one router to another.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerMessage {
-    /// What it says.
+    /// The message's content.
     #[prost(oneof = "PeerBody", tags = "1, 2, 3, 4, 5, 6, 7")]
     pub body: Option<PeerBody>,
 }
 
-/// The closed set of control messages.
+/// All kinds of control messages.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PeerBody {
-    /// From an entry router to a pool's owner.
+    /// A demand report, from an entry router to a pool's owner.
     #[prost(message, tag = "1")]
     Demand(DemandReport),
-    /// From a pool's owner to an entry router.
+    /// A slot allotment, from a pool's owner to an entry router.
     #[prost(message, tag = "2")]
     Allotment(SlotAllotment),
-    /// Membership: a ping, its answer, or a ping on behalf of another.
+    /// Membership gossip: a ping, its answer, or a request to ping another router.
     #[prost(message, tag = "3")]
     Gossip(GossipPing),
-    /// A publication, sent to a peer that asked.
+    /// A publication, sent to a peer that requested it.
     #[prost(message, tag = "4")]
     Publication(PublicationOffer),
-    /// A question for a publication newer than the asker's.
+    /// A request for a publication newer than the sender's.
     #[prost(message, tag = "5")]
     PublicationWanted(PublicationRequest),
-    /// A request that crashes endpoints.
+    /// Requests suspected of crashing endpoints, and leases to run their copies.
     #[prost(message, tag = "6")]
     Quarantine(QuarantineNotice),
-    /// From a pool's owner that lacks slots to the owner of another pool.
+    /// A wish for an endpoint, from a pool's owner that lacks slots to the owner of another pool.
     #[prost(message, tag = "7")]
     Wish(EndpointWish),
 }
--- a/src/wire/orders.rs
+++ b/src/wire/orders.rs
@@ -1,9 +1,10 @@
-//! Wishes of pool owners for further endpoints.
+//! Requests of pool owners for additional endpoints.
 
 use prost::Message;
 
-/// From the owner of a pool that lacks slots to the owner of the pool that an endpoint serves.
-/// Each wish stands for itself, so that a lost, doubled or late one does no harm.
+/// Asks for an endpoint; sent by the owner of a pool that lacks slots to the owner of the pool that
+/// the endpoint serves. Each wish is independent of earlier ones, so a lost, duplicated or late one
+/// does no harm.
 #[derive(Clone, PartialEq, Message)]
 pub struct EndpointWish {
     /// The pool that lacks slots.
@@ -12,7 +13,7 @@
     /// The endpoint that could serve it.
     #[prost(fixed32, tag = "2")]
     pub endpoint: u32,
-    /// Requests that wait or run in the pool.
+    /// Requests waiting or running in the pool.
     #[prost(uint32, tag = "3")]
     pub demand: u32,
     /// Slots that the pool has.
--- a/src/wire/publication.rs
+++ b/src/wire/publication.rs
@@ -1,22 +1,23 @@
-//! Publications passed between routers, so that few of them read the source's service.
+//! Publications passed between routers, so that only a few routers read the configuration service.
 
 use prost::Message;
 
-/// A question for a publication newer than `revision`.
+/// A request for a publication newer than `revision`.
 #[derive(Clone, PartialEq, Message)]
 pub struct PublicationRequest {
-    /// The asker's revision.
+    /// The revision that the requesting router has.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
 }
 
-/// The answer: the sender's publication, or only its revision if the asker's is as new.
+/// The answer to a [`PublicationRequest`]: the sender's publication, or only its revision if it
+/// isn't newer than the requested one.
 #[derive(Clone, PartialEq, Message)]
 pub struct PublicationOffer {
     /// The sender's revision.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// The published JSON text; empty if not newer than the asker's.
+    /// The published JSON text; empty if it isn't newer than the requesting router's.
     #[prost(bytes = "bytes", tag = "2")]
     pub text: prost::bytes::Bytes,
 }
