--- a/src/peers/error.rs
+++ b/src/peers/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong between two routers, with the step and the peer.
+//! Errors of connections between routers, with the step and the peer.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 use error_stack::Report;
 use smol_str::SmolStr;
 
-/// The step at which it went wrong.
+/// The step that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerStep {
     /// Reading keys or certificates.
@@ -20,11 +20,11 @@
     Tls,
     /// Reading or checking the peer's hello.
     Hello,
-    /// The peer speaks another version.
+    /// Comparing the version of the message format with the peer's.
     Version,
-    /// The peer's proof of a key.
+    /// Checking the peer's proof that it holds a key.
     Proof,
-    /// Another host or incarnation answered than the one wanted.
+    /// Checking that the expected host and incarnation answered.
     Identity,
     /// Reading a frame.
     Read,
@@ -32,7 +32,7 @@
     Decode,
     /// Writing a frame.
     Write,
-    /// The connection broke before the forwarded answer's end.
+    /// Reading a forwarded answer; the connection broke before its end.
     AnswerCut,
 }
 
@@ -55,17 +55,17 @@
     }
 }
 
-/// An error between routers.
+/// An error on a connection between routers.
 #[derive(Debug)]
 pub struct PeerError {
-    /// The step.
+    /// The step that failed.
     pub step: PeerStep,
-    /// The peer: host if known, else address.
+    /// The peer's host if known, else its address.
     pub peer: SmolStr,
 }
 
 impl PeerError {
-    /// An error at a step with a peer.
+    /// Creates an error from the failed step and the peer.
     pub fn new(step: PeerStep, peer: impl Into<SmolStr>) -> Self {
         Self {
             step,
@@ -82,7 +82,8 @@
 
 impl std::error::Error for PeerError {}
 
-/// The report in one line for the log: its contexts and printable attachments, outermost first.
+/// Formats a report as one line for the log: its contexts and printable attachments, outermost
+/// first.
 #[must_use]
 pub fn one_line(report: &Report<PeerError>) -> String {
     let parts: Vec<String> = report
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -1,7 +1,7 @@
-//! Forwarding a request to a peer and reading its answer.
+//! Forwards a request to a peer and reads its answer.
 //!
-//! One connection carries one request at a time and is kept afterwards. The body and the
-//! answer are written and read straight from the connection, so a slow end slows the other.
+//! A connection carries one request at a time and is reused afterwards. The body and the answer
+//! are written to and read from the connection directly, so a slow reader slows the writer.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -44,14 +44,14 @@
 /// The reading half of a forwarding connection.
 pub(super) type ForwardReader = SplitStream<PeerFramed>;
 
-/// Where a request is forwarded to.
+/// The peer that a request is forwarded to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardTarget {
     /// The peer's host.
     pub host: HostName,
     /// IP number and port of its peer listener.
     pub address: smol_str::SmolStr,
-    /// The only incarnation that may get it, for a request with a ticket.
+    /// The only incarnation that may receive the request, if the request has a ticket.
     pub incarnation: Option<RouterIncarnation>,
 }
 
@@ -80,7 +80,7 @@
     reader: ForwardReader,
 }
 
-/// Where the two halves of a connection meet again after a whole exchange.
+/// Collects both halves of a connection after a complete exchange, so that it can be reused.
 #[derive(Debug)]
 struct ReturnPoint {
     client: ForwardClient,
@@ -89,15 +89,15 @@
     reader: Mutex<Option<ForwardReader>>,
 }
 
-/// Takes the request's body. Dropping it before [`Self::finish`] closes the connection, which
-/// the peer takes as the caller's leaving.
+/// Sends the request's body. Dropping it before [`Self::finish`] closes the connection, which the
+/// peer treats as a disconnected caller.
 #[derive(Debug)]
 pub struct ForwardSink {
     writer: ForwardWriter,
     point: Arc<ReturnPoint>,
 }
 
-/// Gives the answer.
+/// Reads the answer.
 #[derive(Debug)]
 pub struct ForwardAnswer {
     reader: Option<ForwardReader>,
@@ -112,11 +112,11 @@
         }
     }
 
-    /// Begins a forwarded request.
+    /// Starts a forwarded request.
     ///
     /// # Errors
-    /// At `Dial`, `Tls`, `Hello`, `Version`, `Proof` or `Identity`, nothing of the request left
-    /// this router. At `Write`, the peer may have it.
+    /// At `Dial`, `Tls`, `Hello`, `Version`, `Proof` or `Identity`, no part of the request was
+    /// sent. At `Write`, the peer may have received it.
     pub async fn open(
         &self,
         target: &ForwardTarget,
@@ -126,14 +126,15 @@
             Some(link) => link,
             None => self.dial_new(target).await?,
         };
-        // A restarted router knows nothing of its former life's tickets and must not run them.
+        // A restarted router doesn't know the tickets of its previous incarnation and must not run
+        // their requests.
         if target
             .incarnation
             .is_some_and(|wanted| wanted != link.remote.incarnation)
         {
             return Err(
                 Report::new(PeerError::new(PeerStep::Identity, target.host.as_str()))
-                    .attach("the wanted incarnation is gone"),
+                    .attach("the host runs another incarnation than the ticket's"),
             );
         }
         let point = Arc::new(ReturnPoint {
@@ -165,7 +166,7 @@
         })
     }
 
-    /// An idle connection that the peer has neither closed nor written to.
+    /// Takes an idle connection that the peer has neither closed nor written to.
     fn take_idle(&self, host: &HostName) -> Option<ForwardLink> {
         let limit = Duration::from_millis(self.context.settings.config.idle_ms);
         loop {
@@ -218,7 +219,7 @@
 }
 
 impl ForwardSink {
-    /// Sends a piece of the body; waits while the peer is slow.
+    /// Sends a piece of the body; waits while the peer is slow to read.
     ///
     /// # Errors
     /// The connection broke.
@@ -237,7 +238,7 @@
         Ok(())
     }
 
-    /// Says that the body is whole.
+    /// Marks the body as complete.
     ///
     /// # Errors
     /// The connection broke.
@@ -258,7 +259,7 @@
 }
 
 impl ForwardAnswer {
-    /// The incarnation that answers.
+    /// The incarnation of the answering router.
     #[must_use]
     pub fn incarnation(&self) -> RouterIncarnation {
         self.point.remote.incarnation
@@ -267,20 +268,20 @@
     /// Waits for the answer's head.
     ///
     /// # Errors
-    /// The connection broke, or the peer sent something else.
+    /// The connection broke, or the peer sent another frame first.
     pub async fn head(&mut self) -> Result<ForwardAnswerHead, Report<PeerError>> {
         match self.read().await? {
             ForwardBody::AnswerHead(head) => Ok(head),
             _ => Err(Report::new(self.point.fail(PeerStep::Decode))
-                .attach("a frame other than the answer's head came first")),
+                .attach("the first frame of the answer is not its head")),
         }
     }
 
-    /// The next piece of the answer's body; `None` once the answer is whole.
+    /// Reads the next piece of the answer's body; `None` once the answer is complete.
     ///
     /// # Errors
-    /// `AnswerCut` if the connection broke before the answer's end, so that a cut answer is
-    /// never taken for a whole one.
+    /// `AnswerCut` if the connection broke before the answer's end, so that a truncated answer is
+    /// never mistaken for a complete one.
     pub async fn next_piece(&mut self) -> Result<Option<Bytes>, Report<PeerError>> {
         if self.reader.is_none() {
             return Ok(None);
@@ -299,7 +300,7 @@
                 Ok(None)
             }
             _ => Err(Report::new(self.point.fail(PeerStep::Decode))
-                .attach("a frame that does not belong into an answer")),
+                .attach("unexpected frame in an answer")),
         }
     }
 
@@ -329,7 +330,7 @@
     Ok(())
 }
 
-/// Reads one frame and counts it; `None` at the connection's end.
+/// Reads one frame and counts it; `None` if the connection has ended.
 pub(super) async fn read_frame(
     context: &LinkContext,
     reader: &mut ForwardReader,
@@ -344,5 +345,5 @@
     frame
         .body
         .map(Some)
-        .ok_or_else(|| io::Error::other("a frame without content"))
+        .ok_or_else(|| io::Error::other("frame without content"))
 }
--- a/src/peers/forward_server.rs
+++ b/src/peers/forward_server.rs
@@ -1,4 +1,4 @@
-//! Taking requests that peers forward.
+//! Receives requests that peers forward.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,24 +25,25 @@
 use super::handshake::RemotePeer;
 use super::link::LinkContext;
 
-/// Pieces of a body or answer that wait between the connection and the handler.
+/// Maximum number of pieces of a body or answer that are queued between the connection and the
+/// handler.
 const WAITING_PIECES: usize = 4;
 
-/// Longest wait for the rest of a body whose answer has ended.
+/// Maximum time to read the rest of a body after its answer has ended.
 const DRAIN_LIMIT: Duration = Duration::from_secs(5);
 
 /// A request that a peer forwarded.
 #[derive(Debug)]
 pub struct ForwardedCall {
-    /// The peer.
+    /// The peer that forwarded it.
     pub remote: RemotePeer,
-    /// The request up to its body.
+    /// The request without its body.
     pub head: ForwardHead,
-    /// The body: ends after `Whole`; closes without it if the connection broke.
+    /// The body. It ends with `Whole`; the channel closes without it if the connection broke.
     pub body: mpsc::Receiver<BodyPiece>,
-    /// Takes the answer.
+    /// Sends the answer.
     pub answer: AnswerSender,
-    /// Fires when the caller or the peer is gone.
+    /// Fires when the caller or the peer has disconnected.
     pub cancelled: CancellationToken,
 }
 
@@ -51,24 +52,24 @@
 pub enum BodyPiece {
     /// Some bytes.
     Bytes(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     Whole,
 }
 
-/// Takes the answer to a forwarded call. Dropping it before [`Self::finish`] closes the
-/// connection, so that the peer sees the answer as cut.
+/// Sends the answer to a forwarded call. Dropping it before [`Self::finish`] closes the connection,
+/// so that the peer sees the answer as truncated.
 #[derive(Debug)]
 pub struct AnswerSender {
     frames: mpsc::Sender<ForwardBody>,
     most: usize,
 }
 
-/// The peer or its connection is gone; the answer goes nowhere.
+/// The peer or its connection is gone, so the answer can't be delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerClosed;
 
 impl AnswerSender {
-    /// Sends the head.
+    /// Sends the answer's head.
     ///
     /// # Errors
     /// The peer is gone.
@@ -76,7 +77,7 @@
         self.push(ForwardBody::AnswerHead(head)).await
     }
 
-    /// Sends a piece of the body; waits while the peer is slow.
+    /// Sends a piece of the answer's body; waits while the peer is slow to read.
     ///
     /// # Errors
     /// The peer is gone.
@@ -88,7 +89,7 @@
         Ok(())
     }
 
-    /// Says that the answer is whole.
+    /// Marks the answer as complete.
     ///
     /// # Errors
     /// The peer is gone.
@@ -109,7 +110,7 @@
     calls: &mpsc::Sender<ForwardedCall>,
 ) -> Result<(), Report<PeerError>> {
     let (mut writer, mut reader) = framed.split();
-    // Twice the client's limit, so that the client is the one who gives up an idle connection.
+    // Twice the client's limit, so that the client is the end that closes an idle connection.
     let idle = Duration::from_millis(context.settings.config.idle_ms) * 2;
     loop {
         let Ok(first) = timeout(idle, read_frame(context, &mut reader)).await else {
@@ -121,7 +122,7 @@
             None => return Ok(()),
             Some(_) => {
                 return Err(Report::new(fail(PeerStep::Decode))
-                    .attach("a forwarded request does not begin with its head"));
+                    .attach("the first frame of a forwarded request is not its head"));
             }
         };
         let again = serve_call(context, &mut reader, &mut writer, remote, head, calls).await;
@@ -131,7 +132,7 @@
     }
 }
 
-/// Serves one call; true if the connection can carry another.
+/// Serves one call; returns true if the connection can carry another.
 async fn serve_call(
     context: &LinkContext,
     reader: &mut ForwardReader,
@@ -143,7 +144,7 @@
     let (body, body_pieces) = mpsc::channel(WAITING_PIECES);
     let (frames, answer_frames) = mpsc::channel(WAITING_PIECES);
     let cancelled = CancellationToken::new();
-    // However this function ends, the handler learns that nobody waits for its answer.
+    // However this function ends, the handler is notified that its answer is no longer needed.
     let _guard = cancelled.clone().drop_guard();
     let answered = CancellationToken::new();
     let call = ForwardedCall {
@@ -165,8 +166,8 @@
     Ok(body_whole? && answer_whole?)
 }
 
-/// Reads the body, then waits for the answer's end or the caller's leaving. True if the body
-/// was whole and the connection is good.
+/// Reads the body, then waits until the answer ends or the caller disconnects. Returns true if the
+/// body was complete and the connection is intact.
 async fn read_body(
     context: &LinkContext,
     reader: &mut ForwardReader,
@@ -192,7 +193,7 @@
             }
             Ok(Some(_)) => {
                 cancelled.cancel();
-                return Err(std::io::Error::other("a frame that has no place here"));
+                return Err(std::io::Error::other("unexpected frame in a request"));
             }
             Err(error) => {
                 cancelled.cancel();
@@ -201,8 +202,8 @@
         };
         let whole = piece == BodyPiece::Whole;
         if let Some(sender) = &body {
-            // A handler that has answered early no longer takes the body; the rest is read and
-            // dropped, because closing with unread bytes could destroy the answer on its way.
+            // A handler that has answered early no longer reads the body. The rest is read and
+            // discarded, because closing with unread bytes could destroy the answer in transit.
             tokio::select! {
                 _ = sender.send(piece) => {}
                 () = answered.cancelled() => {}
@@ -220,7 +221,7 @@
     tokio::time::sleep(DRAIN_LIMIT).await;
 }
 
-/// Writes the answer; true if it was whole.
+/// Writes the answer; returns true if it was complete.
 async fn write_answer(
     context: &LinkContext,
     writer: &mut ForwardWriter,
@@ -234,9 +235,12 @@
             frame = frames.recv() => frame,
         };
         let Some(frame) = frame else {
-            // The handler gave up in the middle. Without an end frame the peer sees a cut.
+            // The handler stopped before the answer's end. Without an end frame the peer sees the
+            // answer as truncated.
             cancelled.cancel();
-            return Err(std::io::Error::other("the answer was given up"));
+            return Err(std::io::Error::other(
+                "the handler stopped before the answer's end",
+            ));
         };
         let last = matches!(frame, ForwardBody::AnswerEnd(_));
         tokio::select! {
--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -1,5 +1,5 @@
-//! Frames: a length of four bytes, the payload, and after the handshake a tag of 16 bytes
-//! that authenticates the payload and its place in the stream.
+//! The frame format: a length of four bytes, the payload and, after the handshake, a tag of 16
+//! bytes that authenticates the payload and its position in the stream.
 
 use std::io;
 
@@ -11,13 +11,14 @@
 
 use super::keys::FrameKey;
 
-/// Bytes of the tag.
+/// Size of the tag, in bytes.
 pub const TAG_BYTES: usize = 16;
 
-/// Bytes that a frame adds to its payload once the handshake is over.
+/// Bytes that a frame adds to its payload after the handshake.
 pub const FRAME_OVERHEAD: usize = 4 + TAG_BYTES;
 
-/// Largest frame before the peer has proved a key. A stranger can make this router hold no more.
+/// Largest frame, in bytes, before the peer is authenticated. Limits the memory that an
+/// unauthenticated peer can make this router use.
 pub const MAX_HELLO_BYTES: usize = 512;
 
 /// Splits a byte stream into frames and checks their tags.
@@ -48,7 +49,7 @@
 }
 
 impl FrameCodec {
-    /// Authenticates all further frames and allows them `max_bytes`.
+    /// Starts to authenticate all further frames and limits their payload to `max_bytes`.
     pub fn seal(&mut self, write_key: FrameKey, read_key: FrameKey, max_bytes: usize) {
         self.lengths.set_max_frame_length(max_bytes + TAG_BYTES);
         self.sealed = Some(FrameSeal {
@@ -91,8 +92,8 @@
             return Err(io::Error::other("frame is shorter than its tag"));
         };
         let tag = frame.split_off(length);
-        // A stranger on the network who injects, alters, drops, repeats or swaps frames can't
-        // make the tag of the next number, so the connection ends here.
+        // An attacker on the network who injects, alters, drops, repeats or reorders frames can't
+        // compute the tag for the next frame number, so the connection ends here.
         if !seal.read_key.holds(seal.read, &frame, &tag) {
             return Err(io::Error::other("frame has a wrong tag"));
         }
--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -1,9 +1,10 @@
-//! Who is at the other end, and proof that it holds a peer key.
+//! The handshake: each end identifies itself and proves that it holds a peer key.
 //!
-//! The dialer says hello, the acceptor says hello, the dialer proves, the acceptor proves. A
-//! proof is a keyed hash over both hellos with their nonces, the prover's side and, with TLS,
-//! a secret of that TLS connection; so it can't be replayed, reflected or relayed into another
-//! TLS connection. The acceptor proves last: who holds no key learns nothing from it.
+//! The frames are the dialer's hello, the acceptor's hello, the dialer's proof and the acceptor's
+//! proof. A proof is a keyed hash over both hellos with their nonces, the prover's side and, with
+//! TLS, a secret of that TLS connection, so it can't be replayed, reflected or relayed into another
+//! TLS connection. The acceptor's proof is sent last, so a dialer without a key learns nothing
+//! from it.
 
 use std::io;
 
@@ -32,13 +33,13 @@
 use super::traffic::TrafficCounters;
 use super::traffic::TrafficKind;
 
-/// Bytes of a nonce.
+/// Size of a nonce, in bytes.
 const NONCE_BYTES: usize = 32;
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkPurpose {
-    /// Control messages both ways.
+    /// Control messages in both directions.
     Control,
     /// Forwarded requests, one at a time.
     Forward,
@@ -54,18 +55,18 @@
     }
 }
 
-/// The router at the other end, as it proved.
+/// The authenticated router at the other end of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RemotePeer {
     /// Its host.
     pub host: HostName,
     /// Its incarnation.
     pub incarnation: RouterIncarnation,
-    /// What the dialer wants of the connection.
+    /// The purpose in its hello; only the dialer's is used.
     pub purpose: LinkPurpose,
 }
 
-/// What this end needs for a handshake.
+/// Input of this end for one handshake.
 #[derive(Debug)]
 pub(super) struct HandshakeTerms<'terms> {
     pub host: &'terms HostName,
@@ -75,14 +76,14 @@
     pub purpose: LinkPurpose,
     pub max_frame_bytes: usize,
     pub counters: &'terms TrafficCounters,
-    /// Host or address, for errors.
+    /// The peer's host or address, for errors.
     pub peer: &'terms str,
 }
 
-/// A connection whose other end has proved a key.
+/// A connection that is split into frames.
 pub(super) type PeerFramed = Framed<PeerStream, FrameCodec>;
 
-/// Runs the handshake on a fresh connection.
+/// Runs the handshake on a new connection.
 pub(super) async fn shake_hands(
     stream: PeerStream,
     terms: &HandshakeTerms<'_>,
@@ -125,7 +126,9 @@
         .keys
         .check(terms.side.other(), &transcript, &answer.proof)
     else {
-        return Err(Report::new(fail(PeerStep::Proof)).attach("it holds none of the peer keys"));
+        return Err(
+            Report::new(fail(PeerStep::Proof)).attach("the proof matches none of the peer keys")
+        );
     };
     if terms.side == PeerSide::Acceptor {
         let (proof, _) = terms.keys.prove(terms.side, &transcript);
@@ -160,22 +163,24 @@
     let hello = HelloFrame::decode(bytes.clone()).change_context_lazy(|| fail(PeerStep::Hello))?;
     if hello.version != WIRE_VERSION {
         return Err(Report::new(fail(PeerStep::Version)).attach(format!(
-            "it speaks version {}, this router {WIRE_VERSION}",
+            "the peer uses version {}, this router {WIRE_VERSION}",
             hello.version
         )));
     }
     if hello.nonce.len() != NONCE_BYTES {
-        return Err(Report::new(fail(PeerStep::Hello)).attach("its nonce is not 32 bytes"));
+        return Err(Report::new(fail(PeerStep::Hello)).attach("the nonce is not 32 bytes long"));
     }
     let host: HostName = hello
         .host
         .parse()
         .change_context_lazy(|| fail(PeerStep::Hello))?;
     if host == *terms.host {
-        return Err(Report::new(fail(PeerStep::Identity)).attach("it has this router's own name"));
+        return Err(
+            Report::new(fail(PeerStep::Identity)).attach("the peer has this router's host name")
+        );
     }
     let Some(purpose) = LinkPurpose::from_wire(hello.purpose) else {
-        return Err(Report::new(fail(PeerStep::Hello)).attach("its purpose is not known"));
+        return Err(Report::new(fail(PeerStep::Hello)).attach("unknown connection purpose"));
     };
     Ok(RemotePeer {
         host,
@@ -184,7 +189,8 @@
     })
 }
 
-/// Each part goes in with its length, so that no two transcripts read the same.
+/// Joins the parts, each prefixed with its length, so that different parts never give the same
+/// transcript.
 fn transcript_of(binding: &[u8], dialed: &[u8], accepted: &[u8]) -> Vec<u8> {
     let mut transcript = Vec::new();
     for part in [binding, dialed, accepted] {
--- a/src/peers/keys.rs
+++ b/src/peers/keys.rs
@@ -1,4 +1,5 @@
-//! Keys that all routers of a fleet share, proofs of them, and keys of single connections.
+//! The keys that all routers of a fleet share, proofs of holding one, and the keys of single
+//! connections.
 
 use std::fmt;
 
@@ -10,23 +11,23 @@
 use super::error::PeerError;
 use super::error::PeerStep;
 
-/// Shortest key in bytes.
+/// Minimum length of a key, in bytes.
 pub const MIN_KEY_BYTES: usize = 32;
 
-/// Most keys at a time.
+/// Maximum number of keys at a time.
 pub const MAX_KEYS: usize = 4;
 
-/// Which end of a connection.
+/// One end of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerSide {
-    /// The one that dialed.
+    /// The end that dialed.
     Dialer,
-    /// The one that accepted.
+    /// The end that accepted.
     Acceptor,
 }
 
 impl PeerSide {
-    /// The other end.
+    /// Returns the other end.
     #[must_use]
     pub fn other(self) -> Self {
         match self {
@@ -43,7 +44,8 @@
     }
 }
 
-/// The first key proves; any of them is accepted. Several while a key rotates.
+/// The keys that all routers share: this router proves the first, and accepts proofs of any. There
+/// are several only during a key rotation.
 #[derive(Clone, PartialEq, Eq)]
 pub struct PeerKeys {
     keys: Vec<Vec<u8>>,
@@ -54,10 +56,10 @@
 pub struct FrameKey(Hmac<Sha256>);
 
 impl PeerKeys {
-    /// One key, or several while they rotate.
+    /// Creates the set from one key, or from several during a rotation.
     ///
     /// # Errors
-    /// No key, more than [`MAX_KEYS`], or one shorter than [`MIN_KEY_BYTES`].
+    /// No key, more than [`MAX_KEYS`] keys, or a key shorter than [`MIN_KEY_BYTES`].
     pub fn new(keys: Vec<Vec<u8>>) -> Result<Self, Report<PeerError>> {
         let count_fits = (1..=MAX_KEYS).contains(&keys.len());
         if !count_fits || keys.iter().any(|key| key.len() < MIN_KEY_BYTES) {
@@ -67,7 +69,8 @@
         Ok(Self { keys })
     }
 
-    /// The proof of the first key by `side` over a transcript, and that direction's frame key.
+    /// Returns the proof of the first key by `side` over a transcript, and the frame key of that
+    /// direction.
     #[must_use]
     pub fn prove(&self, side: PeerSide, transcript: &[u8]) -> (Vec<u8>, FrameKey) {
         let key = &self.keys[0];
@@ -78,8 +81,8 @@
         )
     }
 
-    /// The frame key of the other direction if `proof` by `side` holds for any key. The
-    /// comparison takes the same time wherever the proof differs.
+    /// Returns the frame key of `side`'s direction if its `proof` is valid for any of the keys. The
+    /// comparison with a key takes constant time.
     #[must_use]
     pub fn check(&self, side: PeerSide, transcript: &[u8], proof: &[u8]) -> Option<FrameKey> {
         self.keys
@@ -100,7 +103,7 @@
 }
 
 impl FrameKey {
-    /// The tag of the frame of this number in this direction.
+    /// Computes the tag of the frame with this number in this direction.
     #[must_use]
     pub fn tag(&self, number: u64, payload: &[u8]) -> [u8; 16] {
         let mut mac = self.0.clone();
@@ -112,7 +115,7 @@
         tag
     }
 
-    /// True if `tag` is right; takes the same time wherever it differs.
+    /// Checks a frame's tag in constant time.
     #[must_use]
     pub fn holds(&self, number: u64, payload: &[u8], tag: &[u8]) -> bool {
         let mut mac = self.0.clone();
@@ -129,7 +132,7 @@
 }
 
 fn new_mac(key: &[u8]) -> Hmac<Sha256> {
-    // HMAC takes keys of any length, so this can't fail; an empty key is refused in `new`.
+    // HMAC takes keys of any length, so this can't fail; `PeerKeys::new` refuses an empty key.
     Hmac::new_from_slice(key).unwrap_or_else(|_| unreachable!("HMAC takes any key length"))
 }
 
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! Opening connections, and carrying control messages over one until it ends.
+//! Opens connections, and carries control messages over one until it ends.
 
 use std::io;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 use super::traffic::TrafficCounters;
 use super::traffic::TrafficKind;
 
-/// What all connections of a router share.
+/// State shared by all connections of a router.
 #[derive(Debug)]
 pub(super) struct LinkContext {
     pub settings: MeshSettings,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Dials a host and proves the key; another host at that address is refused.
+/// Dials a host and runs the dialer's side of the handshake; fails if another host answers.
 pub(super) async fn dial(
     context: &LinkContext,
     host: &HostName,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Carries control messages both ways until the connection ends or `cancel` fires.
+/// Carries control messages in both directions until the connection ends or `cancel` fires.
 pub(super) async fn carry_control(
     context: &Arc<LinkContext>,
     framed: PeerFramed,
@@ -179,8 +179,8 @@
     while let Some(message) = queue.recv().await {
         let frame = Bytes::from(message.encode_to_vec());
         let bytes = frame.len() + FRAME_OVERHEAD;
-        // A peer that is paused stops reading; without a limit its queue would hold old
-        // messages for as long as the pause lasts and deliver them afterwards.
+        // A paused peer stops reading. Without a timeout its queue would keep old messages for as
+        // long as the pause lasts and deliver them afterwards.
         timeout(limit, sink.send(frame))
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -1,7 +1,7 @@
 //! The connections of one router to its peers.
 //!
-//! A connection may be dialed by either end and carries messages both ways. Two routers that
-//! dial each other keep both connections; a message goes over the one that opened last.
+//! Either end may dial a connection, which then carries messages in both directions. Two routers
+//! that dial each other keep both connections; a message is sent over the one that opened last.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -44,12 +44,12 @@
 use super::link::dial;
 use super::traffic::TrafficCounters;
 
-/// Forwarded calls that wait to be taken up at most.
+/// Maximum number of forwarded calls that wait for a handler.
 const WAITING_CALLS: usize = 64;
 
-/// What the mesh tells the control thread. Maps one to one to `CoreEvent`.
+/// An event that the mesh sends to the control thread. Each variant has its own `CoreEvent`.
 #[derive(Debug)]
-#[allow(clippy::large_enum_variant)] // Nearly all events are messages: a box would only cost.
+#[allow(clippy::large_enum_variant)] // Nearly all events are messages, so boxing adds cost.
 pub enum PeerEvent {
     /// The first connection to this incarnation of a peer opened.
     Opened {
@@ -88,8 +88,8 @@
     events: mpsc::Sender<PeerEvent>,
     calls: mpsc::Sender<ForwardedCall>,
     table: Mutex<MeshTable>,
-    /// Held while a link enters or leaves and that is told, so that `Opened` and `Closed` of
-    /// one host reach the control thread in the order in which they happened.
+    /// Held while a link is added or removed and its event is sent, so that `Opened` and `Closed`
+    /// of one host reach the control thread in the order in which they happened.
     telling: tokio::sync::Mutex<()>,
 }
 
@@ -115,8 +115,8 @@
 }
 
 impl PeerMesh {
-    /// Binds the listener and begins to accept. Events go to `events`; forwarded calls come
-    /// out of the receiver. All ends when `cancel` fires.
+    /// Binds the listener and starts to accept connections. Events are sent to `events`, forwarded
+    /// calls to the returned receiver. All connections end when `cancel` fires.
     ///
     /// # Errors
     /// The listener can't be bound.
@@ -149,14 +149,14 @@
         Ok((Self { inner }, taken_calls))
     }
 
-    /// The address that the listener got.
+    /// The address that the listener is bound to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Sends a control message. It is dropped and counted if the peer has no connection or a
-    /// full queue.
+    /// Queues a control message. It is dropped and counted if there is no connection to the peer or
+    /// the queue is full.
     pub fn send(&self, host: &HostName, message: PeerMessage) {
         let table = self.inner.table();
         let sent = table
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Opens a connection to a host and keeps it open until [`Self::disconnect`].
+    /// Dials a host, and redials it when the connection ends, until [`Self::disconnect`].
     pub fn connect(&self, host: &HostName, address: &str) {
         let mut table = self.inner.table();
         if table
@@ -196,7 +196,7 @@
         ));
     }
 
-    /// Closes all connections to a host and dials it no more.
+    /// Closes all connections to a host and stops dialing it.
     pub fn disconnect(&self, host: &HostName) {
         let mut table = self.inner.table();
         if let Some(dialer) = table.dialers.remove(host) {
@@ -218,13 +218,13 @@
         *current = keys;
     }
 
-    /// Bytes sent and received so far.
+    /// Traffic counters of all connections.
     #[must_use]
     pub fn counters(&self) -> &TrafficCounters {
         &self.inner.context.counters
     }
 
-    /// A client that forwards requests to peers, with a pool of connections of its own.
+    /// Creates a client that forwards requests to peers over its own connection pool.
     #[must_use]
     pub fn forward_client(&self) -> ForwardClient {
         ForwardClient::new(Arc::clone(&self.inner.context))
@@ -236,8 +236,8 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Enters a link. Links of another incarnation of the same host are closed: that process
-    /// is gone, even if its connection has not noticed. Returns whether it is the first.
+    /// Adds a link and returns true if it is the host's only one. Links of another incarnation of
+    /// the host are closed: that process is gone, even if its connection hasn't failed yet.
     fn enter(&self, remote: &RemotePeer, link: LinkEntry) -> bool {
         let mut table = self.table();
         let links = table.links.entry(remote.host.clone()).or_default();
@@ -251,7 +251,7 @@
         links.len() == 1
     }
 
-    /// Removes a link and returns whether it was the host's last.
+    /// Removes a link and returns true if it was the host's last.
     fn leave(&self, host: &HostName, number: u64) -> bool {
         let mut table = self.table();
         let Some(links) = table.links.get_mut(host) else {
@@ -270,7 +270,7 @@
         self.table().links.contains_key(host)
     }
 
-    /// Carries one control connection until it ends.
+    /// Runs one control connection until it ends.
     async fn run_link(
         &self,
         framed: PeerFramed,
@@ -336,10 +336,10 @@
                 continue;
             }
         };
-        // Strangers that connect and stay silent could use up all file descriptors; beyond this
-        // many connections without a proof, further ones are closed at once.
+        // Clients that connect and send nothing could use up all file descriptors. Above this many
+        // unauthenticated connections, further ones are closed at once.
         let Ok(permit) = Arc::clone(&strangers).try_acquire_owned() else {
-            spdlog::warn!("peers: too many connections without proof, {address} closed");
+            spdlog::warn!("peers: too many unauthenticated connections, {address} closed");
             continue;
         };
         let inner = Arc::clone(&inner);
@@ -384,8 +384,9 @@
     }
 }
 
-/// Dials again and again, with a pause that doubles and is drawn at random between half and
-/// the whole of itself, so that a fleet that restarts at once does not dial in step.
+/// Dials a host and redials it whenever the connection ends, with exponential backoff. The pause is
+/// drawn at random between half and all of the backoff, so that routers that restart together don't
+/// redial at the same times.
 async fn keep_dialed(
     inner: Arc<MeshInner>,
     host: HostName,
@@ -405,7 +406,8 @@
                 if let Err(report) = inner.run_link(framed, remote, &cancel).await {
                     spdlog::warn!("peers: connection to {host} dropped: {}", one_line(&report));
                 }
-                // A peer that accepts and closes at once is redialed ever more slowly.
+                // The backoff isn't reset after a short connection, so that a peer that accepts and
+                // closes at once is redialed ever more slowly.
                 if opened.elapsed().as_millis() > u128::from(config.redial_most_ms) {
                     wait_ms = config.redial_ms;
                 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,8 +1,8 @@
 //! Connections between routers: control messages and forwarded requests over TCP.
 //!
 //! Every connection begins with a handshake (see [`handshake`]) and then authenticates each
-//! frame. Control messages may be lost (a full queue, a broken connection); whoever sends them
-//! must bear that. [`mesh::PeerMesh`] keeps the connections, [`forward`] carries requests.
+//! frame. Control messages may be lost (a full queue, a broken connection), so senders must
+//! tolerate loss. [`mesh::PeerMesh`] manages the connections, [`forward`] forwards requests.
 
 pub mod error;
 pub mod forward;
@@ -24,19 +24,19 @@
 use self::keys::PeerKeys;
 use self::tls::PeerTls;
 
-/// What a router needs to speak with its peers.
+/// Settings of a router's connections to its peers.
 #[derive(Debug, Clone)]
 pub struct MeshSettings {
     /// This router's host.
     pub host: HostName,
-    /// Its incarnation.
+    /// This router's incarnation.
     pub incarnation: RouterIncarnation,
-    /// Where it listens.
+    /// Address of the peer listener.
     pub listen: SocketAddr,
     /// Keys that all routers share.
     pub keys: PeerKeys,
-    /// Certificates, if connections shall also be encrypted.
+    /// Certificates for TLS; without them connections are authenticated but not encrypted.
     pub tls: Option<PeerTls>,
-    /// Sizes and times.
+    /// Size limits and timeouts.
     pub config: PeersConfig,
 }
--- a/src/peers/tls.rs
+++ b/src/peers/tls.rs
@@ -26,10 +26,11 @@
 /// A connection with or without TLS.
 pub type PeerStream = Either<TcpStream, TlsStream<TcpStream>>;
 
-/// Label of the secret that ties the key proof to one TLS connection.
+/// TLS exporter label of the secret that binds the key proof to one TLS connection.
 const BINDING_LABEL: &[u8] = b"EXPORTER-verbenaturn-peer";
 
-/// Certificates of this router and of the authority that signs all routers' ones.
+/// TLS configuration with this router's certificate and the authorities that sign the certificates
+/// of all routers.
 #[derive(Debug, Clone)]
 pub struct PeerTls {
     client: Arc<ClientConfig>,
@@ -37,8 +38,8 @@
 }
 
 impl PeerTls {
-    /// Reads PEM texts: this router's chain, its key, and the authorities of all routers. A
-    /// certificate names its router's host as a DNS name.
+    /// Reads PEM texts: this router's certificate chain, its private key, and the authorities of
+    /// all routers. A certificate must have its router's host as a DNS name.
     ///
     /// # Errors
     /// Unreadable PEM, or a key that does not fit the certificate.
@@ -78,7 +79,8 @@
     }
 }
 
-/// Wraps a dialed connection; the certificate must name `host`.
+/// Runs the TLS handshake on a dialed connection if TLS is configured; the peer's certificate must
+/// name `host`.
 pub(super) async fn wrap_dialed(
     tls: Option<&PeerTls>,
     stream: TcpStream,
@@ -97,7 +99,7 @@
     Ok(Either::Right(TlsStream::Client(wrapped)))
 }
 
-/// Wraps an accepted connection.
+/// Runs the TLS handshake on an accepted connection if TLS is configured.
 pub(super) async fn wrap_accepted(
     tls: Option<&PeerTls>,
     stream: TcpStream,
@@ -113,7 +115,7 @@
     Ok(Either::Right(TlsStream::Server(wrapped)))
 }
 
-/// A secret that only the two ends of this TLS connection know; empty without TLS.
+/// Returns a secret that only the two ends of this TLS connection know; empty without TLS.
 pub(super) fn channel_binding(stream: &PeerStream) -> Result<Vec<u8>, rustls::Error> {
     let Either::Right(stream) = stream else {
         return Ok(Vec::new());
--- a/src/peers/traffic.rs
+++ b/src/peers/traffic.rs
@@ -1,5 +1,5 @@
-//! Bytes between routers, counted by kind: payload, prost coding, length and tag. Headers of
-//! TCP/IP and TLS records are not counted.
+//! Counters of the bytes between routers, by kind. A frame's length field, prost-encoded payload
+//! and tag are counted; TCP/IP headers and TLS records are not.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -7,7 +7,7 @@
 use crate::wire::PeerBody;
 use crate::wire::PeerMessage;
 
-/// What bytes were for.
+/// A kind of traffic between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TrafficKind {
     /// Hellos and proofs.
@@ -16,9 +16,9 @@
     Demand,
     /// Slot allotments.
     Allotment,
-    /// Membership.
+    /// Membership gossip.
     Gossip,
-    /// Publications and questions for them.
+    /// Publications and requests for them.
     Publication,
     /// Quarantine notices.
     Quarantine,
@@ -41,7 +41,7 @@
         Self::Forwarded,
     ];
 
-    /// The kind of a control message; an empty one counts as gossip.
+    /// Returns the kind of a control message; an empty one counts as gossip.
     #[must_use]
     pub fn of(message: &PeerMessage) -> Self {
         match &message.body {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Its label in metrics.
+    /// Returns the kind's label in metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// True if it counts as control traffic.
+    /// Returns true for all kinds but forwarded requests.
     #[must_use]
     pub fn is_control(self) -> bool {
         self != Self::Forwarded
     }
 }
 
-/// Bytes sent and received since the start, and messages dropped.
+/// Bytes sent and received since the start, and control messages dropped.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
     sent: [AtomicU64; TrafficKind::ALL.len()],
@@ -95,7 +95,7 @@
         self.received[kind as usize].fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts a control message that found a full queue or no connection.
+    /// Counts a control message that was dropped for a full queue or a missing connection.
     pub fn add_dropped(&self) {
         self.dropped.fetch_add(1, Ordering::Relaxed);
     }
@@ -112,7 +112,7 @@
         self.received[kind as usize].load(Ordering::Relaxed)
     }
 
-    /// Control messages dropped.
+    /// Number of control messages dropped.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Connections between routers: who gets in, what is dropped, and forwarded requests.
+//! Connections between routers: authentication, refused connections and forwarded requests.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -38,7 +38,7 @@
 use verbenaturn::wire::handshake::HelloFrame;
 use verbenaturn::wire::publication::PublicationRequest;
 
-/// Longest wait for something that must happen; a test fails when it passes.
+/// Timeout for anything that must happen; the test fails when it expires.
 const LIMIT: Duration = Duration::from_secs(20);
 
 struct Router {
@@ -142,9 +142,9 @@
     assert!(left.mesh.counters().sent(TrafficKind::Handshake) > 0);
 }
 
-// A router process dies and another starts on its host. Peers must see the connection close,
-// and the next one name the new incarnation, or they would go on counting on the dead one's
-// slots.
+// A router process dies and another starts on its host. Peers must get an event for the closed
+// connection, and one for the next connection with the new incarnation. Otherwise they would keep
+// counting the slots of the dead process.
 #[tokio::test]
 async fn a_restarted_peer_is_seen_as_closed_and_opened_with_its_new_incarnation() {
     let mut left = Router::start("left", 1, &[7], None).await;
@@ -206,8 +206,8 @@
     assert!(matches!(left.next().await, PeerEvent::Closed { host } if host.as_str() == "somebody"));
 }
 
-// A peer of a newer version, a port scanner or a broken process connects. The router must drop
-// it, and go on serving its other peers.
+// A peer of a newer version, a port scanner or a faulty process connects. The router must close the
+// connection and keep serving its other peers.
 #[tokio::test]
 async fn nonsense_oversized_frames_and_other_versions_are_dropped() {
     let mut left = Router::start("left", 1, &[7], None).await;
@@ -338,8 +338,8 @@
     assert_eq!(handshakes[0], handshakes[2], "one handshake for all");
 }
 
-// A caller's answer comes through another router, which dies in the middle. The caller must not
-// take the part for the whole answer.
+// The router that forwards an answer dies before the answer's end. The caller must not take the
+// truncated answer for a complete one.
 #[tokio::test]
 async fn an_answer_that_breaks_before_its_end_is_an_error() {
     let left = Router::start("left", 1, &[7], None).await;
@@ -362,8 +362,8 @@
     assert_eq!(report.current_context().step, PeerStep::AnswerCut);
 }
 
-// A nurse closes her page. The router that serves her request for another must learn of it and
-// stop the work at the endpoint.
+// A caller disconnects while a peer serves its forwarded request. The peer must be notified, so
+// that it stops the work at the endpoint.
 #[tokio::test]
 async fn a_caller_that_leaves_cancels_the_forwarded_call() {
     let left = Router::start("left", 1, &[7], None).await;
@@ -377,8 +377,8 @@
     assert_eq!(read_body(&mut call).await, (Vec::new(), false));
 }
 
-// The router that minted a ticket restarts. Its new life must not get the request: it can't
-// know whether the old one ran it.
+// The router that issued a ticket restarts. Its new incarnation must not get the request, because
+// it can't know if the previous one ran it.
 #[tokio::test]
 async fn a_request_for_a_gone_incarnation_is_not_sent() {
     let left = Router::start("left", 1, &[7], None).await;
@@ -390,8 +390,8 @@
     assert!(right.calls.try_recv().is_err());
 }
 
-// A slow reader at the far end: what waits in between is bounded, so a long body must not be
-// taken off the sender's hands.
+// The handler at the peer does not read. Buffers between the ends are bounded, so the sender of a
+// long body must be blocked.
 #[tokio::test]
 async fn a_handler_that_does_not_read_holds_the_sender_back() {
     let left = Router::start("left", 1, &[7], None).await;
