--- a/src/sources/error.rs
+++ b/src/sources/error.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with the sources, at which step and with whom.
+//! Errors of the sources, with the step and the URL or file.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 use crate::document::FaultList;
 use crate::units::ConfigRevision;
 
-/// The step at which an error arose.
+/// The step that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceStep {
     /// Reading the publication.
@@ -18,42 +18,42 @@
     ReadHosts,
 }
 
-/// What went wrong.
+/// The cause of an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SourceFault {
-    /// No connection, or it broke.
+    /// There was no connection, or it broke.
     Unreachable,
-    /// No whole answer in time.
+    /// There was no complete answer in time.
     TimedOut,
-    /// A status that the step does not expect.
+    /// An HTTP status that the step does not expect.
     Status(u16),
-    /// An answer or a file without a revision, or with revision 0.
+    /// The answer or file has no revision, or revision 0.
     NoRevision,
-    /// A revision older than one that was seen before.
+    /// The revision is older than one that was seen before.
     OldRevision {
-        /// The one that came.
+        /// The one that was received now.
         came: ConfigRevision,
-        /// The one seen before.
+        /// The one that was seen before.
         seen: ConfigRevision,
     },
-    /// The text changed and its revision did not.
+    /// The text changed but its revision did not.
     SameRevision(ConfigRevision),
-    /// A value over the size limit, in bytes.
+    /// The value is larger than this limit, in bytes.
     TooLarge(usize),
-    /// A file that can't be read.
+    /// The file can't be read.
     Unreadable,
-    /// A document with faults.
+    /// The document has faults.
     Faulty(FaultList),
 }
 
-/// An error at the source's edge.
+/// An error when reading or watching a source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SourceError {
-    /// The step.
+    /// The step that failed.
     pub step: SourceStep,
     /// The URL or file.
     pub source: SmolStr,
-    /// What went wrong.
+    /// The cause.
     pub fault: SourceFault,
 }
 
@@ -77,7 +77,7 @@
             Self::OldRevision { came, seen } => {
                 write!(
                     formatter,
-                    "revision {came} came after {seen}; the newer one stays"
+                    "revision {came} is older than {seen}; the newer one stays in use"
                 )
             }
             Self::SameRevision(revision) => {
--- a/src/sources/file.rs
+++ b/src/sources/file.rs
@@ -1,9 +1,9 @@
 //! The sources as files, for small sites.
 //!
-//! The publication's `revision` stands in the file itself: a counter kept by each router would
-//! start anew with the process, and two routers would number one text differently. A file must be
-//! replaced by renaming a new one over it; one that is written in place may be read half and is
-//! then reported as faulty until the next look.
+//! The publication's `revision` is a field of the file: a counter kept by each router would
+//! restart with the process, and two routers would number the same text differently. A file must be
+//! replaced by renaming a new one over it; one that is written in place may be read half-written
+//! and is then reported as faulty until the next poll.
 
 use std::fs::Metadata;
 use std::io::ErrorKind;
@@ -39,11 +39,11 @@
 use super::hosts::HostList;
 use super::hosts::MAX_HOSTS_BYTES;
 
-/// A change within this time of the last one may leave the modification time as it was, so a
-/// younger file is read again at each look.
+/// Age of a modification time that can be relied on. A change shortly after another one may leave
+/// the modification time as it was, so a file modified more recently is read again at each poll.
 const SETTLED_AFTER: Duration = Duration::from_secs(2);
 
-/// What tells one state of a file from another without reading it.
+/// File metadata that detects a change without reading the file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     inode: u64,
@@ -60,14 +60,15 @@
         }
     }
 
-    /// A modification time in the future never settles; such a file is read at each look.
+    /// Returns true once the modification time is older than [`SETTLED_AFTER`]. A modification time
+    /// in the future isn't, so such a file is read at each poll.
     fn settled(&self) -> bool {
         let age = SystemTime::now().duration_since(self.modified);
         age.is_ok_and(|age| age > SETTLED_AFTER)
     }
 }
 
-/// A file of the sources.
+/// Reads a file up to a size limit.
 #[derive(Debug)]
 struct FileReader {
     path: PathBuf,
@@ -96,7 +97,7 @@
     }
 }
 
-/// Reads a file, but not more than one byte over the limit.
+/// Reads a file, but at most one byte more than the limit.
 async fn read_bounded(path: &Path, max_bytes: usize) -> Result<Vec<u8>, std::io::Error> {
     let file = fs::File::open(path).await?;
     if file.metadata().await?.is_dir() {
@@ -109,7 +110,7 @@
     Ok(text)
 }
 
-/// The publication as a file.
+/// Reads publications from a file.
 #[derive(Debug)]
 pub struct FileConfigSource {
     reader: FileReader,
@@ -131,7 +132,7 @@
 }
 
 impl FileConfigSource {
-    /// A source at a path.
+    /// Creates a source that reads the file at `path`.
     #[must_use]
     pub fn new(path: PathBuf, timing: &SourceTiming) -> Self {
         Self {
@@ -189,8 +190,9 @@
         }
     }
 
-    /// An operator who edits the file and forgets its revision, or restores an old copy, would
-    /// leave routers that were restarted since with another text than the rest.
+    /// Refuses an older revision, and a changed text under the same revision. If an operator edits
+    /// the file and forgets its revision, or restores an old copy, routers that were restarted
+    /// since would otherwise use another text than the others.
     fn compare(
         &self,
         step: SourceStep,
@@ -244,14 +246,14 @@
     }
 }
 
-/// The host list as a file.
+/// Reads the host list from a file.
 #[derive(Debug)]
 pub struct FileHostSource {
     reader: FileReader,
 }
 
 impl FileHostSource {
-    /// A source at a path.
+    /// Creates a source that reads the file at `path`.
     #[must_use]
     pub fn new(path: PathBuf) -> Self {
         Self {
--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the sources for a daemon, until cancelled.
+//! Tasks that follow the sources for a daemon until they are cancelled.
 
 use std::time::Duration;
 
@@ -18,18 +18,18 @@
 use super::HostSource;
 use super::SourceError;
 
-/// What became of one read or watch of the configuration service.
+/// The result of one read or watch of the configuration service.
 #[derive(Debug)]
 pub enum ConfigNews {
-    /// A newer publication, unchecked.
+    /// A newer publication, not yet validated.
     Newer(ConfigText),
-    /// The service answered; there is nothing newer.
+    /// The service answered that there is nothing newer.
     Unchanged,
-    /// The service failed, or went back.
+    /// The service failed, or answered with an older revision.
     Failed(Report<SourceError>),
 }
 
-/// What became of one read of the host list.
+/// The result of one read of the host list.
 #[derive(Debug)]
 pub enum HostNews {
     /// The list.
@@ -38,19 +38,19 @@
     Failed(Report<SourceError>),
 }
 
-/// Whether to watch the configuration service, and from where on.
+/// Controls the watch of the configuration service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WatchOrder {
-    /// Watch, or leave the service alone.
+    /// True to watch, false to make no calls to the service.
     pub on: bool,
-    /// The revision that the router has, from peers as well.
+    /// The revision that the router has, from the service or from a peer.
     pub after: ConfigRevision,
 }
 
-/// Watches the configuration service while `order` says so and sends what comes to `sender`.
+/// Watches the configuration service while `order` is on and sends each result to `sender`.
 ///
-/// A publication that is refused for its faults is not read again: the next watch starts after
-/// it. While `order` is off no call is made and none is left waiting.
+/// A publication that is refused for its faults is not read again, because the next watch starts
+/// after its revision. While `order` is off, no call is made or left open.
 pub async fn follow_config(
     source: impl ConfigSource,
     timing: SourceTiming,
@@ -100,12 +100,13 @@
     }
 }
 
-/// Waits until watching is switched off (true) or nobody can switch it any more (false).
+/// Waits until watching is switched off and returns true, or false if the sender of `order` is
+/// gone.
 async fn switched_off(order: &mut watch::Receiver<WatchOrder>) -> bool {
     order.wait_for(|order| !order.on).await.is_ok()
 }
 
-/// Reads the host list at intervals and sends what comes to `sender`.
+/// Reads the host list at intervals and sends each result to `sender`.
 pub async fn follow_hosts(
     source: impl HostSource,
     timing: SourceTiming,
@@ -135,7 +136,8 @@
     }
 }
 
-/// A quarter more or less: routers that failed together must not come back together.
+/// Adds jitter of up to a quarter either way, so that routers that failed together don't retry
+/// together.
 fn jittered(millis: u64) -> Duration {
     let quarter = millis / 4;
     Duration::from_millis(rand::rng().random_range(millis - quarter..=millis + quarter))
--- a/src/sources/hosts.rs
+++ b/src/sources/hosts.rs
@@ -21,8 +21,8 @@
 /// Largest host list, in bytes.
 pub const MAX_HOSTS_BYTES: usize = 4 * 1_048_576;
 
-/// The host list as the sources gives it. Fields that are not known here are left alone: the
-/// list is the source's, not this project's.
+/// The host list as its source provides it. Unknown fields are ignored, because the source defines
+/// the list, not this project.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default)]
 pub struct HostList {
@@ -35,14 +35,14 @@
 /// A host that runs a router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct RouterRow {
-    /// Its name.
+    /// The host's name.
     pub host: HostName,
-    /// Its peer listener.
+    /// Address of the router's peer listener.
     #[schemars(extend("format" = ADDRESS_FORMAT))]
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The host's failure domain.
     pub domain: DomainName,
-    /// True if it leaves.
+    /// True if the router is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -52,16 +52,16 @@
 pub struct EndpointRow {
     /// The endpoint's name in the publication.
     pub name: EndpointName,
-    /// True if it leaves.
+    /// True if the endpoint is leaving.
     #[serde(default)]
     pub leaving: bool,
-    /// Grows each time the endpoint is put back after it left.
+    /// Increases each time the endpoint is put back after it left.
     #[serde(default)]
     pub generation: u64,
 }
 
 impl HostList {
-    /// Reads a host list.
+    /// Parses a host list.
     ///
     /// # Errors
     /// Every fault of the text, each with its path.
@@ -69,11 +69,12 @@
         read_document(text)
     }
 
-    /// The list as the decision core takes it, one row a router and endpoint.
+    /// Converts the list to an event for the decision core, with one row for each router and
+    /// endpoint.
     ///
-    /// A list that lags may hold a host twice, once live and once leaving; seen as new work on a
-    /// host that is being taken away. Leaving wins, and for an endpoint the highest generation,
-    /// so the order of the rows does not matter.
+    /// A list that lags may hold a host twice, once live and once leaving; this led to new work on
+    /// a host that was being removed. Leaving wins, and for an endpoint the highest generation, so
+    /// the order of the rows does not matter.
     #[must_use]
     pub fn event(&self) -> CoreEvent {
         let mut routers: BTreeMap<&HostName, ListedRouter> = BTreeMap::new();
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The endpoints that the list calls live, with their generations.
+    /// Converts the endpoints that aren't leaving, with their generations, to an event.
     #[must_use]
     pub fn live_event(&self) -> CoreEvent {
         let live = self
--- a/src/sources/http.rs
+++ b/src/sources/http.rs
@@ -1,9 +1,9 @@
 //! The sources over HTTP.
 //!
 //! The configuration service answers `GET` with the publication and its revision as entity tag,
-//! such as `ETag: "42"`. A watch is the same request with `If-None-Match: "42"` and
-//! `Prefer: wait=30` (RFC 7240): it is answered when there is another revision, or with 304 after
-//! that many seconds.
+//! such as `ETag: "42"`. A watch is a long poll: the same request with `If-None-Match: "42"` and
+//! `Prefer: wait=30` (RFC 7240) is answered when there is another revision, or with 304 after that
+//! many seconds.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 
 const PREFER: HeaderName = HeaderName::from_static("prefer");
 
-/// A value of the sources, read by URL.
+/// Reads a value from a URL.
 #[derive(Debug)]
 struct HttpReader {
     url: SmolStr,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// One request with its whole answer, within `limit` of time and `max_bytes`.
+    /// Sends a request and reads the whole answer, within the time `limit` and up to `max_bytes`.
     async fn get(
         &self,
         step: SourceStep,
@@ -119,7 +119,7 @@
     }
 }
 
-/// The configuration service.
+/// Reads publications from the configuration service.
 #[derive(Debug)]
 pub struct HttpConfigSource {
     reader: HttpReader,
@@ -128,7 +128,7 @@
 }
 
 impl HttpConfigSource {
-    /// A source at a URL that the settings' check has passed.
+    /// Creates a source for a URL that has passed the check of the settings.
     #[must_use]
     pub fn new(url: &str, timing: &SourceTiming) -> Self {
         Self {
@@ -194,8 +194,8 @@
         let unchanged = answer.status() == StatusCode::NOT_MODIFIED
             || (answer.status() == StatusCode::OK && revision_of(&answer) == Some(after));
         if unchanged {
-            // A service or a gateway that does not hold watches open answers at once; without
-            // this pause each router would read as fast as the network allows.
+            // A service or HTTP gateway that does not hold watches open answers at once; without
+            // this pause each router would poll as fast as the network allows.
             sleep_until(start + self.pause.min(self.hold)).await;
             return Ok(None);
         }
@@ -211,14 +211,14 @@
     }
 }
 
-/// The host list as a service.
+/// Reads the host list from a service.
 #[derive(Debug)]
 pub struct HttpHostSource {
     reader: HttpReader,
 }
 
 impl HttpHostSource {
-    /// A source at a URL that the settings' check has passed.
+    /// Creates a source for a URL that has passed the check of the settings.
     #[must_use]
     pub fn new(url: &str, timing: &SourceTiming) -> Self {
         Self {
--- a/src/sources/mod.rs
+++ b/src/sources/mod.rs
@@ -1,7 +1,7 @@
-//! The sources at the edge of the process: the configuration service and the host list.
+//! The external sources of a router: the configuration service and the host list.
 //!
-//! Each is a narrow trait with an HTTP implementation and one for a file. Nothing can be written
-//! to either. [`follow`] runs them for a daemon.
+//! Each is a small read-only trait with an HTTP and a file implementation. [`follow`] has the tasks
+//! that read them for a daemon.
 
 pub mod error;
 pub mod file;
@@ -25,16 +25,16 @@
 use self::http::HttpConfigSource;
 use self::http::HttpHostSource;
 
-/// A publication as read, unchecked.
+/// A publication as read, not yet validated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigText {
-    /// The source's revision. Never 0.
+    /// The revision that the source gave it; never 0.
     pub revision: ConfigRevision,
     /// The published text, at most [`crate::publication::MAX_PUBLICATION_BYTES`] bytes.
     pub text: Bytes,
 }
 
-/// Where publications come from.
+/// A source of publications.
 pub trait ConfigSource {
     /// Reads the newest publication.
     ///
@@ -42,27 +42,27 @@
     /// When the source can't be reached, does not answer in time or answers something else.
     fn read(&self) -> impl Future<Output = Result<ConfigText, Report<SourceError>>> + Send;
 
-    /// Waits for a publication newer than `after`; nothing if none came in the time that a watch
+    /// Waits for a publication newer than `after`; returns `None` if there is none while the watch
     /// is held open.
     ///
     /// # Errors
-    /// As for `read`, and when the source goes back to an older revision.
+    /// As for `read`, and when the source answers with an older revision.
     fn watch(
         &self,
         after: ConfigRevision,
     ) -> impl Future<Output = Result<Option<ConfigText>, Report<SourceError>>> + Send;
 }
 
-/// Where the host list comes from.
+/// A source of host lists.
 pub trait HostSource {
-    /// Reads the host list. It lags.
+    /// Reads the host list, which may lag behind the actual state.
     ///
     /// # Errors
     /// When the source can't be reached, does not answer in time or answers something else.
     fn read(&self) -> impl Future<Output = Result<HostList, Report<SourceError>>> + Send;
 }
 
-/// The sources of publications that there are.
+/// A source of publications of either kind.
 #[derive(Debug)]
 pub enum SourceConfig {
     /// The configuration service.
@@ -71,7 +71,7 @@
     File(FileConfigSource),
 }
 
-/// The sources of host lists that there are.
+/// A source of host lists of either kind.
 #[derive(Debug)]
 pub enum SourceHosts {
     /// A service.
@@ -81,7 +81,7 @@
 }
 
 impl SourceConfig {
-    /// The source that checked settings name.
+    /// Creates the source that the validated settings name.
     #[must_use]
     pub fn new(settings: &SourceSettings) -> Self {
         match (&settings.config_url, &settings.config_file) {
@@ -95,7 +95,7 @@
 }
 
 impl SourceHosts {
-    /// The source that checked settings name.
+    /// Creates the source that the validated settings name.
     #[must_use]
     pub fn new(settings: &SourceSettings) -> Self {
         match (&settings.hosts_url, &settings.hosts_file) {
--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -1,4 +1,4 @@
-//! The source's edge when the sources misbehaves.
+//! The router's sources when the configuration service, the host list or a file is faulty.
 
 #[allow(dead_code)]
 #[path = "../examples/shared/sources.rs"]
@@ -76,8 +76,8 @@
     assert_eq!(sources.config_calls(), 4);
 }
 
-// The configuration service takes the connection and never answers. Without a limit of its own
-// the router would wait for ever and stay on its old publication after the service is well again.
+// The configuration service accepts the connection and never answers. Without a timeout the router
+// would wait forever and keep its old publication after the service has recovered.
 #[tokio::test]
 async fn a_hanging_service_is_given_up() {
     let (sources, source) = standin().await;
@@ -91,8 +91,8 @@
     assert!(source.read().await.is_ok());
 }
 
-// A replica of the service that lags answers a watch with a revision from before. Taken for news
-// it would bring back shares that operators have changed since.
+// A lagging replica of the service answers a watch with an older revision. If it were accepted, it
+// would bring back shares that operators have changed since.
 #[tokio::test]
 async fn an_older_revision_is_no_news() {
     let (sources, source) = standin().await;
@@ -131,9 +131,8 @@
     assert_eq!(source.read().await.unwrap().endpoints.len(), 1);
 }
 
-// The service answers with a broken value, then hangs, then gets well. The router must read on
-// through all of it, must not read a refused value again and again, and must leave the service
-// alone once a peer watches in its place.
+// The service fails and then recovers. The router must keep reading it, must not read a refused
+// value again and again, and must make no calls once a peer watches in its place.
 #[tokio::test]
 async fn following_survives_a_service_that_fails() {
     let (sources, source) = standin().await;
@@ -185,9 +184,9 @@
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-// At a small site an operator restores an old copy of the file, or edits it and leaves the
-// revision. Routers that restart take it for the newest while the others keep what they have:
-// the fleet runs on two publications. So the file is refused until its revision grows.
+// At a small site an operator restores an old copy of the file, or edits it without raising the
+// revision. Routers that restart would take it while the others keep theirs, so that the fleet runs
+// on two publications. The file must be refused until its revision increases.
 #[tokio::test]
 async fn a_file_that_goes_back_is_refused() {
     let path = scratch_file("goes-back.json");
