--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -84,7 +84,7 @@
 pub(super) type PeerFramed = Framed<PeerStream, FrameCodec>;
 
 /// Runs the handshake on a new connection.
-pub(super) async fn shake_hands(
+pub(super) async fn run_handshake(
     stream: PeerStream,
     terms: &HandshakeTerms<'_>,
 ) -> Result<(PeerFramed, RemotePeer), Report<PeerError>> {
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -26,7 +26,7 @@
 use super::handshake::LinkPurpose;
 use super::handshake::PeerFramed;
 use super::handshake::RemotePeer;
-use super::handshake::shake_hands;
+use super::handshake::run_handshake;
 use super::keys::PeerKeys;
 use super::keys::PeerSide;
 use super::mesh::PeerEvent;
@@ -73,7 +73,7 @@
         let stream = wrap_dialed(context.settings.tls.as_ref(), stream, host).await?;
         let keys = context.current_keys();
         let terms = terms(context, &keys, PeerSide::Dialer, purpose, host.as_str());
-        shake_hands(stream, &terms).await
+        run_handshake(stream, &terms).await
     };
     let (framed, remote) = timeout(context.handshake_limit(), attempt)
         .await
@@ -99,7 +99,7 @@
         let keys = context.current_keys();
         let side = PeerSide::Acceptor;
         let terms = terms(context, &keys, side, LinkPurpose::Control, peer);
-        shake_hands(stream, &terms).await
+        run_handshake(stream, &terms).await
     };
     timeout(context.handshake_limit(), attempt)
         .await
