--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -68,7 +68,7 @@
 
 /// Input of this end for one handshake.
 #[derive(Debug)]
-pub(super) struct HandshakeTerms<'terms> {
+pub(super) struct HandshakeParams<'terms> {
     pub host: &'terms HostName,
     pub incarnation: RouterIncarnation,
     pub keys: &'terms PeerKeys,
@@ -86,7 +86,7 @@
 /// Runs the handshake on a new connection.
 pub(super) async fn run_handshake(
     stream: PeerStream,
-    terms: &HandshakeTerms<'_>,
+    terms: &HandshakeParams<'_>,
 ) -> Result<(PeerFramed, RemotePeer), Report<PeerError>> {
     let fail = |step| PeerError::new(step, terms.peer);
     let binding = channel_binding(&stream).change_context_lazy(|| fail(PeerStep::Tls))?;
@@ -143,7 +143,7 @@
     Ok((framed, remote))
 }
 
-fn own_hello(terms: &HandshakeTerms<'_>) -> HelloFrame {
+fn own_hello(terms: &HandshakeParams<'_>) -> HelloFrame {
     let mut nonce = vec![0; NONCE_BYTES];
     rand::rng().fill_bytes(&mut nonce);
     HelloFrame {
@@ -158,7 +158,10 @@
     }
 }
 
-fn check_hello(bytes: &Bytes, terms: &HandshakeTerms<'_>) -> Result<RemotePeer, Report<PeerError>> {
+fn check_hello(
+    bytes: &Bytes,
+    terms: &HandshakeParams<'_>,
+) -> Result<RemotePeer, Report<PeerError>> {
     let fail = |step| PeerError::new(step, terms.peer);
     let hello = HelloFrame::decode(bytes.clone()).change_context_lazy(|| fail(PeerStep::Hello))?;
     if hello.version != WIRE_VERSION {
@@ -202,7 +205,7 @@
 
 async fn write(
     framed: &mut PeerFramed,
-    terms: &HandshakeTerms<'_>,
+    terms: &HandshakeParams<'_>,
     frame: Bytes,
 ) -> Result<(), Report<PeerError>> {
     terms
@@ -216,7 +219,7 @@
 
 async fn read(
     framed: &mut PeerFramed,
-    terms: &HandshakeTerms<'_>,
+    terms: &HandshakeParams<'_>,
     step: PeerStep,
 ) -> Result<Bytes, Report<PeerError>> {
     let frame = framed
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -22,7 +22,7 @@
 use super::error::PeerError;
 use super::error::PeerStep;
 use super::frames::FRAME_OVERHEAD;
-use super::handshake::HandshakeTerms;
+use super::handshake::HandshakeParams;
 use super::handshake::LinkPurpose;
 use super::handshake::PeerFramed;
 use super::handshake::RemotePeer;
@@ -112,8 +112,8 @@
     side: PeerSide,
     purpose: LinkPurpose,
     peer: &'terms str,
-) -> HandshakeTerms<'terms> {
-    HandshakeTerms {
+) -> HandshakeParams<'terms> {
+    HandshakeParams {
         host: &context.settings.host,
         incarnation: context.settings.incarnation,
         keys,
