--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -68,16 +68,16 @@
 
 /// Input of this end for one handshake.
 #[derive(Debug)]
-pub(super) struct HandshakeParams<'terms> {
-    pub host: &'terms HostName,
+pub(super) struct HandshakeParams<'params> {
+    pub host: &'params HostName,
     pub incarnation: RouterIncarnation,
-    pub keys: &'terms PeerKeys,
+    pub keys: &'params PeerKeys,
     pub side: PeerSide,
     pub purpose: LinkPurpose,
     pub max_frame_bytes: usize,
-    pub counters: &'terms TrafficCounters,
+    pub counters: &'params TrafficCounters,
     /// The peer's host or address, for errors.
-    pub peer: &'terms str,
+    pub peer: &'params str,
 }
 
 /// A connection that is split into frames.
@@ -86,71 +86,71 @@
 /// Runs the handshake on a new connection.
 pub(super) async fn run_handshake(
     stream: PeerStream,
-    terms: &HandshakeParams<'_>,
+    params: &HandshakeParams<'_>,
 ) -> Result<(PeerFramed, RemotePeer), Report<PeerError>> {
-    let fail = |step| PeerError::new(step, terms.peer);
+    let fail = |step| PeerError::new(step, params.peer);
     let binding = channel_binding(&stream).change_context_lazy(|| fail(PeerStep::Tls))?;
     let mut framed = Framed::new(stream, FrameCodec::default());
-    let mine = Bytes::from(own_hello(terms).encode_to_vec());
-    let theirs = match terms.side {
+    let mine = Bytes::from(own_hello(params).encode_to_vec());
+    let theirs = match params.side {
         PeerSide::Dialer => {
-            write(&mut framed, terms, mine.clone()).await?;
-            read(&mut framed, terms, PeerStep::Hello).await?
+            write(&mut framed, params, mine.clone()).await?;
+            read(&mut framed, params, PeerStep::Hello).await?
         }
         PeerSide::Acceptor => {
-            let hello = read(&mut framed, terms, PeerStep::Hello).await?;
-            write(&mut framed, terms, mine.clone()).await?;
+            let hello = read(&mut framed, params, PeerStep::Hello).await?;
+            write(&mut framed, params, mine.clone()).await?;
             hello
         }
     };
-    let remote = check_hello(&theirs, terms)?;
-    let (dialed, accepted) = match terms.side {
+    let remote = check_hello(&theirs, params)?;
+    let (dialed, accepted) = match params.side {
         PeerSide::Dialer => (&mine, &theirs),
         PeerSide::Acceptor => (&theirs, &mine),
     };
     let transcript = transcript_of(&binding, dialed, accepted);
-    let (proof, write_key) = terms.keys.prove(terms.side, &transcript);
+    let (proof, write_key) = params.keys.prove(params.side, &transcript);
     let proof = ProofFrame {
         proof: proof.into(),
     };
     let proof = Bytes::from(proof.encode_to_vec());
-    let answer = match terms.side {
+    let answer = match params.side {
         PeerSide::Dialer => {
-            write(&mut framed, terms, proof).await?;
-            read(&mut framed, terms, PeerStep::Proof).await?
+            write(&mut framed, params, proof).await?;
+            read(&mut framed, params, PeerStep::Proof).await?
         }
-        PeerSide::Acceptor => read(&mut framed, terms, PeerStep::Proof).await?,
+        PeerSide::Acceptor => read(&mut framed, params, PeerStep::Proof).await?,
     };
     let answer = ProofFrame::decode(answer).change_context_lazy(|| fail(PeerStep::Proof))?;
-    let Some(read_key) = terms
+    let Some(read_key) = params
         .keys
-        .check(terms.side.other(), &transcript, &answer.proof)
+        .check(params.side.other(), &transcript, &answer.proof)
     else {
         return Err(
             Report::new(fail(PeerStep::Proof)).attach("the proof matches none of the peer keys")
         );
     };
-    if terms.side == PeerSide::Acceptor {
-        let (proof, _) = terms.keys.prove(terms.side, &transcript);
+    if params.side == PeerSide::Acceptor {
+        let (proof, _) = params.keys.prove(params.side, &transcript);
         let proof = ProofFrame {
             proof: proof.into(),
         };
-        write(&mut framed, terms, Bytes::from(proof.encode_to_vec())).await?;
+        write(&mut framed, params, Bytes::from(proof.encode_to_vec())).await?;
     }
     framed
         .codec_mut()
-        .seal(write_key, read_key, terms.max_frame_bytes);
+        .seal(write_key, read_key, params.max_frame_bytes);
     Ok((framed, remote))
 }
 
-fn own_hello(terms: &HandshakeParams<'_>) -> HelloFrame {
+fn own_hello(params: &HandshakeParams<'_>) -> HelloFrame {
     let mut nonce = vec![0; NONCE_BYTES];
     rand::rng().fill_bytes(&mut nonce);
     HelloFrame {
         version: WIRE_VERSION,
-        host: terms.host.to_string(),
-        incarnation: terms.incarnation.0,
-        purpose: match terms.purpose {
+        host: params.host.to_string(),
+        incarnation: params.incarnation.0,
+        purpose: match params.purpose {
             LinkPurpose::Control => 0,
             LinkPurpose::Forward => 1,
         },
@@ -160,9 +160,9 @@
 
 fn check_hello(
     bytes: &Bytes,
-    terms: &HandshakeParams<'_>,
+    params: &HandshakeParams<'_>,
 ) -> Result<RemotePeer, Report<PeerError>> {
-    let fail = |step| PeerError::new(step, terms.peer);
+    let fail = |step| PeerError::new(step, params.peer);
     let hello = HelloFrame::decode(bytes.clone()).change_context_lazy(|| fail(PeerStep::Hello))?;
     if hello.version != WIRE_VERSION {
         return Err(Report::new(fail(PeerStep::Version)).attach(format!(
@@ -177,7 +177,7 @@
         .host
         .parse()
         .change_context_lazy(|| fail(PeerStep::Hello))?;
-    if host == *terms.host {
+    if host == *params.host {
         return Err(
             Report::new(fail(PeerStep::Identity)).attach("the peer has this router's host name")
         );
@@ -205,29 +205,29 @@
 
 async fn write(
     framed: &mut PeerFramed,
-    terms: &HandshakeParams<'_>,
+    params: &HandshakeParams<'_>,
     frame: Bytes,
 ) -> Result<(), Report<PeerError>> {
-    terms
+    params
         .counters
         .add_sent(TrafficKind::Handshake, frame.len() + 4);
     framed
         .send(frame)
         .await
-        .change_context_lazy(|| PeerError::new(PeerStep::Write, terms.peer))
+        .change_context_lazy(|| PeerError::new(PeerStep::Write, params.peer))
 }
 
 async fn read(
     framed: &mut PeerFramed,
-    terms: &HandshakeParams<'_>,
+    params: &HandshakeParams<'_>,
     step: PeerStep,
 ) -> Result<Bytes, Report<PeerError>> {
     let frame = framed
         .next()
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()))
-        .change_context_lazy(|| PeerError::new(step, terms.peer))?;
-    terms
+        .change_context_lazy(|| PeerError::new(step, params.peer))?;
+    params
         .counters
         .add_received(TrafficKind::Handshake, frame.len() + 4);
     Ok(frame)
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -72,8 +72,8 @@
             .change_context_lazy(|| fail(PeerStep::Dial))?;
         let stream = wrap_dialed(context.settings.tls.as_ref(), stream, host).await?;
         let keys = context.current_keys();
-        let terms = terms(context, &keys, PeerSide::Dialer, purpose, host.as_str());
-        run_handshake(stream, &terms).await
+        let params = params(context, &keys, PeerSide::Dialer, purpose, host.as_str());
+        run_handshake(stream, &params).await
     };
     let (framed, remote) = timeout(context.handshake_limit(), attempt)
         .await
@@ -98,21 +98,21 @@
         let stream = wrap_accepted(context.settings.tls.as_ref(), stream, peer).await?;
         let keys = context.current_keys();
         let side = PeerSide::Acceptor;
-        let terms = terms(context, &keys, side, LinkPurpose::Control, peer);
-        run_handshake(stream, &terms).await
+        let params = params(context, &keys, side, LinkPurpose::Control, peer);
+        run_handshake(stream, &params).await
     };
     timeout(context.handshake_limit(), attempt)
         .await
         .change_context_lazy(|| PeerError::new(PeerStep::Hello, peer))?
 }
 
-fn terms<'terms>(
-    context: &'terms LinkContext,
-    keys: &'terms PeerKeys,
+fn params<'params>(
+    context: &'params LinkContext,
+    keys: &'params PeerKeys,
     side: PeerSide,
     purpose: LinkPurpose,
-    peer: &'terms str,
-) -> HandshakeParams<'terms> {
+    peer: &'params str,
+) -> HandshakeParams<'params> {
     HandshakeParams {
         host: &context.settings.host,
         incarnation: context.settings.incarnation,
