--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -94,7 +94,7 @@
         let tag = frame.split_off(length);
         // An attacker on the network who injects, alters, drops, repeats or reorders frames can't
         // compute the tag for the next frame number, so the connection ends here.
-        if !seal.read_key.holds(seal.read, &frame, &tag) {
+        if !seal.read_key.verify_tag(seal.read, &frame, &tag) {
             return Err(io::Error::other("frame has a wrong tag"));
         }
         seal.read += 1;
--- a/src/peers/keys.rs
+++ b/src/peers/keys.rs
@@ -117,7 +117,7 @@
 
     /// Checks a frame's tag in constant time.
     #[must_use]
-    pub fn holds(&self, number: u64, payload: &[u8], tag: &[u8]) -> bool {
+    pub fn verify_tag(&self, number: u64, payload: &[u8], tag: &[u8]) -> bool {
         let mut mac = self.0.clone();
         mac.update(&number.to_be_bytes());
         mac.update(payload);
@@ -188,10 +188,10 @@
     fn a_tag_is_bound_to_number_and_payload() {
         let (_, key) = keys(1, None).prove(PeerSide::Dialer, b"hellos");
         let tag = key.tag(3, b"payload");
-        assert!(key.holds(3, b"payload", &tag));
-        assert!(!key.holds(4, b"payload", &tag));
-        assert!(!key.holds(3, b"payloae", &tag));
-        assert!(!key.holds(3, b"payload", &tag[..8]));
+        assert!(key.verify_tag(3, b"payload", &tag));
+        assert!(!key.verify_tag(4, b"payload", &tag));
+        assert!(!key.verify_tag(3, b"payloae", &tag));
+        assert!(!key.verify_tag(3, b"payload", &tag[..8]));
     }
 
     #[test]
