--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -90,7 +90,7 @@
     table: Mutex<MeshTable>,
     /// Held while a link is added or removed and its event is sent, so that `Opened` and `Closed`
     /// of one host reach the control thread in the order in which they happened.
-    telling: tokio::sync::Mutex<()>,
+    event_order: tokio::sync::Mutex<()>,
 }
 
 #[derive(Debug, Default)]
@@ -143,7 +143,7 @@
             events,
             calls,
             table: Mutex::default(),
-            telling: tokio::sync::Mutex::default(),
+            event_order: tokio::sync::Mutex::default(),
         });
         tokio::spawn(accept_all(Arc::clone(&inner), listener));
         Ok((Self { inner }, taken_calls))
@@ -290,7 +290,7 @@
             queue,
             cancel: cancel.clone(),
         };
-        let telling = self.telling.lock().await;
+        let event_order = self.event_order.lock().await;
         if self.enter(&remote, entry) {
             let opened = PeerEvent::Opened {
                 host: remote.host.clone(),
@@ -298,7 +298,7 @@
             };
             let _ = self.events.send(opened).await;
         }
-        drop(telling);
+        drop(event_order);
         let ended = carry_control(
             &self.context,
             framed,
@@ -308,7 +308,7 @@
             &cancel,
         )
         .await;
-        let _telling = self.telling.lock().await;
+        let _telling = self.event_order.lock().await;
         if self.leave(&remote.host, number) {
             self.tell_closed(&remote.host).await;
         }
@@ -414,7 +414,7 @@
             }
             Err(report) => {
                 spdlog::info!("peers: dialing {host} failed: {}", one_line(&report));
-                let _telling = inner.telling.lock().await;
+                let _telling = inner.event_order.lock().await;
                 if !inner.has_link(&host) {
                     inner.tell_closed(&host).await;
                 }
