--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -308,7 +308,7 @@
             &cancel,
         )
         .await;
-        let _telling = self.event_order.lock().await;
+        let _event_order = self.event_order.lock().await;
         if self.leave(&remote.host, number) {
             self.tell_closed(&remote.host).await;
         }
@@ -414,7 +414,7 @@
             }
             Err(report) => {
                 spdlog::info!("peers: dialing {host} failed: {}", one_line(&report));
-                let _telling = inner.event_order.lock().await;
+                let _event_order = inner.event_order.lock().await;
                 if !inner.has_link(&host) {
                     inner.tell_closed(&host).await;
                 }
