--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -310,12 +310,12 @@
         .await;
         let _event_order = self.event_order.lock().await;
         if self.leave(&remote.host, number) {
-            self.tell_closed(&remote.host).await;
+            self.send_closed(&remote.host).await;
         }
         ended
     }
 
-    async fn tell_closed(&self, host: &HostName) {
+    async fn send_closed(&self, host: &HostName) {
         let closed = PeerEvent::Closed { host: host.clone() };
         let _ = self.events.send(closed).await;
     }
@@ -416,7 +416,7 @@
                 spdlog::info!("peers: dialing {host} failed: {}", one_line(&report));
                 let _event_order = inner.event_order.lock().await;
                 if !inner.has_link(&host) {
-                    inner.tell_closed(&host).await;
+                    inner.send_closed(&host).await;
                 }
             }
         }
