--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -238,7 +238,7 @@
 
     /// Adds a link and returns true if it is the host's only one. Links of another incarnation of
     /// the host are closed: that process is gone, even if its connection hasn't failed yet.
-    fn enter(&self, remote: &RemotePeer, link: LinkEntry) -> bool {
+    fn add_link(&self, remote: &RemotePeer, link: LinkEntry) -> bool {
         let mut table = self.table();
         let links = table.links.entry(remote.host.clone()).or_default();
         for old in links.iter() {
@@ -291,7 +291,7 @@
             cancel: cancel.clone(),
         };
         let event_order = self.event_order.lock().await;
-        if self.enter(&remote, entry) {
+        if self.add_link(&remote, entry) {
             let opened = PeerEvent::Opened {
                 host: remote.host.clone(),
                 incarnation: remote.incarnation,
