--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -252,7 +252,7 @@
     }
 
     /// Removes a link and returns true if it was the host's last.
-    fn leave(&self, host: &HostName, number: u64) -> bool {
+    fn remove_link(&self, host: &HostName, number: u64) -> bool {
         let mut table = self.table();
         let Some(links) = table.links.get_mut(host) else {
             return false;
@@ -309,7 +309,7 @@
         )
         .await;
         let _event_order = self.event_order.lock().await;
-        if self.leave(&remote.host, number) {
+        if self.remove_link(&remote.host, number) {
             self.send_closed(&remote.host).await;
         }
         ended
