--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -188,7 +188,7 @@
             old.cancel.cancel();
         }
         drop(table);
-        tokio::spawn(keep_dialed(
+        tokio::spawn(keep_connected(
             Arc::clone(&self.inner),
             host.clone(),
             address.into(),
@@ -387,7 +387,7 @@
 /// Dials a host and redials it whenever the connection ends, with exponential backoff. The pause is
 /// drawn at random between half and all of the backoff, so that routers that restart together don't
 /// redial at the same times.
-async fn keep_dialed(
+async fn keep_connected(
     inner: Arc<MeshInner>,
     host: HostName,
     address: SmolStr,
