--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -45,7 +45,7 @@
 use super::traffic::TrafficCounters;
 
 /// Maximum number of forwarded calls that wait for a handler.
-const WAITING_CALLS: usize = 64;
+const MAX_WAITING_CALLS: usize = 64;
 
 /// An event that the mesh sends to the control thread. Each variant has its own `CoreEvent`.
 #[derive(Debug)]
@@ -130,7 +130,7 @@
             .await
             .change_context_lazy(fail)?;
         let address = listener.local_addr().change_context_lazy(fail)?;
-        let (calls, taken_calls) = mpsc::channel(WAITING_CALLS);
+        let (calls, taken_calls) = mpsc::channel(MAX_WAITING_CALLS);
         let context = LinkContext {
             keys: settings.keys.clone().into(),
             settings,
