--- a/src/peers/forward_server.rs
+++ b/src/peers/forward_server.rs
@@ -27,7 +27,7 @@
 
 /// Maximum number of pieces of a body or answer that are queued between the connection and the
 /// handler.
-const WAITING_PIECES: usize = 4;
+const MAX_WAITING_PIECES: usize = 4;
 
 /// Maximum time to read the rest of a body after its answer has ended.
 const DRAIN_LIMIT: Duration = Duration::from_secs(5);
@@ -141,8 +141,8 @@
     head: ForwardHead,
     calls: &mpsc::Sender<ForwardedCall>,
 ) -> std::io::Result<bool> {
-    let (body, body_pieces) = mpsc::channel(WAITING_PIECES);
-    let (frames, answer_frames) = mpsc::channel(WAITING_PIECES);
+    let (body, body_pieces) = mpsc::channel(MAX_WAITING_PIECES);
+    let (frames, answer_frames) = mpsc::channel(MAX_WAITING_PIECES);
     let cancelled = CancellationToken::new();
     // However this function ends, the handler is notified that its answer is no longer needed.
     let _guard = cancelled.clone().drop_guard();
