--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -130,7 +130,7 @@
             .await
             .change_context_lazy(fail)?;
         let address = listener.local_addr().change_context_lazy(fail)?;
-        let (calls, taken_calls) = mpsc::channel(MAX_WAITING_CALLS);
+        let (calls, call_receiver) = mpsc::channel(MAX_WAITING_CALLS);
         let context = LinkContext {
             keys: settings.keys.clone().into(),
             settings,
@@ -146,7 +146,7 @@
             event_order: tokio::sync::Mutex::default(),
         });
         tokio::spawn(accept_all(Arc::clone(&inner), listener));
-        Ok((Self { inner }, taken_calls))
+        Ok((Self { inner }, call_receiver))
     }
 
     /// The address that the listener is bound to.
