--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -82,7 +82,7 @@
 
 /// Collects both halves of a connection after a complete exchange, so that it can be reused.
 #[derive(Debug)]
-struct ReturnPoint {
+struct SharedLink {
     client: ForwardClient,
     remote: RemotePeer,
     writer: Mutex<Option<ForwardWriter>>,
@@ -94,14 +94,14 @@
 #[derive(Debug)]
 pub struct ForwardSink {
     writer: ForwardWriter,
-    point: Arc<ReturnPoint>,
+    point: Arc<SharedLink>,
 }
 
 /// Reads the answer.
 #[derive(Debug)]
 pub struct ForwardAnswer {
     reader: Option<ForwardReader>,
-    point: Arc<ReturnPoint>,
+    point: Arc<SharedLink>,
 }
 
 impl ForwardClient {
@@ -137,7 +137,7 @@
                     .attach("the host runs another incarnation than the ticket's"),
             );
         }
-        let point = Arc::new(ReturnPoint {
+        let point = Arc::new(SharedLink {
             client: self.clone(),
             remote: link.remote,
             writer: Mutex::default(),
@@ -199,7 +199,7 @@
     }
 }
 
-impl ReturnPoint {
+impl SharedLink {
     fn fail(&self, step: PeerStep) -> PeerError {
         PeerError::new(step, self.remote.host.as_str())
     }
