--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -94,14 +94,14 @@
 #[derive(Debug)]
 pub struct ForwardSink {
     writer: ForwardWriter,
-    point: Arc<SharedLink>,
+    shared: Arc<SharedLink>,
 }
 
 /// Reads the answer.
 #[derive(Debug)]
 pub struct ForwardAnswer {
     reader: Option<ForwardReader>,
-    point: Arc<SharedLink>,
+    shared: Arc<SharedLink>,
 }
 
 impl ForwardClient {
@@ -137,7 +137,7 @@
                     .attach("the host runs another incarnation than the ticket's"),
             );
         }
-        let point = Arc::new(SharedLink {
+        let shared = Arc::new(SharedLink {
             client: self.clone(),
             remote: link.remote,
             writer: Mutex::default(),
@@ -145,12 +145,12 @@
         });
         let mut sink = ForwardSink {
             writer: link.writer,
-            point: Arc::clone(&point),
+            shared: Arc::clone(&shared),
         };
         sink.write(ForwardBody::Head(head)).await?;
         let answer = ForwardAnswer {
             reader: Some(link.reader),
-            point,
+            shared,
         };
         Ok((sink, answer))
     }
@@ -225,7 +225,7 @@
     /// The connection broke.
     pub async fn send(&mut self, mut piece: Bytes) -> Result<(), Report<PeerError>> {
         let most = self
-            .point
+            .shared
             .client
             .context
             .settings
@@ -244,17 +244,17 @@
     /// The connection broke.
     pub async fn finish(mut self) -> Result<(), Report<PeerError>> {
         self.write(ForwardBody::BodyEnd(true)).await?;
-        let Self { writer, point } = self;
-        *point.writer.lock().unwrap_or_else(PoisonError::into_inner) = Some(writer);
-        point.reunite();
+        let Self { writer, shared } = self;
+        *shared.writer.lock().unwrap_or_else(PoisonError::into_inner) = Some(writer);
+        shared.reunite();
         Ok(())
     }
 
     async fn write(&mut self, body: ForwardBody) -> Result<(), Report<PeerError>> {
-        let point = &self.point;
-        write_frame(&point.client.context, &mut self.writer, body)
+        let shared = &self.shared;
+        write_frame(&shared.client.context, &mut self.writer, body)
             .await
-            .change_context_lazy(|| point.fail(PeerStep::Write))
+            .change_context_lazy(|| shared.fail(PeerStep::Write))
     }
 }
 
@@ -262,7 +262,7 @@
     /// The incarnation of the answering router.
     #[must_use]
     pub fn incarnation(&self) -> RouterIncarnation {
-        self.point.remote.incarnation
+        self.shared.remote.incarnation
     }
 
     /// Waits for the answer's head.
@@ -272,7 +272,7 @@
     pub async fn head(&mut self) -> Result<ForwardAnswerHead, Report<PeerError>> {
         match self.read().await? {
             ForwardBody::AnswerHead(head) => Ok(head),
-            _ => Err(Report::new(self.point.fail(PeerStep::Decode))
+            _ => Err(Report::new(self.shared.fail(PeerStep::Decode))
                 .attach("the first frame of the answer is not its head")),
         }
     }
@@ -290,27 +290,27 @@
             ForwardBody::AnswerBody(piece) => Ok(Some(piece)),
             ForwardBody::AnswerEnd(_) => {
                 let mut place = self
-                    .point
+                    .shared
                     .reader
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner);
                 *place = self.reader.take();
                 drop(place);
-                self.point.reunite();
+                self.shared.reunite();
                 Ok(None)
             }
-            _ => Err(Report::new(self.point.fail(PeerStep::Decode))
+            _ => Err(Report::new(self.shared.fail(PeerStep::Decode))
                 .attach("unexpected frame in an answer")),
         }
     }
 
     async fn read(&mut self) -> Result<ForwardBody, Report<PeerError>> {
-        let point = Arc::clone(&self.point);
-        let cut = || point.fail(PeerStep::AnswerCut);
+        let shared = Arc::clone(&self.shared);
+        let cut = || shared.fail(PeerStep::AnswerCut);
         let Some(reader) = self.reader.as_mut() else {
             return Err(Report::new(cut()).attach("the answer has ended already"));
         };
-        let frame = read_frame(&point.client.context, reader)
+        let frame = read_frame(&shared.client.context, reader)
             .await
             .change_context_lazy(cut)?;
         frame.ok_or_else(|| Report::new(cut()).attach("the peer closed the connection"))
