--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -204,7 +204,7 @@
         PeerError::new(step, self.remote.host.as_str())
     }
 
-    fn reunite(&self) {
+    fn pool_if_complete(&self) {
         let mut writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         let mut reader = self.reader.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Some(writer), Some(reader)) = (writer.take_if(|_| reader.is_some()), reader.take())
@@ -246,7 +246,7 @@
         self.write(ForwardBody::BodyEnd(true)).await?;
         let Self { writer, shared } = self;
         *shared.writer.lock().unwrap_or_else(PoisonError::into_inner) = Some(writer);
-        shared.reunite();
+        shared.pool_if_complete();
         Ok(())
     }
 
@@ -296,7 +296,7 @@
                     .unwrap_or_else(PoisonError::into_inner);
                 *place = self.reader.take();
                 drop(place);
-                self.shared.reunite();
+                self.shared.pool_if_complete();
                 Ok(None)
             }
             _ => Err(Report::new(self.shared.fail(PeerStep::Decode))
