--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -185,14 +185,14 @@
     }
 
     fn keep(&self, link: ForwardLink) {
-        let most = self.context.settings.config.idle_forwards;
+        let max_len = self.context.settings.config.idle_forwards;
         let mut idle = self
             .idle
             .links
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let links = idle.entry(link.remote.host.clone()).or_default();
-        if links.len() < most {
+        if links.len() < max_len {
             let since = Instant::now();
             links.push(IdleLink { link, since });
         }
@@ -224,7 +224,7 @@
     /// # Errors
     /// The connection broke.
     pub async fn send(&mut self, mut piece: Bytes) -> Result<(), Report<PeerError>> {
-        let most = self
+        let max_len = self
             .shared
             .client
             .context
@@ -232,7 +232,7 @@
             .config
             .forward_piece_bytes;
         while !piece.is_empty() {
-            let part = piece.split_to(piece.len().min(most));
+            let part = piece.split_to(piece.len().min(max_len));
             self.write(ForwardBody::Body(part)).await?;
         }
         Ok(())
