--- a/src/peers/forward_server.rs
+++ b/src/peers/forward_server.rs
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct AnswerSender {
     frames: mpsc::Sender<ForwardBody>,
-    most: usize,
+    max_piece_bytes: usize,
 }
 
 /// The peer or its connection is gone, so the answer can't be delivered.
@@ -83,7 +83,7 @@
     /// The peer is gone.
     pub async fn send(&self, mut piece: Bytes) -> Result<(), AnswerClosed> {
         while !piece.is_empty() {
-            let part = piece.split_to(piece.len().min(self.most));
+            let part = piece.split_to(piece.len().min(self.max_piece_bytes));
             self.push(ForwardBody::AnswerBody(part)).await?;
         }
         Ok(())
@@ -153,7 +153,7 @@
         body: body_pieces,
         answer: AnswerSender {
             frames,
-            most: context.settings.config.forward_piece_bytes,
+            max_piece_bytes: context.settings.config.forward_piece_bytes,
         },
         cancelled: cancelled.clone(),
     };
