--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -11,8 +11,8 @@
 use crate::entry::context::EntryContext;
 use crate::publication;
 use crate::settings::SourceSettings;
+use crate::sources::AnyConfigSource;
 use crate::sources::ConfigText;
-use crate::sources::SourceConfig;
 use crate::sources::SourceHosts;
 use crate::sources::follow::ConfigNews;
 use crate::sources::follow::HostNews;
@@ -35,7 +35,7 @@
 ) {
     let timing = settings.timing.clone();
     let (sender, news) = mpsc::channel(WAITING_NEWS);
-    let source = SourceConfig::new(settings);
+    let source = AnyConfigSource::new(settings);
     let following = follow_config(source, timing.clone(), order, sender, closing.clone());
     tasks.spawn(following);
     tasks.spawn(take_config(Arc::clone(context), news));
--- a/src/sources/mod.rs
+++ b/src/sources/mod.rs
@@ -64,7 +64,7 @@
 
 /// A source of publications of either kind.
 #[derive(Debug)]
-pub enum SourceConfig {
+pub enum AnyConfigSource {
     /// The configuration service.
     Http(Box<HttpConfigSource>),
     /// A file.
@@ -80,7 +80,7 @@
     File(FileHostSource),
 }
 
-impl SourceConfig {
+impl AnyConfigSource {
     /// Creates the source that the validated settings name.
     #[must_use]
     pub fn new(settings: &SourceSettings) -> Self {
@@ -105,7 +105,7 @@
     }
 }
 
-impl ConfigSource for SourceConfig {
+impl ConfigSource for AnyConfigSource {
     async fn read(&self) -> Result<ConfigText, Report<SourceError>> {
         match self {
             Self::Http(source) => source.read().await,
