--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -12,8 +12,8 @@
 use crate::publication;
 use crate::settings::SourceSettings;
 use crate::sources::AnyConfigSource;
+use crate::sources::AnyHostSource;
 use crate::sources::ConfigText;
-use crate::sources::SourceHosts;
 use crate::sources::follow::ConfigNews;
 use crate::sources::follow::HostNews;
 use crate::sources::follow::WatchOrder;
@@ -40,7 +40,7 @@
     tasks.spawn(following);
     tasks.spawn(take_config(Arc::clone(context), news));
     let (sender, news) = mpsc::channel(WAITING_NEWS);
-    let source = SourceHosts::new(settings);
+    let source = AnyHostSource::new(settings);
     tasks.spawn(follow_hosts(source, timing, sender, closing.clone()));
     tasks.spawn(take_hosts(Arc::clone(context), news));
 }
--- a/src/sources/mod.rs
+++ b/src/sources/mod.rs
@@ -73,7 +73,7 @@
 
 /// A source of host lists of either kind.
 #[derive(Debug)]
-pub enum SourceHosts {
+pub enum AnyHostSource {
     /// A service.
     Http(Box<HttpHostSource>),
     /// A file.
@@ -94,7 +94,7 @@
     }
 }
 
-impl SourceHosts {
+impl AnyHostSource {
     /// Creates the source that the validated settings name.
     #[must_use]
     pub fn new(settings: &SourceSettings) -> Self {
@@ -124,7 +124,7 @@
     }
 }
 
-impl HostSource for SourceHosts {
+impl HostSource for AnyHostSource {
     async fn read(&self) -> Result<HostList, Report<SourceError>> {
         match self {
             Self::Http(source) => source.read().await,
