--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -14,7 +14,7 @@
 use crate::sources::AnyConfigSource;
 use crate::sources::AnyHostSource;
 use crate::sources::ConfigText;
-use crate::sources::follow::ConfigNews;
+use crate::sources::follow::ConfigUpdate;
 use crate::sources::follow::HostNews;
 use crate::sources::follow::WatchOrder;
 use crate::sources::follow::follow_config;
@@ -45,21 +45,21 @@
     tasks.spawn(take_hosts(Arc::clone(context), news));
 }
 
-async fn take_config(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigNews>) {
+async fn take_config(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigUpdate>) {
     let board = &context.records.board;
     while let Some(news) = news.recv().await {
         let fault = match &news {
-            ConfigNews::Failed(report) => Some(report.to_string()),
+            ConfigUpdate::Failed(report) => Some(report.to_string()),
             _ => None,
         };
         board.sources(fault);
         let answered = match news {
-            ConfigNews::Newer(text) => {
+            ConfigUpdate::Newer(text) => {
                 adopt(&context, text);
                 true
             }
-            ConfigNews::Unchanged => true,
-            ConfigNews::Failed(report) => {
+            ConfigUpdate::Unchanged => true,
+            ConfigUpdate::Failed(report) => {
                 spdlog::warn!("config: {report}.");
                 false
             }
--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -20,7 +20,7 @@
 
 /// The result of one read or watch of the configuration service.
 #[derive(Debug)]
-pub enum ConfigNews {
+pub enum ConfigUpdate {
     /// A newer publication, not yet validated.
     Newer(ConfigText),
     /// The service answered that there is nothing newer.
@@ -55,7 +55,7 @@
     source: impl ConfigSource,
     timing: SourceTiming,
     mut order: watch::Receiver<WatchOrder>,
-    sender: mpsc::Sender<ConfigNews>,
+    sender: mpsc::Sender<ConfigUpdate>,
     cancel: CancellationToken,
 ) {
     let mut seen = ConfigRevision(0);
@@ -74,8 +74,8 @@
             news = next_news(&source, seen) => news,
             switched = switched_off(&mut order) => if switched { continue } else { return },
         };
-        let failed = matches!(news, ConfigNews::Failed(_));
-        if let ConfigNews::Newer(text) = &news {
+        let failed = matches!(news, ConfigUpdate::Failed(_));
+        if let ConfigUpdate::Newer(text) = &news {
             seen = seen.max(text.revision);
         }
         if sender.send(news).await.is_err() {
@@ -87,16 +87,16 @@
     }
 }
 
-async fn next_news(source: &impl ConfigSource, seen: ConfigRevision) -> ConfigNews {
+async fn next_news(source: &impl ConfigSource, seen: ConfigRevision) -> ConfigUpdate {
     let news = if seen == ConfigRevision(0) {
         source.read().await.map(Some)
     } else {
         source.watch(seen).await
     };
     match news {
-        Ok(Some(text)) => ConfigNews::Newer(text),
-        Ok(None) => ConfigNews::Unchanged,
-        Err(report) => ConfigNews::Failed(report),
+        Ok(Some(text)) => ConfigUpdate::Newer(text),
+        Ok(None) => ConfigUpdate::Unchanged,
+        Err(report) => ConfigUpdate::Failed(report),
     }
 }
 
--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -21,7 +21,7 @@
 use verbenaturn::sources::HostSource;
 use verbenaturn::sources::SourceFault;
 use verbenaturn::sources::file::FileConfigSource;
-use verbenaturn::sources::follow::ConfigNews;
+use verbenaturn::sources::follow::ConfigUpdate;
 use verbenaturn::sources::follow::WatchOrder;
 use verbenaturn::sources::follow::follow_config;
 use verbenaturn::sources::http::HttpConfigSource;
@@ -150,16 +150,16 @@
         sender,
         cancel.clone(),
     ));
-    let ConfigNews::Newer(first) = news.recv().await.unwrap() else {
+    let ConfigUpdate::Newer(first) = news.recv().await.unwrap() else {
         panic!("the first read failed");
     };
     assert_eq!(first.revision, ConfigRevision(1));
     sources.set_mood(ServiceMood::Failing(503));
-    while !matches!(news.recv().await.unwrap(), ConfigNews::Failed(_)) {}
+    while !matches!(news.recv().await.unwrap(), ConfigUpdate::Failed(_)) {}
     sources.set_mood(ServiceMood::Well);
     sources.publish("{ }");
     let second = loop {
-        if let ConfigNews::Newer(text) = news.recv().await.unwrap() {
+        if let ConfigUpdate::Newer(text) = news.recv().await.unwrap() {
             break text;
         }
     };
