--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -15,7 +15,7 @@
 use crate::sources::AnyHostSource;
 use crate::sources::ConfigText;
 use crate::sources::follow::ConfigUpdate;
-use crate::sources::follow::HostNews;
+use crate::sources::follow::HostUpdate;
 use crate::sources::follow::WatchOrder;
 use crate::sources::follow::follow_config;
 use crate::sources::follow::follow_hosts;
@@ -94,16 +94,16 @@
     }
 }
 
-async fn take_hosts(context: Arc<EntryContext>, mut news: mpsc::Receiver<HostNews>) {
+async fn take_hosts(context: Arc<EntryContext>, mut news: mpsc::Receiver<HostUpdate>) {
     let board = &context.records.board;
     while let Some(news) = news.recv().await {
         match news {
-            HostNews::Listed(list) => {
+            HostUpdate::Listed(list) => {
                 board.hosts(None);
                 context.control.tell(list.event());
                 context.control.tell(list.live_event());
             }
-            HostNews::Failed(report) => {
+            HostUpdate::Failed(report) => {
                 spdlog::warn!("hosts: {report}.");
                 board.hosts(Some(report.to_string()));
             }
--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -31,7 +31,7 @@
 
 /// The result of one read of the host list.
 #[derive(Debug)]
-pub enum HostNews {
+pub enum HostUpdate {
     /// The list.
     Listed(HostList),
     /// It could not be read.
@@ -110,13 +110,13 @@
 pub async fn follow_hosts(
     source: impl HostSource,
     timing: SourceTiming,
-    sender: mpsc::Sender<HostNews>,
+    sender: mpsc::Sender<HostUpdate>,
     cancel: CancellationToken,
 ) {
     loop {
         let news = tokio::select! {
             () = cancel.cancelled() => return,
-            news = source.read() => news.map_or_else(HostNews::Failed, HostNews::Listed),
+            news = source.read() => news.map_or_else(HostUpdate::Failed, HostUpdate::Listed),
         };
         if sender.send(news).await.is_err() {
             return;
