--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -71,7 +71,7 @@
         }
         let news = tokio::select! {
             () = cancel.cancelled() => return,
-            news = next_news(&source, seen) => news,
+            news = next_update(&source, seen) => news,
             switched = switched_off(&mut order) => if switched { continue } else { return },
         };
         let failed = matches!(news, ConfigUpdate::Failed(_));
@@ -87,7 +87,7 @@
     }
 }
 
-async fn next_news(source: &impl ConfigSource, seen: ConfigRevision) -> ConfigUpdate {
+async fn next_update(source: &impl ConfigSource, seen: ConfigRevision) -> ConfigUpdate {
     let news = if seen == ConfigRevision(0) {
         source.read().await.map(Some)
     } else {
