--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -69,16 +69,16 @@
             }
             continue;
         }
-        let news = tokio::select! {
+        let update = tokio::select! {
             () = cancel.cancelled() => return,
-            news = next_update(&source, seen) => news,
+            update = next_update(&source, seen) => update,
             switched = switched_off(&mut order) => if switched { continue } else { return },
         };
-        let failed = matches!(news, ConfigUpdate::Failed(_));
-        if let ConfigUpdate::Newer(text) = &news {
+        let failed = matches!(update, ConfigUpdate::Failed(_));
+        if let ConfigUpdate::Newer(text) = &update {
             seen = seen.max(text.revision);
         }
-        if sender.send(news).await.is_err() {
+        if sender.send(update).await.is_err() {
             return;
         }
         if failed && !rest(&timing, &cancel).await {
@@ -88,12 +88,12 @@
 }
 
 async fn next_update(source: &impl ConfigSource, seen: ConfigRevision) -> ConfigUpdate {
-    let news = if seen == ConfigRevision(0) {
+    let update = if seen == ConfigRevision(0) {
         source.read().await.map(Some)
     } else {
         source.watch(seen).await
     };
-    match news {
+    match update {
         Ok(Some(text)) => ConfigUpdate::Newer(text),
         Ok(None) => ConfigUpdate::Unchanged,
         Err(report) => ConfigUpdate::Failed(report),
@@ -114,11 +114,11 @@
     cancel: CancellationToken,
 ) {
     loop {
-        let news = tokio::select! {
+        let update = tokio::select! {
             () = cancel.cancelled() => return,
-            news = source.read() => news.map_or_else(HostUpdate::Failed, HostUpdate::Listed),
+            update = source.read() => update.map_or_else(HostUpdate::Failed, HostUpdate::Listed),
         };
-        if sender.send(news).await.is_err() {
+        if sender.send(update).await.is_err() {
             return;
         }
         let pause = jittered(timing.hosts_poll_ms);
