--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -11,7 +11,7 @@
 use crate::entry::context::EntryContext;
 use crate::peers::mesh::PeerMesh;
 use crate::sources::ConfigText;
-use crate::sources::follow::WatchOrder;
+use crate::sources::follow::WatchCommand;
 
 use super::message::OutsideCommand;
 use super::sources::adopt;
@@ -24,7 +24,7 @@
     /// Connections to peers; absent in a router without peers.
     pub mesh: Option<PeerMesh>,
     /// Whether the configuration service is watched.
-    pub watch: watch::Sender<WatchOrder>,
+    pub watch: watch::Sender<WatchCommand>,
     /// Ends everything.
     pub closing: CancellationToken,
 }
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -32,7 +32,7 @@
 use crate::peers::mesh::PeerMesh;
 use crate::peers::tls::PeerTls;
 use crate::settings::SourceSettings;
-use crate::sources::follow::WatchOrder;
+use crate::sources::follow::WatchCommand;
 use crate::units::DomainName;
 use crate::units::HostName;
 use crate::units::RequestId;
@@ -179,9 +179,9 @@
             let taking = mesh::take_calls(Arc::clone(&context), calls);
             tasks.spawn(closing.clone().run_until_cancelled_owned(taking));
         }
-        let (watch, order) = watch::channel(WatchOrder {
+        let (watch, order) = watch::channel(WatchCommand {
             on: true,
-            ..WatchOrder::default()
+            ..WatchCommand::default()
         });
         if let Some(settings) = &parts.sources {
             context.records.board.watches(true);
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -16,7 +16,7 @@
 use crate::sources::ConfigText;
 use crate::sources::follow::ConfigUpdate;
 use crate::sources::follow::HostUpdate;
-use crate::sources::follow::WatchOrder;
+use crate::sources::follow::WatchCommand;
 use crate::sources::follow::follow_config;
 use crate::sources::follow::follow_hosts;
 use crate::units::ConfigRevision;
@@ -29,7 +29,7 @@
 pub fn follow(
     settings: &SourceSettings,
     context: &Arc<EntryContext>,
-    order: watch::Receiver<WatchOrder>,
+    order: watch::Receiver<WatchCommand>,
     tasks: &TaskTracker,
     closing: &CancellationToken,
 ) {
--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -40,7 +40,7 @@
 
 /// Controls the watch of the configuration service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct WatchOrder {
+pub struct WatchCommand {
     /// True to watch, false to make no calls to the service.
     pub on: bool,
     /// The revision that the router has, from the service or from a peer.
@@ -54,7 +54,7 @@
 pub async fn follow_config(
     source: impl ConfigSource,
     timing: SourceTiming,
-    mut order: watch::Receiver<WatchOrder>,
+    mut order: watch::Receiver<WatchCommand>,
     sender: mpsc::Sender<ConfigUpdate>,
     cancel: CancellationToken,
 ) {
@@ -102,7 +102,7 @@
 
 /// Waits until watching is switched off and returns true, or false if the sender of `order` is
 /// gone.
-async fn switched_off(order: &mut watch::Receiver<WatchOrder>) -> bool {
+async fn switched_off(order: &mut watch::Receiver<WatchCommand>) -> bool {
     order.wait_for(|order| !order.on).await.is_ok()
 }
 
--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -22,7 +22,7 @@
 use verbenaturn::sources::SourceFault;
 use verbenaturn::sources::file::FileConfigSource;
 use verbenaturn::sources::follow::ConfigUpdate;
-use verbenaturn::sources::follow::WatchOrder;
+use verbenaturn::sources::follow::WatchCommand;
 use verbenaturn::sources::follow::follow_config;
 use verbenaturn::sources::http::HttpConfigSource;
 use verbenaturn::sources::http::HttpHostSource;
@@ -137,7 +137,7 @@
 async fn following_survives_a_service_that_fails() {
     let (sources, source) = standin().await;
     sources.publish("{}");
-    let (order, orders) = watch::channel(WatchOrder {
+    let (order, orders) = watch::channel(WatchCommand {
         on: true,
         after: ConfigRevision(0),
     });
@@ -169,7 +169,7 @@
     open_watches(&sources, 0).await;
     let calls = sources.config_calls();
     sources.publish("{  }");
-    order.send_replace(WatchOrder {
+    order.send_replace(WatchCommand {
         on: true,
         after: ConfigRevision(3),
     });
