--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -47,32 +47,32 @@
     pub after: ConfigRevision,
 }
 
-/// Watches the configuration service while `order` is on and sends each result to `sender`.
+/// Watches the configuration service while `command` is on and sends each result to `sender`.
 ///
 /// A publication that is refused for its faults is not read again, because the next watch starts
-/// after its revision. While `order` is off, no call is made or left open.
+/// after its revision. While `command` is off, no call is made or left open.
 pub async fn follow_config(
     source: impl ConfigSource,
     timing: SourceTiming,
-    mut order: watch::Receiver<WatchCommand>,
+    mut command: watch::Receiver<WatchCommand>,
     sender: mpsc::Sender<ConfigUpdate>,
     cancel: CancellationToken,
 ) {
     let mut seen = ConfigRevision(0);
     loop {
-        let now = *order.borrow_and_update();
+        let now = *command.borrow_and_update();
         seen = seen.max(now.after);
         if !now.on {
             tokio::select! {
                 () = cancel.cancelled() => return,
-                changed = order.changed() => if changed.is_err() { return },
+                changed = command.changed() => if changed.is_err() { return },
             }
             continue;
         }
         let update = tokio::select! {
             () = cancel.cancelled() => return,
             update = next_update(&source, seen) => update,
-            switched = switched_off(&mut order) => if switched { continue } else { return },
+            switched = switched_off(&mut command) => if switched { continue } else { return },
         };
         let failed = matches!(update, ConfigUpdate::Failed(_));
         if let ConfigUpdate::Newer(text) = &update {
@@ -100,10 +100,10 @@
     }
 }
 
-/// Waits until watching is switched off and returns true, or false if the sender of `order` is
+/// Waits until watching is switched off and returns true, or false if the sender of `command` is
 /// gone.
-async fn switched_off(order: &mut watch::Receiver<WatchCommand>) -> bool {
-    order.wait_for(|order| !order.on).await.is_ok()
+async fn switched_off(command: &mut watch::Receiver<WatchCommand>) -> bool {
+    command.wait_for(|command| !command.on).await.is_ok()
 }
 
 /// Reads the host list at intervals and sends each result to `sender`.
