--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -81,7 +81,7 @@
         if sender.send(update).await.is_err() {
             return;
         }
-        if failed && !rest(&timing, &cancel).await {
+        if failed && !pause_before_retry(&timing, &cancel).await {
             return;
         }
     }
@@ -129,7 +129,7 @@
     }
 }
 
-async fn rest(timing: &SourceTiming, cancel: &CancellationToken) -> bool {
+async fn pause_before_retry(timing: &SourceTiming, cancel: &CancellationToken) -> bool {
     tokio::select! {
         () = cancel.cancelled() => false,
         () = sleep(jittered(timing.retry_ms)) => true,
