--- a/src/sources/error.rs
+++ b/src/sources/error.rs
@@ -32,7 +32,7 @@
     /// The revision is older than one that was seen before.
     OldRevision {
         /// The one that was received now.
-        came: ConfigRevision,
+        received: ConfigRevision,
         /// The one that was seen before.
         seen: ConfigRevision,
     },
@@ -74,10 +74,10 @@
             Self::TimedOut => formatter.write_str("no answer in time"),
             Self::Status(status) => write!(formatter, "status {status}"),
             Self::NoRevision => formatter.write_str("no revision"),
-            Self::OldRevision { came, seen } => {
+            Self::OldRevision { received, seen } => {
                 write!(
                     formatter,
-                    "revision {came} is older than {seen}; the newer one stays in use"
+                    "revision {received} is older than {seen}; the newer one stays in use"
                 )
             }
             Self::SameRevision(revision) => {
--- a/src/sources/file.rs
+++ b/src/sources/file.rs
@@ -201,7 +201,7 @@
     ) -> Result<(), Report<SourceError>> {
         if news.revision < seen.revision {
             let fault = SourceFault::OldRevision {
-                came: news.revision,
+                received: news.revision,
                 seen: seen.revision,
             };
             return Err(self.reader.error(step, fault));
@@ -232,7 +232,7 @@
             }
             if news.revision < after {
                 let fault = SourceFault::OldRevision {
-                    came: news.revision,
+                    received: news.revision,
                     seen: after,
                 };
                 return Err(self.reader.error(step, fault));
--- a/src/sources/http.rs
+++ b/src/sources/http.rs
@@ -202,7 +202,7 @@
         let news = self.config_text(step, answer)?;
         if news.revision < after {
             let fault = SourceFault::OldRevision {
-                came: news.revision,
+                received: news.revision,
                 seen: after,
             };
             return Err(self.reader.error(step, fault));
--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -99,7 +99,7 @@
     sources.set_mood(ServiceMood::Old(value(3, "{}")));
     let fault = source.watch(ConfigRevision(5)).await.unwrap_err();
     let old = SourceFault::OldRevision {
-        came: ConfigRevision(3),
+        received: ConfigRevision(3),
         seen: ConfigRevision(5),
     };
     assert_eq!(fault.current_context().fault, old);
@@ -198,7 +198,7 @@
     write(r#"{"revision": 4}"#);
     let fault = source.watch(ConfigRevision(5)).await.unwrap_err();
     let old = SourceFault::OldRevision {
-        came: ConfigRevision(4),
+        received: ConfigRevision(4),
         seen: ConfigRevision(5),
     };
     assert_eq!(fault.current_context().fault, old);
