--- a/src/sources/file.rs
+++ b/src/sources/file.rs
@@ -165,7 +165,7 @@
         let revision = self.revision(step, &text)?;
         let news = ConfigText { revision, text };
         if let Some(seen) = seen {
-            self.compare(step, &seen.news, &news)?;
+            self.check_revision(step, &seen.news, &news)?;
         }
         *self.seen.lock().unwrap_or_else(PoisonError::into_inner) = Some(SeenFile {
             stamp,
@@ -193,7 +193,7 @@
     /// Refuses an older revision, and a changed text under the same revision. If an operator edits
     /// the file and forgets its revision, or restores an old copy, routers that were restarted
     /// since would otherwise use another text than the others.
-    fn compare(
+    fn check_revision(
         &self,
         step: SourceStep,
         seen: &ConfigText,
