--- a/src/sources/file.rs
+++ b/src/sources/file.rs
@@ -123,7 +123,7 @@
 #[derive(Debug, Clone)]
 struct SeenFile {
     stamp: Option<FileStamp>,
-    news: ConfigText,
+    latest: ConfigText,
 }
 
 #[derive(Debug, Deserialize)]
@@ -159,19 +159,19 @@
             && seen.stamp == Some(stamp)
             && stamp.settled()
         {
-            return Ok(seen.news.clone());
+            return Ok(seen.latest.clone());
         }
         let text = self.reader.read(step).await?;
         let revision = self.revision(step, &text)?;
-        let news = ConfigText { revision, text };
+        let latest = ConfigText { revision, text };
         if let Some(seen) = seen {
-            self.check_revision(step, &seen.news, &news)?;
+            self.check_revision(step, &seen.latest, &latest)?;
         }
         *self.seen.lock().unwrap_or_else(PoisonError::into_inner) = Some(SeenFile {
             stamp,
-            news: news.clone(),
+            latest: latest.clone(),
         });
-        Ok(news)
+        Ok(latest)
     }
 
     fn revision(
@@ -197,17 +197,17 @@
         &self,
         step: SourceStep,
         seen: &ConfigText,
-        news: &ConfigText,
+        latest: &ConfigText,
     ) -> Result<(), Report<SourceError>> {
-        if news.revision < seen.revision {
+        if latest.revision < seen.revision {
             let fault = SourceFault::OldRevision {
-                received: news.revision,
+                received: latest.revision,
                 seen: seen.revision,
             };
             return Err(self.reader.error(step, fault));
         }
-        if news.revision == seen.revision && news.text != seen.text {
-            let fault = SourceFault::SameRevision(news.revision);
+        if latest.revision == seen.revision && latest.text != seen.text {
+            let fault = SourceFault::SameRevision(latest.revision);
             return Err(self.reader.error(step, fault));
         }
         Ok(())
@@ -226,13 +226,13 @@
         let step = SourceStep::WatchConfig;
         let end = Instant::now() + self.hold;
         loop {
-            let news = self.load(step).await?;
-            if news.revision > after {
-                return Ok(Some(news));
+            let latest = self.load(step).await?;
+            if latest.revision > after {
+                return Ok(Some(latest));
             }
-            if news.revision < after {
+            if latest.revision < after {
                 let fault = SourceFault::OldRevision {
-                    received: news.revision,
+                    received: latest.revision,
                     seen: after,
                 };
                 return Err(self.reader.error(step, fault));
