--- a/examples/measure/slope_sizes.rs
+++ b/examples/measure/slope_sizes.rs
@@ -14,7 +14,7 @@
 use verbenaturn::wire::allotment::SlotAllotment;
 use verbenaturn::wire::demand::DemandReport;
 use verbenaturn::wire::gossip::GossipPing;
-use verbenaturn::wire::gossip::MemberNews;
+use verbenaturn::wire::gossip::MemberUpdate;
 
 use super::slopes::SlopeFigure;
 use super::slopes::median;
@@ -108,7 +108,7 @@
             ("report_bytes", PeerBody::Demand(demand))
         }
         _ => {
-            let news = MemberNews {
+            let news = MemberUpdate {
                 host: "host-1234".into(),
                 address: "127.100.200.100:7000".into(),
                 incarnation: 1,
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -17,7 +17,7 @@
 use crate::units::RouterIncarnation;
 use crate::units::TimeSpan;
 use crate::wire::PeerBody;
-use crate::wire::gossip::MemberNews;
+use crate::wire::gossip::MemberUpdate;
 
 /// Milliseconds since a direct sign of life within which news of a router's death is not
 /// believed but passed on to that router, so that it can refute.
@@ -88,10 +88,10 @@
 
 /// What is known of a router, to pass on.
 #[must_use]
-pub fn news_of(state: &CoreState, host: &HostName) -> Option<MemberNews> {
+pub fn news_of(state: &CoreState, host: &HostName) -> Option<MemberUpdate> {
     let row = state.members.get(host)?;
     let rank = row.rank()?;
-    Some(MemberNews {
+    Some(MemberUpdate {
         host: host.to_string(),
         address: row.address.to_string(),
         incarnation: rank.incarnation.0,
@@ -255,7 +255,7 @@
     }
 }
 
-fn take_news(state: &mut CoreState, from: &HostName, news: &MemberNews) {
+fn take_news(state: &mut CoreState, from: &HostName, news: &MemberUpdate) {
     let Ok(host) = news.host.parse::<HostName>() else {
         return;
     };
@@ -306,7 +306,7 @@
     heard_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(FRESH_MS))
 }
 
-fn take_newcomer(state: &mut CoreState, host: &HostName, told: MemberRank, news: &MemberNews) {
+fn take_newcomer(state: &mut CoreState, host: &HostName, told: MemberRank, news: &MemberUpdate) {
     let Ok(domain) = news.domain.parse() else {
         return;
     };
@@ -335,7 +335,7 @@
     from: &HostName,
     host: &HostName,
     told: MemberRank,
-    news: &MemberNews,
+    news: &MemberUpdate,
 ) {
     let domain = news.domain.parse().ok();
     let moved = state
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -23,7 +23,7 @@
 use crate::units::TimeSpan;
 use crate::wire::PeerBody;
 use crate::wire::gossip::GossipPing;
-use crate::wire::gossip::MemberNews;
+use crate::wire::gossip::MemberUpdate;
 
 /// A ping that wants an answer.
 const PING: u32 = 0;
@@ -73,7 +73,7 @@
 }
 
 /// Tells a router a piece of news about itself, so that it can refute.
-pub fn tell(state: &mut CoreState, host: &HostName, news: MemberNews) {
+pub fn tell(state: &mut CoreState, host: &HostName, news: MemberUpdate) {
     let ping = GossipPing {
         step: ANSWER,
         news: vec![news],
--- a/src/wire/gossip.rs
+++ b/src/wire/gossip.rs
@@ -19,7 +19,7 @@
     pub revision: u64,
     /// State updates about members.
     #[prost(message, repeated, tag = "5")]
-    pub news: Vec<MemberNews>,
+    pub news: Vec<MemberUpdate>,
     /// Endpoints known to be leaving, each with its generation.
     #[prost(message, repeated, tag = "6")]
     pub leaving: Vec<LeavingNews>,
@@ -31,7 +31,7 @@
 
 /// The membership state of one router, as known to the sender.
 #[derive(Clone, PartialEq, Message)]
-pub struct MemberNews {
+pub struct MemberUpdate {
     /// Host name.
     #[prost(string, tag = "1")]
     pub host: String,
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -17,7 +17,7 @@
 use verbenaturn::wire::PeerBody;
 use verbenaturn::wire::PeerMessage;
 use verbenaturn::wire::gossip::GossipPing;
-use verbenaturn::wire::gossip::MemberNews;
+use verbenaturn::wire::gossip::MemberUpdate;
 
 use self::cores::CoreFleet;
 use self::cores::catalog;
@@ -155,7 +155,7 @@
     fleet.advance(2_000);
     let late = PeerMessage::new(PeerBody::Gossip(GossipPing {
         step: 1,
-        news: vec![MemberNews {
+        news: vec![MemberUpdate {
             host: host(3).to_string(),
             address: "127.0.0.1:9".to_owned(),
             incarnation: old.0,
@@ -306,7 +306,7 @@
         let mut fleet = CoreFleet::new(2, catalog(1, 2));
         let news = rows
             .into_iter()
-            .map(|(name, incarnation, state, refutation)| MemberNews {
+            .map(|(name, incarnation, state, refutation)| MemberUpdate {
                 host: name.clone(),
                 address: name.clone(),
                 incarnation,
