--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -11,7 +11,7 @@
 use crate::units::EndpointId;
 use crate::units::PoolId;
 use crate::wire::PeerBody;
-use crate::wire::gossip::LeavingNews;
+use crate::wire::gossip::LeavingEndpoint;
 
 /// Takes in what the host list, the publication and peers say of endpoints.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
@@ -44,7 +44,7 @@
 }
 
 /// News of leaving endpoints for one ping.
-pub fn take_news(state: &mut CoreState) -> Vec<LeavingNews> {
+pub fn take_news(state: &mut CoreState) -> Vec<LeavingEndpoint> {
     let limit = telling_limit(state.members.len(), state.config.probing.spread);
     let ids = state.leaving_rumors.take(state.config.leaving.news, limit);
     ids.into_iter()
@@ -54,16 +54,16 @@
 
 /// All leaving endpoints, for a router that just connected.
 #[must_use]
-pub fn all_news(state: &CoreState) -> Vec<LeavingNews> {
+pub fn all_news(state: &CoreState) -> Vec<LeavingEndpoint> {
     let rows = state.endpoints.iter().filter(|(_, row)| row.leaving);
     rows.take(state.config.leaving.greeting)
         .filter_map(|(id, _)| news_of(state, id))
         .collect()
 }
 
-fn news_of(state: &CoreState, endpoint: EndpointId) -> Option<LeavingNews> {
+fn news_of(state: &CoreState, endpoint: EndpointId) -> Option<LeavingEndpoint> {
     let row = state.endpoints.get(endpoint)?;
-    row.leaving.then_some(LeavingNews {
+    row.leaving.then_some(LeavingEndpoint {
         endpoint: endpoint.0,
         generation: row.generation,
     })
--- a/src/wire/gossip.rs
+++ b/src/wire/gossip.rs
@@ -22,7 +22,7 @@
     pub news: Vec<MemberUpdate>,
     /// Endpoints known to be leaving, each with its generation.
     #[prost(message, repeated, tag = "6")]
-    pub leaving: Vec<LeavingNews>,
+    pub leaving: Vec<LeavingEndpoint>,
     /// Milliseconds since the configuration service last answered any router that the sender knows
     /// of, plus one; 0 if it never answered.
     #[prost(uint64, tag = "7")]
@@ -55,7 +55,7 @@
 
 /// An endpoint that is leaving, as known to the sender.
 #[derive(Clone, PartialEq, Message)]
-pub struct LeavingNews {
+pub struct LeavingEndpoint {
     /// The endpoint.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
