--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -174,7 +174,7 @@
         if !is_held && state.trials.lend(fingerprint, from, state.now, span) {
             answer.lent.push(fingerprint.0);
         } else {
-            answer.withheld.push(fingerprint.0);
+            answer.lease_denied.push(fingerprint.0);
         }
     }
     if !notice.wanted.is_empty() {
@@ -186,8 +186,8 @@
 pub fn take_answers(state: &mut CoreState, notice: &QuarantineNotice) {
     let span = super::check_window(state);
     let lent = notice.lent.iter().map(|lent| (*lent, true));
-    let withheld = notice.withheld.iter().map(|held| (*held, false));
-    for (fingerprint, is_lent) in lent.chain(withheld) {
+    let lease_denied = notice.lease_denied.iter().map(|held| (*held, false));
+    for (fingerprint, is_lent) in lent.chain(lease_denied) {
         let fingerprint = RequestFingerprint(fingerprint);
         state.trials.answered(fingerprint, is_lent, state.now, span);
     }
--- a/src/wire/quarantine.rs
+++ b/src/wire/quarantine.rs
@@ -45,5 +45,5 @@
     /// From the fingerprints' home: requests of which a copy may be running on another router, so
     /// that the lease is refused.
     #[prost(fixed64, repeated, tag = "11")]
-    pub withheld: Vec<u64>,
+    pub lease_denied: Vec<u64>,
 }
