--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -166,7 +166,7 @@
             team: self.facts.team.0,
             kind: self.facts.kind.to_string(),
             deadline_ms: left.as_millis(),
-            ticket_minter: ticket.map_or(0, |ticket| ticket.minter.0),
+            ticket_issuer: ticket.map_or(0, |ticket| ticket.minter.0),
             ticket_number: ticket.map_or(0, |ticket| ticket.number),
         }
     }
--- a/src/wire/forward.rs
+++ b/src/wire/forward.rs
@@ -72,7 +72,7 @@
     pub deadline_ms: u64,
     /// The router incarnation that issued the ticket; 0 without a ticket.
     #[prost(fixed64, tag = "7")]
-    pub ticket_minter: u64,
+    pub ticket_issuer: u64,
     /// The ticket's number at its issuer; 0 without a ticket.
     #[prost(uint64, tag = "8")]
     pub ticket_number: u64,
