--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn a_stranger_without_the_key_gets_in_neither_by_dialing_nor_by_being_dialed() {
+async fn a_peer_without_the_key_is_refused_as_dialer_and_as_acceptor() {
     let mut left = Router::start("left", 1, &[7], None).await;
     let mut stranger = Router::start("stranger", 9, &[8], None).await;
     stranger.dial(&left);
