--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -209,7 +209,7 @@
 // A peer of a newer version, a port scanner or a faulty process connects. The router must close the
 // connection and keep serving its other peers.
 #[tokio::test]
-async fn nonsense_oversized_frames_and_other_versions_are_dropped() {
+async fn malformed_and_oversized_frames_and_other_versions_are_refused() {
     let mut left = Router::start("left", 1, &[7], None).await;
     let hello = HelloFrame {
         version: 99,
