--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -365,7 +365,7 @@
 // A caller disconnects while a peer serves its forwarded request. The peer must be notified, so
 // that it stops the work at the endpoint.
 #[tokio::test]
-async fn a_caller_that_leaves_cancels_the_forwarded_call() {
+async fn a_disconnected_caller_cancels_the_forwarded_call() {
     let left = Router::start("left", 1, &[7], None).await;
     let mut right = Router::start("right", 2, &[7], None).await;
     let client = left.mesh.forward_client();
