--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -380,7 +380,7 @@
 // The router that issued a ticket restarts. Its new incarnation must not get the request, because
 // it can't know if the previous one ran it.
 #[tokio::test]
-async fn a_request_for_a_gone_incarnation_is_not_sent() {
+async fn a_request_for_a_previous_incarnation_is_not_sent() {
     let left = Router::start("left", 1, &[7], None).await;
     let mut right = Router::start("right", 2, &[7], None).await;
     let client = left.mesh.forward_client();
