--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -393,7 +393,7 @@
 // The handler at the peer does not read. Buffers between the ends are bounded, so the sender of a
 // long body must be blocked.
 #[tokio::test]
-async fn a_handler_that_does_not_read_holds_the_sender_back() {
+async fn a_handler_that_does_not_read_blocks_the_sender() {
     let left = Router::start("left", 1, &[7], None).await;
     let mut right = Router::start("right", 2, &[7], None).await;
     let client = left.mesh.forward_client();
