--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -79,7 +79,7 @@
 // The configuration service accepts the connection and never answers. Without a timeout the router
 // would wait forever and keep its old publication after the service has recovered.
 #[tokio::test]
-async fn a_hanging_service_is_given_up() {
+async fn a_hanging_service_times_out() {
     let (sources, source) = standin().await;
     sources.publish("{}");
     sources.set_mood(ServiceMood::Hanging);
