--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -94,7 +94,7 @@
 // A lagging replica of the service answers a watch with an older revision. If it were accepted, it
 // would bring back shares that operators have changed since.
 #[tokio::test]
-async fn an_older_revision_is_no_news() {
+async fn an_older_revision_is_an_error() {
     let (sources, source) = standin().await;
     sources.set_mood(ServiceMood::Old(value(3, "{}")));
     let fault = source.watch(ConfigRevision(5)).await.unwrap_err();
