--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -188,7 +188,7 @@
 // revision. Routers that restart would take it while the others keep theirs, so that the fleet runs
 // on two publications. The file must be refused until its revision increases.
 #[tokio::test]
-async fn a_file_that_goes_back_is_refused() {
+async fn a_file_whose_revision_does_not_increase_is_refused() {
     let path = scratch_file("goes-back.json");
     let write = |text: &str| std::fs::write(&path, text).unwrap();
     write(r#"{"revision": 5}"#);
