--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -153,8 +153,8 @@
     assert!(matches!(left.next().await, PeerEvent::Opened { .. }));
     right.cancel.cancel();
     assert!(matches!(left.next().await, PeerEvent::Closed { .. }));
-    let reborn = Router::start("right", 3, &[7], None).await;
-    left.dial(&reborn);
+    let restarted = Router::start("right", 3, &[7], None).await;
+    left.dial(&restarted);
     loop {
         match left.next().await {
             PeerEvent::Opened { incarnation, .. } => {
