--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -106,7 +106,7 @@
     }
 }
 
-fn question(revision: u64) -> PeerMessage {
+fn request(revision: u64) -> PeerMessage {
     PeerMessage::new(PeerBody::PublicationWanted(PublicationRequest { revision }))
 }
 
@@ -131,14 +131,14 @@
     assert!(
         matches!(right.next().await, PeerEvent::Opened { incarnation, .. } if incarnation.0 == 1)
     );
-    left.mesh.send(&right.host, question(3));
+    left.mesh.send(&right.host, request(3));
     assert!(
-        matches!(right.next().await, PeerEvent::Message { message, .. } if message == question(3))
+        matches!(right.next().await, PeerEvent::Message { message, .. } if message == request(3))
     );
-    right.mesh.send(&left.host, question(4));
+    right.mesh.send(&left.host, request(4));
     assert!(matches!(left.next().await, PeerEvent::Message { from, .. } if from == right.host));
     let sent = right.mesh.counters().received(TrafficKind::Publication);
-    assert_eq!(sent, question(3).encoded_len() as u64 + 20);
+    assert_eq!(sent, request(3).encoded_len() as u64 + 20);
     assert!(left.mesh.counters().sent(TrafficKind::Handshake) > 0);
 }
 
@@ -184,7 +184,7 @@
     old.dial(&new);
     assert!(matches!(old.next().await, PeerEvent::Opened { .. }));
     assert!(matches!(new.next().await, PeerEvent::Opened { .. }));
-    old.mesh.send(&new.host, question(5));
+    old.mesh.send(&new.host, request(5));
     assert!(matches!(new.next().await, PeerEvent::Message { .. }));
     new.mesh
         .set_keys(PeerKeys::new(vec![vec![8; 32]]).expect("one key"));
@@ -271,7 +271,7 @@
     left.dial(&right);
     assert!(matches!(left.next().await, PeerEvent::Opened { .. }));
     assert!(matches!(right.next().await, PeerEvent::Opened { .. }));
-    left.mesh.send(&right.host, question(3));
+    left.mesh.send(&right.host, request(3));
     assert!(matches!(right.next().await, PeerEvent::Message { .. }));
     let other = certified(&["other"]).pop();
     let mut other = Router::start("other", 3, &[7], other).await;
