--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -172,7 +172,7 @@
                 .refused_until(fingerprint, state.now)
                 .is_some();
         if !is_held && state.trials.lend(fingerprint, from, state.now, span) {
-            answer.lent.push(fingerprint.0);
+            answer.lease_granted.push(fingerprint.0);
         } else {
             answer.lease_denied.push(fingerprint.0);
         }
@@ -185,9 +185,12 @@
 /// Takes in what homes answered.
 pub fn take_answers(state: &mut CoreState, notice: &QuarantineNotice) {
     let span = super::check_window(state);
-    let lent = notice.lent.iter().map(|lent| (*lent, true));
+    let lease_granted = notice
+        .lease_granted
+        .iter()
+        .map(|lease_granted| (*lease_granted, true));
     let lease_denied = notice.lease_denied.iter().map(|held| (*held, false));
-    for (fingerprint, is_lent) in lent.chain(lease_denied) {
+    for (fingerprint, is_lent) in lease_granted.chain(lease_denied) {
         let fingerprint = RequestFingerprint(fingerprint);
         state.trials.answered(fingerprint, is_lent, state.now, span);
     }
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -152,13 +152,13 @@
     pub fn answered(
         &mut self,
         fingerprint: RequestFingerprint,
-        lent: bool,
+        lease_granted: bool,
         now: Moment,
         span: TimeSpan,
     ) {
         if let Some(lease) = self.wanted.get_mut(&fingerprint) {
             lease.heard_at = Some(now);
-            lease.until = lent.then_some(lease.asked_at + span);
+            lease.until = lease_granted.then_some(lease.asked_at + span);
         }
     }
 
--- a/src/wire/quarantine.rs
+++ b/src/wire/quarantine.rs
@@ -41,7 +41,7 @@
     pub ended: Vec<u64>,
     /// From the fingerprints' home: requests of which the receiver holds the lease to run a copy.
     #[prost(fixed64, repeated, tag = "10")]
-    pub lent: Vec<u64>,
+    pub lease_granted: Vec<u64>,
     /// From the fingerprints' home: requests of which a copy may be running on another router, so
     /// that the lease is refused.
     #[prost(fixed64, repeated, tag = "11")]
