--- a/examples/shared/sources.rs
+++ b/examples/shared/sources.rs
@@ -31,7 +31,7 @@
 
 /// How the configuration service answers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum ServiceMood {
+pub enum ServiceMode {
     /// As it should.
     #[default]
     Well,
@@ -51,7 +51,7 @@
 struct SourceState {
     config: PublishedValue,
     hosts: Bytes,
-    mood: ServiceMood,
+    mood: ServiceMode,
 }
 
 #[derive(Debug, Default)]
@@ -129,7 +129,7 @@
     }
 
     /// Makes the configuration service fail, or get well.
-    pub fn set_mood(&self, mood: ServiceMood) {
+    pub fn set_mood(&self, mood: ServiceMode) {
         self.state.send_modify(|state| state.mood = mood);
     }
 
@@ -217,7 +217,7 @@
 
 fn is_news(state: &SourceState, known: Option<u64>) -> bool {
     match state.mood {
-        ServiceMood::Well => known != Some(state.config.revision),
+        ServiceMode::Well => known != Some(state.config.revision),
         _ => true,
     }
 }
@@ -225,19 +225,19 @@
 async fn answer_by_mood(state: SourceState, known: Option<u64>) -> Response<Bytes> {
     let next = known.unwrap_or(state.config.revision) + 1;
     match state.mood {
-        ServiceMood::Well if state.config.revision == 0 => status(StatusCode::NOT_FOUND),
-        ServiceMood::Well => value(&state.config),
-        ServiceMood::Hanging => std::future::pending().await,
-        ServiceMood::Old(config) => value(&config),
-        ServiceMood::Oversized(bytes) => value(&PublishedValue {
+        ServiceMode::Well if state.config.revision == 0 => status(StatusCode::NOT_FOUND),
+        ServiceMode::Well => value(&state.config),
+        ServiceMode::Hanging => std::future::pending().await,
+        ServiceMode::Old(config) => value(&config),
+        ServiceMode::Oversized(bytes) => value(&PublishedValue {
             revision: next,
             text: Bytes::from(vec![b' '; bytes]),
         }),
-        ServiceMood::Garbage => value(&PublishedValue {
+        ServiceMode::Garbage => value(&PublishedValue {
             revision: next,
             text: Bytes::from_static(b"<html>\xff not json"),
         }),
-        ServiceMood::Failing(code) => {
+        ServiceMode::Failing(code) => {
             status(StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
         }
     }
