--- a/examples/shared/sources.rs
+++ b/examples/shared/sources.rs
@@ -129,7 +129,7 @@
     }
 
     /// Makes the configuration service fail, or get well.
-    pub fn set_mood(&self, mood: ServiceMode) {
+    pub fn set_mode(&self, mood: ServiceMode) {
         self.state.send_modify(|state| state.mood = mood);
     }
 
--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -82,12 +82,12 @@
 async fn a_hanging_service_times_out() {
     let (sources, source) = standin().await;
     sources.publish("{}");
-    sources.set_mood(ServiceMode::Hanging);
+    sources.set_mode(ServiceMode::Hanging);
     let read = source.read().await.unwrap_err();
     assert_eq!(read.current_context().fault, SourceFault::TimedOut);
     let watch = source.watch(ConfigRevision(1)).await.unwrap_err();
     assert_eq!(watch.current_context().fault, SourceFault::TimedOut);
-    sources.set_mood(ServiceMode::Well);
+    sources.set_mode(ServiceMode::Well);
     assert!(source.read().await.is_ok());
 }
 
@@ -96,7 +96,7 @@
 #[tokio::test]
 async fn an_older_revision_is_an_error() {
     let (sources, source) = standin().await;
-    sources.set_mood(ServiceMode::Old(value(3, "{}")));
+    sources.set_mode(ServiceMode::Old(value(3, "{}")));
     let fault = source.watch(ConfigRevision(5)).await.unwrap_err();
     let old = SourceFault::OldRevision {
         received: ConfigRevision(3),
@@ -109,11 +109,11 @@
 #[tokio::test]
 async fn a_value_over_a_megabyte_is_not_read() {
     let (sources, source) = standin().await;
-    sources.set_mood(ServiceMode::Oversized(MAX_PUBLICATION_BYTES + 1));
+    sources.set_mode(ServiceMode::Oversized(MAX_PUBLICATION_BYTES + 1));
     let fault = source.read().await.unwrap_err();
     let too_large = SourceFault::TooLarge(MAX_PUBLICATION_BYTES);
     assert_eq!(fault.current_context().fault, too_large);
-    sources.set_mood(ServiceMode::Oversized(MAX_PUBLICATION_BYTES));
+    sources.set_mode(ServiceMode::Oversized(MAX_PUBLICATION_BYTES));
     assert_eq!(
         source.read().await.unwrap().text.len(),
         MAX_PUBLICATION_BYTES
@@ -154,9 +154,9 @@
         panic!("the first read failed");
     };
     assert_eq!(first.revision, ConfigRevision(1));
-    sources.set_mood(ServiceMode::Failing(503));
+    sources.set_mode(ServiceMode::Failing(503));
     while !matches!(news.recv().await.unwrap(), ConfigUpdate::Failed(_)) {}
-    sources.set_mood(ServiceMode::Well);
+    sources.set_mode(ServiceMode::Well);
     sources.publish("{ }");
     let second = loop {
         if let ConfigUpdate::Newer(text) = news.recv().await.unwrap() {
