--- a/examples/shared/sources.rs
+++ b/examples/shared/sources.rs
@@ -51,7 +51,7 @@
 struct SourceState {
     config: PublishedValue,
     hosts: Bytes,
-    mood: ServiceMode,
+    mode: ServiceMode,
 }
 
 #[derive(Debug, Default)]
@@ -129,8 +129,8 @@
     }
 
     /// Makes the configuration service fail, or get well.
-    pub fn set_mode(&self, mood: ServiceMode) {
-        self.state.send_modify(|state| state.mood = mood);
+    pub fn set_mode(&self, mode: ServiceMode) {
+        self.state.send_modify(|state| state.mode = mode);
     }
 
     /// Calls of the configuration service so far, reads and watches.
@@ -216,7 +216,7 @@
 }
 
 fn is_news(state: &SourceState, known: Option<u64>) -> bool {
-    match state.mood {
+    match state.mode {
         ServiceMode::Well => known != Some(state.config.revision),
         _ => true,
     }
@@ -224,7 +224,7 @@
 
 async fn answer_by_mood(state: SourceState, known: Option<u64>) -> Response<Bytes> {
     let next = known.unwrap_or(state.config.revision) + 1;
-    match state.mood {
+    match state.mode {
         ServiceMode::Well if state.config.revision == 0 => status(StatusCode::NOT_FOUND),
         ServiceMode::Well => value(&state.config),
         ServiceMode::Hanging => std::future::pending().await,
