--- a/examples/shared/sources.rs
+++ b/examples/shared/sources.rs
@@ -34,7 +34,7 @@
 pub enum ServiceMode {
     /// As it should.
     #[default]
-    Well,
+    Healthy,
     /// Takes requests and never answers.
     Hanging,
     /// Answers everything with this older value.
@@ -217,7 +217,7 @@
 
 fn is_news(state: &SourceState, known: Option<u64>) -> bool {
     match state.mode {
-        ServiceMode::Well => known != Some(state.config.revision),
+        ServiceMode::Healthy => known != Some(state.config.revision),
         _ => true,
     }
 }
@@ -225,8 +225,8 @@
 async fn answer_by_mood(state: SourceState, known: Option<u64>) -> Response<Bytes> {
     let next = known.unwrap_or(state.config.revision) + 1;
     match state.mode {
-        ServiceMode::Well if state.config.revision == 0 => status(StatusCode::NOT_FOUND),
-        ServiceMode::Well => value(&state.config),
+        ServiceMode::Healthy if state.config.revision == 0 => status(StatusCode::NOT_FOUND),
+        ServiceMode::Healthy => value(&state.config),
         ServiceMode::Hanging => std::future::pending().await,
         ServiceMode::Old(config) => value(&config),
         ServiceMode::Oversized(bytes) => value(&PublishedValue {
--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -87,7 +87,7 @@
     assert_eq!(read.current_context().fault, SourceFault::TimedOut);
     let watch = source.watch(ConfigRevision(1)).await.unwrap_err();
     assert_eq!(watch.current_context().fault, SourceFault::TimedOut);
-    sources.set_mode(ServiceMode::Well);
+    sources.set_mode(ServiceMode::Healthy);
     assert!(source.read().await.is_ok());
 }
 
@@ -156,7 +156,7 @@
     assert_eq!(first.revision, ConfigRevision(1));
     sources.set_mode(ServiceMode::Failing(503));
     while !matches!(news.recv().await.unwrap(), ConfigUpdate::Failed(_)) {}
-    sources.set_mode(ServiceMode::Well);
+    sources.set_mode(ServiceMode::Healthy);
     sources.publish("{ }");
     let second = loop {
         if let ConfigUpdate::Newer(text) = news.recv().await.unwrap() {
