--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -80,7 +80,8 @@
     reader: ForwardReader,
 }
 
-/// Collects both halves of a connection after a complete exchange, so that it can be reused.
+/// State shared by both halves of a connection. Collects them after a complete exchange, so that
+/// the connection can be reused.
 #[derive(Debug)]
 struct SharedLink {
     client: ForwardClient,
@@ -204,6 +205,7 @@
         PeerError::new(step, self.remote.host.as_str())
     }
 
+    /// Returns the connection to the pool once both halves are back.
     fn pool_if_complete(&self) {
         let mut writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         let mut reader = self.reader.lock().unwrap_or_else(PoisonError::into_inner);
