--- a/examples/shared/sources.rs
+++ b/examples/shared/sources.rs
@@ -31,10 +31,10 @@
 
 /// How the configuration service answers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum ServiceMood {
+pub enum ServiceMode {
     /// As it should.
     #[default]
-    Well,
+    Healthy,
     /// Takes requests and never answers.
     Hanging,
     /// Answers everything with this older value.
@@ -51,7 +51,7 @@
 struct SourceState {
     config: PublishedValue,
     hosts: Bytes,
-    mood: ServiceMood,
+    mode: ServiceMode,
 }
 
 #[derive(Debug, Default)]
@@ -129,8 +129,8 @@
     }
 
     /// Makes the configuration service fail, or get well.
-    pub fn set_mood(&self, mood: ServiceMood) {
-        self.state.send_modify(|state| state.mood = mood);
+    pub fn set_mode(&self, mode: ServiceMode) {
+        self.state.send_modify(|state| state.mode = mode);
     }
 
     /// Calls of the configuration service so far, reads and watches.
@@ -216,28 +216,28 @@
 }
 
 fn is_news(state: &SourceState, known: Option<u64>) -> bool {
-    match state.mood {
-        ServiceMood::Well => known != Some(state.config.revision),
+    match state.mode {
+        ServiceMode::Healthy => known != Some(state.config.revision),
         _ => true,
     }
 }
 
 async fn answer_by_mood(state: SourceState, known: Option<u64>) -> Response<Bytes> {
     let next = known.unwrap_or(state.config.revision) + 1;
-    match state.mood {
-        ServiceMood::Well if state.config.revision == 0 => status(StatusCode::NOT_FOUND),
-        ServiceMood::Well => value(&state.config),
-        ServiceMood::Hanging => std::future::pending().await,
-        ServiceMood::Old(config) => value(&config),
-        ServiceMood::Oversized(bytes) => value(&PublishedValue {
+    match state.mode {
+        ServiceMode::Healthy if state.config.revision == 0 => status(StatusCode::NOT_FOUND),
+        ServiceMode::Healthy => value(&state.config),
+        ServiceMode::Hanging => std::future::pending().await,
+        ServiceMode::Old(config) => value(&config),
+        ServiceMode::Oversized(bytes) => value(&PublishedValue {
             revision: next,
             text: Bytes::from(vec![b' '; bytes]),
         }),
-        ServiceMood::Garbage => value(&PublishedValue {
+        ServiceMode::Garbage => value(&PublishedValue {
             revision: next,
             text: Bytes::from_static(b"<html>\xff not json"),
         }),
-        ServiceMood::Failing(code) => {
+        ServiceMode::Failing(code) => {
             status(StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
         }
     }
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -18,7 +18,7 @@
 use crate::units::RouterIncarnation;
 use crate::units::TimeSpan;
 use crate::wire::PeerBody;
-use crate::wire::gossip::MemberNews;
+use crate::wire::gossip::MemberUpdate;
 
 /// Milliseconds after the last message from a connected router during which gossip that it is
 /// suspect or dead is not applied but sent on to that router, so that it can refute it.
@@ -95,10 +95,10 @@
 
 /// Returns what is known of a router as gossip to pass on; `None` if no incarnation is known.
 #[must_use]
-pub fn news_of(state: &CoreState, host: &HostName) -> Option<MemberNews> {
+pub fn news_of(state: &CoreState, host: &HostName) -> Option<MemberUpdate> {
     let row = state.members.get(host)?;
     let rank = row.rank()?;
-    Some(MemberNews {
+    Some(MemberUpdate {
         host: host.to_string(),
         address: row.address.to_string(),
         incarnation: rank.incarnation.0,
@@ -274,7 +274,7 @@
     }
 }
 
-fn handle_news(state: &mut CoreState, from: &HostName, news: &MemberNews) {
+fn handle_news(state: &mut CoreState, from: &HostName, news: &MemberUpdate) {
     let Ok(host) = news.host.parse::<HostName>() else {
         return;
     };
@@ -333,7 +333,7 @@
     state: &mut CoreState,
     host: &HostName,
     received: MemberRank,
-    news: &MemberNews,
+    news: &MemberUpdate,
 ) {
     let Ok(domain) = news.domain.parse() else {
         return;
@@ -363,7 +363,7 @@
     from: &HostName,
     host: &HostName,
     received: MemberRank,
-    news: &MemberNews,
+    news: &MemberUpdate,
 ) {
     let domain = news.domain.parse().ok();
     let moved = state
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -24,7 +24,7 @@
 use crate::units::TimeSpan;
 use crate::wire::PeerBody;
 use crate::wire::gossip::GossipPing;
-use crate::wire::gossip::MemberNews;
+use crate::wire::gossip::MemberUpdate;
 
 /// Step of a ping that expects an answer.
 const PING: u32 = 0;
@@ -75,7 +75,7 @@
 }
 
 /// Sends a router a piece of news about itself, so that it can refute it.
-pub fn send_for_refutation(state: &mut CoreState, host: &HostName, news: MemberNews) {
+pub fn send_for_refutation(state: &mut CoreState, host: &HostName, news: MemberUpdate) {
     let ping = GossipPing {
         step: ANSWER,
         news: vec![news],
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -174,9 +174,9 @@
                 .refused_until(fingerprint, state.now)
                 .is_some();
         if !is_held && state.trials.grant_lease(fingerprint, from, state.now, span) {
-            answer.lent.push(fingerprint.0);
+            answer.lease_granted.push(fingerprint.0);
         } else {
-            answer.withheld.push(fingerprint.0);
+            answer.lease_denied.push(fingerprint.0);
         }
     }
     if !notice.wanted.is_empty() {
@@ -187,9 +187,12 @@
 /// Records which leases homes granted or withheld.
 pub fn handle_lease_answers(state: &mut CoreState, notice: &QuarantineNotice) {
     let span = super::check_window(state);
-    let lent = notice.lent.iter().map(|lent| (*lent, true));
-    let withheld = notice.withheld.iter().map(|held| (*held, false));
-    for (fingerprint, is_lent) in lent.chain(withheld) {
+    let lease_granted = notice
+        .lease_granted
+        .iter()
+        .map(|lease_granted| (*lease_granted, true));
+    let lease_denied = notice.lease_denied.iter().map(|held| (*held, false));
+    for (fingerprint, is_lent) in lease_granted.chain(lease_denied) {
         let fingerprint = RequestFingerprint(fingerprint);
         state.trials.answered(fingerprint, is_lent, state.now, span);
     }
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -11,12 +11,12 @@
 use crate::entry::context::EntryContext;
 use crate::publication;
 use crate::settings::SourceSettings;
+use crate::sources::AnyConfigSource;
+use crate::sources::AnyHostSource;
 use crate::sources::ConfigText;
-use crate::sources::SourceConfig;
-use crate::sources::SourceHosts;
-use crate::sources::follow::ConfigNews;
-use crate::sources::follow::HostNews;
-use crate::sources::follow::WatchOrder;
+use crate::sources::follow::ConfigUpdate;
+use crate::sources::follow::HostUpdate;
+use crate::sources::follow::WatchCommand;
 use crate::sources::follow::follow_config;
 use crate::sources::follow::follow_hosts;
 use crate::units::ConfigRevision;
@@ -29,37 +29,37 @@
 pub fn follow(
     settings: &SourceSettings,
     context: &Arc<EntryContext>,
-    order: watch::Receiver<WatchOrder>,
+    order: watch::Receiver<WatchCommand>,
     tasks: &TaskTracker,
     closing: &CancellationToken,
 ) {
     let timing = settings.timing.clone();
     let (sender, news) = mpsc::channel(WAITING_NEWS);
-    let source = SourceConfig::new(settings);
+    let source = AnyConfigSource::new(settings);
     let following = follow_config(source, timing.clone(), order, sender, closing.clone());
     tasks.spawn(following);
     tasks.spawn(take_config(Arc::clone(context), news));
     let (sender, news) = mpsc::channel(WAITING_NEWS);
-    let source = SourceHosts::new(settings);
+    let source = AnyHostSource::new(settings);
     tasks.spawn(follow_hosts(source, timing, sender, closing.clone()));
     tasks.spawn(take_hosts(Arc::clone(context), news));
 }
 
-async fn take_config(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigNews>) {
+async fn take_config(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigUpdate>) {
     let board = &context.records.board;
     while let Some(news) = news.recv().await {
         let fault = match &news {
-            ConfigNews::Failed(report) => Some(report.to_string()),
+            ConfigUpdate::Failed(report) => Some(report.to_string()),
             _ => None,
         };
         board.sources(fault);
         let answered = match news {
-            ConfigNews::Newer(text) => {
+            ConfigUpdate::Newer(text) => {
                 adopt(&context, text);
                 true
             }
-            ConfigNews::Unchanged => true,
-            ConfigNews::Failed(report) => {
+            ConfigUpdate::Unchanged => true,
+            ConfigUpdate::Failed(report) => {
                 spdlog::warn!("config: {report}.");
                 false
             }
@@ -94,16 +94,16 @@
     }
 }
 
-async fn take_hosts(context: Arc<EntryContext>, mut news: mpsc::Receiver<HostNews>) {
+async fn take_hosts(context: Arc<EntryContext>, mut news: mpsc::Receiver<HostUpdate>) {
     let board = &context.records.board;
     while let Some(news) = news.recv().await {
         match news {
-            HostNews::Listed(list) => {
+            HostUpdate::Listed(list) => {
                 board.hosts(None);
                 context.control.tell(list.event());
                 context.control.tell(list.live_event());
             }
-            HostNews::Failed(report) => {
+            HostUpdate::Failed(report) => {
                 spdlog::warn!("hosts: {report}.");
                 board.hosts(Some(report.to_string()));
             }
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -1,7 +1,7 @@
-//! Forwarding a request to a peer and reading its answer.
+//! Forwards a request to a peer and reads its answer.
 //!
-//! One connection carries one request at a time and is kept afterwards. The body and the
-//! answer are written and read straight from the connection, so a slow end slows the other.
+//! A connection carries one request at a time and is reused afterwards. The body and the answer
+//! are written to and read from the connection directly, so a slow reader slows the writer.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -44,14 +44,14 @@
 /// The reading half of a forwarding connection.
 pub(super) type ForwardReader = SplitStream<PeerFramed>;
 
-/// Where a request is forwarded to.
+/// The peer that a request is forwarded to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardTarget {
     /// The peer's host.
     pub host: HostName,
     /// IP number and port of its peer listener.
     pub address: smol_str::SmolStr,
-    /// The only incarnation that may get it, for a request with a ticket.
+    /// The only incarnation that may receive the request, if the request has a ticket.
     pub incarnation: Option<RouterIncarnation>,
 }
 
@@ -80,28 +80,29 @@
     reader: ForwardReader,
 }
 
-/// Where the two halves of a connection meet again after a whole exchange.
+/// State shared by both halves of a connection. Collects them after a complete exchange, so that
+/// the connection can be reused.
 #[derive(Debug)]
-struct ReturnPoint {
+struct SharedLink {
     client: ForwardClient,
     remote: RemotePeer,
     writer: Mutex<Option<ForwardWriter>>,
     reader: Mutex<Option<ForwardReader>>,
 }
 
-/// Takes the request's body. Dropping it before [`Self::finish`] closes the connection, which
-/// the peer takes as the caller's leaving.
+/// Sends the request's body. Dropping it before [`Self::finish`] closes the connection, which the
+/// peer treats as a disconnected caller.
 #[derive(Debug)]
 pub struct ForwardSink {
     writer: ForwardWriter,
-    point: Arc<ReturnPoint>,
+    shared: Arc<SharedLink>,
 }
 
-/// Gives the answer.
+/// Reads the answer.
 #[derive(Debug)]
 pub struct ForwardAnswer {
     reader: Option<ForwardReader>,
-    point: Arc<ReturnPoint>,
+    shared: Arc<SharedLink>,
 }
 
 impl ForwardClient {
@@ -112,11 +113,11 @@
         }
     }
 
-    /// Begins a forwarded request.
+    /// Starts a forwarded request.
     ///
     /// # Errors
-    /// At `Dial`, `Tls`, `Hello`, `Version`, `Proof` or `Identity`, nothing of the request left
-    /// this router. At `Write`, the peer may have it.
+    /// At `Dial`, `Tls`, `Hello`, `Version`, `Proof` or `Identity`, no part of the request was
+    /// sent. At `Write`, the peer may have received it.
     pub async fn open(
         &self,
         target: &ForwardTarget,
@@ -126,17 +127,18 @@
             Some(link) => link,
             None => self.dial_new(target).await?,
         };
-        // A restarted router knows nothing of its former life's tickets and must not run them.
+        // A restarted router doesn't know the tickets of its previous incarnation and must not run
+        // their requests.
         if target
             .incarnation
             .is_some_and(|wanted| wanted != link.remote.incarnation)
         {
             return Err(
                 Report::new(PeerError::new(PeerStep::Identity, target.host.as_str()))
-                    .attach("the wanted incarnation is gone"),
+                    .attach("the host runs another incarnation than the ticket's"),
             );
         }
-        let point = Arc::new(ReturnPoint {
+        let shared = Arc::new(SharedLink {
             client: self.clone(),
             remote: link.remote,
             writer: Mutex::default(),
@@ -144,12 +146,12 @@
         });
         let mut sink = ForwardSink {
             writer: link.writer,
-            point: Arc::clone(&point),
+            shared: Arc::clone(&shared),
         };
         sink.write(ForwardBody::Head(head)).await?;
         let answer = ForwardAnswer {
             reader: Some(link.reader),
-            point,
+            shared,
         };
         Ok((sink, answer))
     }
@@ -165,7 +167,7 @@
         })
     }
 
-    /// An idle connection that the peer has neither closed nor written to.
+    /// Takes an idle connection that the peer has neither closed nor written to.
     fn take_idle(&self, host: &HostName) -> Option<ForwardLink> {
         let limit = Duration::from_millis(self.context.settings.config.idle_ms);
         loop {
@@ -184,26 +186,27 @@
     }
 
     fn keep(&self, link: ForwardLink) {
-        let most = self.context.settings.config.idle_forwards;
+        let max_len = self.context.settings.config.idle_forwards;
         let mut idle = self
             .idle
             .links
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let links = idle.entry(link.remote.host.clone()).or_default();
-        if links.len() < most {
+        if links.len() < max_len {
             let since = Instant::now();
             links.push(IdleLink { link, since });
         }
     }
 }
 
-impl ReturnPoint {
+impl SharedLink {
     fn fail(&self, step: PeerStep) -> PeerError {
         PeerError::new(step, self.remote.host.as_str())
     }
 
-    fn reunite(&self) {
+    /// Returns the connection to the pool once both halves are back.
+    fn pool_if_complete(&self) {
         let mut writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         let mut reader = self.reader.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Some(writer), Some(reader)) = (writer.take_if(|_| reader.is_some()), reader.take())
@@ -218,69 +221,69 @@
 }
 
 impl ForwardSink {
-    /// Sends a piece of the body; waits while the peer is slow.
+    /// Sends a piece of the body; waits while the peer is slow to read.
     ///
     /// # Errors
     /// The connection broke.
     pub async fn send(&mut self, mut piece: Bytes) -> Result<(), Report<PeerError>> {
-        let most = self
-            .point
+        let max_len = self
+            .shared
             .client
             .context
             .settings
             .config
             .forward_piece_bytes;
         while !piece.is_empty() {
-            let part = piece.split_to(piece.len().min(most));
+            let part = piece.split_to(piece.len().min(max_len));
             self.write(ForwardBody::Body(part)).await?;
         }
         Ok(())
     }
 
-    /// Says that the body is whole.
+    /// Marks the body as complete.
     ///
     /// # Errors
     /// The connection broke.
     pub async fn finish(mut self) -> Result<(), Report<PeerError>> {
         self.write(ForwardBody::BodyEnd(true)).await?;
-        let Self { writer, point } = self;
-        *point.writer.lock().unwrap_or_else(PoisonError::into_inner) = Some(writer);
-        point.reunite();
+        let Self { writer, shared } = self;
+        *shared.writer.lock().unwrap_or_else(PoisonError::into_inner) = Some(writer);
+        shared.pool_if_complete();
         Ok(())
     }
 
     async fn write(&mut self, body: ForwardBody) -> Result<(), Report<PeerError>> {
-        let point = &self.point;
-        write_frame(&point.client.context, &mut self.writer, body)
+        let shared = &self.shared;
+        write_frame(&shared.client.context, &mut self.writer, body)
             .await
-            .change_context_lazy(|| point.fail(PeerStep::Write))
+            .change_context_lazy(|| shared.fail(PeerStep::Write))
     }
 }
 
 impl ForwardAnswer {
-    /// The incarnation that answers.
+    /// The incarnation of the answering router.
     #[must_use]
     pub fn incarnation(&self) -> RouterIncarnation {
-        self.point.remote.incarnation
+        self.shared.remote.incarnation
     }
 
     /// Waits for the answer's head.
     ///
     /// # Errors
-    /// The connection broke, or the peer sent something else.
+    /// The connection broke, or the peer sent another frame first.
     pub async fn head(&mut self) -> Result<ForwardAnswerHead, Report<PeerError>> {
         match self.read().await? {
             ForwardBody::AnswerHead(head) => Ok(head),
-            _ => Err(Report::new(self.point.fail(PeerStep::Decode))
-                .attach("a frame other than the answer's head came first")),
+            _ => Err(Report::new(self.shared.fail(PeerStep::Decode))
+                .attach("the first frame of the answer is not its head")),
         }
     }
 
-    /// The next piece of the answer's body; `None` once the answer is whole.
+    /// Reads the next piece of the answer's body; `None` once the answer is complete.
     ///
     /// # Errors
-    /// `AnswerCut` if the connection broke before the answer's end, so that a cut answer is
-    /// never taken for a whole one.
+    /// `AnswerCut` if the connection broke before the answer's end, so that a truncated answer is
+    /// never mistaken for a complete one.
     pub async fn next_piece(&mut self) -> Result<Option<Bytes>, Report<PeerError>> {
         if self.reader.is_none() {
             return Ok(None);
@@ -289,27 +292,27 @@
             ForwardBody::AnswerBody(piece) => Ok(Some(piece)),
             ForwardBody::AnswerEnd(_) => {
                 let mut place = self
-                    .point
+                    .shared
                     .reader
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner);
                 *place = self.reader.take();
                 drop(place);
-                self.point.reunite();
+                self.shared.pool_if_complete();
                 Ok(None)
             }
-            _ => Err(Report::new(self.point.fail(PeerStep::Decode))
-                .attach("a frame that does not belong into an answer")),
+            _ => Err(Report::new(self.shared.fail(PeerStep::Decode))
+                .attach("unexpected frame in an answer")),
         }
     }
 
     async fn read(&mut self) -> Result<ForwardBody, Report<PeerError>> {
-        let point = Arc::clone(&self.point);
-        let cut = || point.fail(PeerStep::AnswerCut);
+        let shared = Arc::clone(&self.shared);
+        let cut = || shared.fail(PeerStep::AnswerCut);
         let Some(reader) = self.reader.as_mut() else {
             return Err(Report::new(cut()).attach("the answer has ended already"));
         };
-        let frame = read_frame(&point.client.context, reader)
+        let frame = read_frame(&shared.client.context, reader)
             .await
             .change_context_lazy(cut)?;
         frame.ok_or_else(|| Report::new(cut()).attach("the peer closed the connection"))
@@ -329,7 +332,7 @@
     Ok(())
 }
 
-/// Reads one frame and counts it; `None` at the connection's end.
+/// Reads one frame and counts it; `None` if the connection has ended.
 pub(super) async fn read_frame(
     context: &LinkContext,
     reader: &mut ForwardReader,
@@ -344,5 +347,5 @@
     frame
         .body
         .map(Some)
-        .ok_or_else(|| io::Error::other("a frame without content"))
+        .ok_or_else(|| io::Error::other("frame without content"))
 }
--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -1,9 +1,10 @@
-//! Who is at the other end, and proof that it holds a peer key.
+//! The handshake: each end identifies itself and proves that it holds a peer key.
 //!
-//! The dialer says hello, the acceptor says hello, the dialer proves, the acceptor proves. A
-//! proof is a keyed hash over both hellos with their nonces, the prover's side and, with TLS,
-//! a secret of that TLS connection; so it can't be replayed, reflected or relayed into another
-//! TLS connection. The acceptor proves last: who holds no key learns nothing from it.
+//! The frames are the dialer's hello, the acceptor's hello, the dialer's proof and the acceptor's
+//! proof. A proof is a keyed hash over both hellos with their nonces, the prover's side and, with
+//! TLS, a secret of that TLS connection, so it can't be replayed, reflected or relayed into another
+//! TLS connection. The acceptor's proof is sent last, so a dialer without a key learns nothing
+//! from it.
 
 use std::io;
 
@@ -32,13 +33,13 @@
 use super::traffic::TrafficCounters;
 use super::traffic::TrafficKind;
 
-/// Bytes of a nonce.
+/// Size of a nonce, in bytes.
 const NONCE_BYTES: usize = 32;
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkPurpose {
-    /// Control messages both ways.
+    /// Control messages in both directions.
     Control,
     /// Forwarded requests, one at a time.
     Forward,
@@ -54,100 +55,102 @@
     }
 }
 
-/// The router at the other end, as it proved.
+/// The authenticated router at the other end of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RemotePeer {
     /// Its host.
     pub host: HostName,
     /// Its incarnation.
     pub incarnation: RouterIncarnation,
-    /// What the dialer wants of the connection.
+    /// The purpose in its hello; only the dialer's is used.
     pub purpose: LinkPurpose,
 }
 
-/// What this end needs for a handshake.
+/// Input of this end for one handshake.
 #[derive(Debug)]
-pub(super) struct HandshakeTerms<'terms> {
-    pub host: &'terms HostName,
+pub(super) struct HandshakeParams<'params> {
+    pub host: &'params HostName,
     pub incarnation: RouterIncarnation,
-    pub keys: &'terms PeerKeys,
+    pub keys: &'params PeerKeys,
     pub side: PeerSide,
     pub purpose: LinkPurpose,
     pub max_frame_bytes: usize,
-    pub counters: &'terms TrafficCounters,
-    /// Host or address, for errors.
-    pub peer: &'terms str,
+    pub counters: &'params TrafficCounters,
+    /// The peer's host or address, for errors.
+    pub peer: &'params str,
 }
 
-/// A connection whose other end has proved a key.
+/// A connection that is split into frames.
 pub(super) type PeerFramed = Framed<PeerStream, FrameCodec>;
 
-/// Runs the handshake on a fresh connection.
-pub(super) async fn shake_hands(
+/// Runs the handshake on a new connection.
+pub(super) async fn run_handshake(
     stream: PeerStream,
-    terms: &HandshakeTerms<'_>,
+    params: &HandshakeParams<'_>,
 ) -> Result<(PeerFramed, RemotePeer), Report<PeerError>> {
-    let fail = |step| PeerError::new(step, terms.peer);
+    let fail = |step| PeerError::new(step, params.peer);
     let binding = channel_binding(&stream).change_context_lazy(|| fail(PeerStep::Tls))?;
     let mut framed = Framed::new(stream, FrameCodec::default());
-    let mine = Bytes::from(own_hello(terms).encode_to_vec());
-    let theirs = match terms.side {
+    let mine = Bytes::from(own_hello(params).encode_to_vec());
+    let theirs = match params.side {
         PeerSide::Dialer => {
-            write(&mut framed, terms, mine.clone()).await?;
-            read(&mut framed, terms, PeerStep::Hello).await?
+            write(&mut framed, params, mine.clone()).await?;
+            read(&mut framed, params, PeerStep::Hello).await?
         }
         PeerSide::Acceptor => {
-            let hello = read(&mut framed, terms, PeerStep::Hello).await?;
-            write(&mut framed, terms, mine.clone()).await?;
+            let hello = read(&mut framed, params, PeerStep::Hello).await?;
+            write(&mut framed, params, mine.clone()).await?;
             hello
         }
     };
-    let remote = check_hello(&theirs, terms)?;
-    let (dialed, accepted) = match terms.side {
+    let remote = check_hello(&theirs, params)?;
+    let (dialed, accepted) = match params.side {
         PeerSide::Dialer => (&mine, &theirs),
         PeerSide::Acceptor => (&theirs, &mine),
     };
     let transcript = transcript_of(&binding, dialed, accepted);
-    let (proof, write_key) = terms.keys.prove(terms.side, &transcript);
+    let (proof, write_key) = params.keys.prove(params.side, &transcript);
     let proof = ProofFrame {
         proof: proof.into(),
     };
     let proof = Bytes::from(proof.encode_to_vec());
-    let answer = match terms.side {
+    let answer = match params.side {
         PeerSide::Dialer => {
-            write(&mut framed, terms, proof).await?;
-            read(&mut framed, terms, PeerStep::Proof).await?
+            write(&mut framed, params, proof).await?;
+            read(&mut framed, params, PeerStep::Proof).await?
         }
-        PeerSide::Acceptor => read(&mut framed, terms, PeerStep::Proof).await?,
+        PeerSide::Acceptor => read(&mut framed, params, PeerStep::Proof).await?,
     };
     let answer = ProofFrame::decode(answer).change_context_lazy(|| fail(PeerStep::Proof))?;
-    let Some(read_key) = terms
+    let Some(read_key) = params
         .keys
-        .check(terms.side.other(), &transcript, &answer.proof)
+        .check(params.side.other(), &transcript, &answer.proof)
     else {
-        return Err(Report::new(fail(PeerStep::Proof)).attach("it holds none of the peer keys"));
+        return Err(
+            Report::new(fail(PeerStep::Proof)).attach("the proof matches none of the peer keys")
+        );
     };
-    if terms.side == PeerSide::Acceptor {
-        let (proof, _) = terms.keys.prove(terms.side, &transcript);
+    if params.side == PeerSide::Acceptor {
+        let (proof, _) = params.keys.prove(params.side, &transcript);
         let proof = ProofFrame {
             proof: proof.into(),
         };
-        write(&mut framed, terms, Bytes::from(proof.encode_to_vec())).await?;
+        write(&mut framed, params, Bytes::from(proof.encode_to_vec())).await?;
     }
     framed
         .codec_mut()
-        .seal(write_key, read_key, terms.max_frame_bytes);
+        .seal(write_key, read_key, params.max_frame_bytes);
     Ok((framed, remote))
 }
 
-fn own_hello(terms: &HandshakeTerms<'_>) -> HelloFrame {
+fn own_hello(params: &HandshakeParams<'_>) -> HelloFrame {
     let mut nonce = vec![0; NONCE_BYTES];
     rand::rng().fill_bytes(&mut nonce);
     HelloFrame {
         version: WIRE_VERSION,
-        host: terms.host.to_string(),
-        incarnation: terms.incarnation.0,
-        purpose: match terms.purpose {
+        host: params.host.to_string(),
+        incarnation: params.incarnation.0,
+        purpose: match params.purpose {
             LinkPurpose::Control => 0,
             LinkPurpose::Forward => 1,
         },
@@ -155,27 +158,32 @@
     }
 }
 
-fn check_hello(bytes: &Bytes, terms: &HandshakeTerms<'_>) -> Result<RemotePeer, Report<PeerError>> {
-    let fail = |step| PeerError::new(step, terms.peer);
+fn check_hello(
+    bytes: &Bytes,
+    params: &HandshakeParams<'_>,
+) -> Result<RemotePeer, Report<PeerError>> {
+    let fail = |step| PeerError::new(step, params.peer);
     let hello = HelloFrame::decode(bytes.clone()).change_context_lazy(|| fail(PeerStep::Hello))?;
     if hello.version != WIRE_VERSION {
         return Err(Report::new(fail(PeerStep::Version)).attach(format!(
-            "it speaks version {}, this router {WIRE_VERSION}",
+            "the peer uses version {}, this router {WIRE_VERSION}",
             hello.version
         )));
     }
     if hello.nonce.len() != NONCE_BYTES {
-        return Err(Report::new(fail(PeerStep::Hello)).attach("its nonce is not 32 bytes"));
+        return Err(Report::new(fail(PeerStep::Hello)).attach("the nonce is not 32 bytes long"));
     }
     let host: HostName = hello
         .host
         .parse()
         .change_context_lazy(|| fail(PeerStep::Hello))?;
-    if host == *terms.host {
-        return Err(Report::new(fail(PeerStep::Identity)).attach("it has this router's own name"));
+    if host == *params.host {
+        return Err(
+            Report::new(fail(PeerStep::Identity)).attach("the peer has this router's host name")
+        );
     }
     let Some(purpose) = LinkPurpose::from_wire(hello.purpose) else {
-        return Err(Report::new(fail(PeerStep::Hello)).attach("its purpose is not known"));
+        return Err(Report::new(fail(PeerStep::Hello)).attach("unknown connection purpose"));
     };
     Ok(RemotePeer {
         host,
@@ -184,7 +192,8 @@
     })
 }
 
-/// Each part goes in with its length, so that no two transcripts read the same.
+/// Joins the parts, each prefixed with its length, so that different parts never give the same
+/// transcript.
 fn transcript_of(binding: &[u8], dialed: &[u8], accepted: &[u8]) -> Vec<u8> {
     let mut transcript = Vec::new();
     for part in [binding, dialed, accepted] {
@@ -196,29 +205,29 @@
 
 async fn write(
     framed: &mut PeerFramed,
-    terms: &HandshakeTerms<'_>,
+    params: &HandshakeParams<'_>,
     frame: Bytes,
 ) -> Result<(), Report<PeerError>> {
-    terms
+    params
         .counters
         .add_sent(TrafficKind::Handshake, frame.len() + 4);
     framed
         .send(frame)
         .await
-        .change_context_lazy(|| PeerError::new(PeerStep::Write, terms.peer))
+        .change_context_lazy(|| PeerError::new(PeerStep::Write, params.peer))
 }
 
 async fn read(
     framed: &mut PeerFramed,
-    terms: &HandshakeTerms<'_>,
+    params: &HandshakeParams<'_>,
     step: PeerStep,
 ) -> Result<Bytes, Report<PeerError>> {
     let frame = framed
         .next()
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()))
-        .change_context_lazy(|| PeerError::new(step, terms.peer))?;
-    terms
+        .change_context_lazy(|| PeerError::new(step, params.peer))?;
+    params
         .counters
         .add_received(TrafficKind::Handshake, frame.len() + 4);
     Ok(frame)
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! Opening connections, and carrying control messages over one until it ends.
+//! Opens connections, and carries control messages over one until it ends.
 
 use std::io;
 use std::sync::Arc;
@@ -22,11 +22,11 @@
 use super::error::PeerError;
 use super::error::PeerStep;
 use super::frames::FRAME_OVERHEAD;
-use super::handshake::HandshakeTerms;
+use super::handshake::HandshakeParams;
 use super::handshake::LinkPurpose;
 use super::handshake::PeerFramed;
 use super::handshake::RemotePeer;
-use super::handshake::shake_hands;
+use super::handshake::run_handshake;
 use super::keys::PeerKeys;
 use super::keys::PeerSide;
 use super::mesh::PeerEvent;
@@ -35,7 +35,7 @@
 use super::traffic::TrafficCounters;
 use super::traffic::TrafficKind;
 
-/// What all connections of a router share.
+/// State shared by all connections of a router.
 #[derive(Debug)]
 pub(super) struct LinkContext {
     pub settings: MeshSettings,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Dials a host and proves the key; another host at that address is refused.
+/// Dials a host and runs the dialer's side of the handshake; fails if another host answers.
 pub(super) async fn dial(
     context: &LinkContext,
     host: &HostName,
@@ -72,8 +72,8 @@
             .change_context_lazy(|| fail(PeerStep::Dial))?;
         let stream = wrap_dialed(context.settings.tls.as_ref(), stream, host).await?;
         let keys = context.current_keys();
-        let terms = terms(context, &keys, PeerSide::Dialer, purpose, host.as_str());
-        shake_hands(stream, &terms).await
+        let params = params(context, &keys, PeerSide::Dialer, purpose, host.as_str());
+        run_handshake(stream, &params).await
     };
     let (framed, remote) = timeout(context.handshake_limit(), attempt)
         .await
@@ -98,22 +98,22 @@
         let stream = wrap_accepted(context.settings.tls.as_ref(), stream, peer).await?;
         let keys = context.current_keys();
         let side = PeerSide::Acceptor;
-        let terms = terms(context, &keys, side, LinkPurpose::Control, peer);
-        shake_hands(stream, &terms).await
+        let params = params(context, &keys, side, LinkPurpose::Control, peer);
+        run_handshake(stream, &params).await
     };
     timeout(context.handshake_limit(), attempt)
         .await
         .change_context_lazy(|| PeerError::new(PeerStep::Hello, peer))?
 }
 
-fn terms<'terms>(
-    context: &'terms LinkContext,
-    keys: &'terms PeerKeys,
+fn params<'params>(
+    context: &'params LinkContext,
+    keys: &'params PeerKeys,
     side: PeerSide,
     purpose: LinkPurpose,
-    peer: &'terms str,
-) -> HandshakeTerms<'terms> {
-    HandshakeTerms {
+    peer: &'params str,
+) -> HandshakeParams<'params> {
+    HandshakeParams {
         host: &context.settings.host,
         incarnation: context.settings.incarnation,
         keys,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Carries control messages both ways until the connection ends or `cancel` fires.
+/// Carries control messages in both directions until the connection ends or `cancel` fires.
 pub(super) async fn carry_control(
     context: &Arc<LinkContext>,
     framed: PeerFramed,
@@ -179,8 +179,8 @@
     while let Some(message) = queue.recv().await {
         let frame = Bytes::from(message.encode_to_vec());
         let bytes = frame.len() + FRAME_OVERHEAD;
-        // A peer that is paused stops reading; without a limit its queue would hold old
-        // messages for as long as the pause lasts and deliver them afterwards.
+        // A paused peer stops reading. Without a timeout its queue would keep old messages for as
+        // long as the pause lasts and deliver them afterwards.
         timeout(limit, sink.send(frame))
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
--- a/src/sources/follow.rs
+++ b/src/sources/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the sources for a daemon, until cancelled.
+//! Tasks that follow the sources for a daemon until they are cancelled.
 
 use std::time::Duration;
 
@@ -18,106 +18,107 @@
 use super::HostSource;
 use super::SourceError;
 
-/// What became of one read or watch of the configuration service.
+/// The result of one read or watch of the configuration service.
 #[derive(Debug)]
-pub enum ConfigNews {
-    /// A newer publication, unchecked.
+pub enum ConfigUpdate {
+    /// A newer publication, not yet validated.
     Newer(ConfigText),
-    /// The service answered; there is nothing newer.
+    /// The service answered that there is nothing newer.
     Unchanged,
-    /// The service failed, or went back.
+    /// The service failed, or answered with an older revision.
     Failed(Report<SourceError>),
 }
 
-/// What became of one read of the host list.
+/// The result of one read of the host list.
 #[derive(Debug)]
-pub enum HostNews {
+pub enum HostUpdate {
     /// The list.
     Listed(HostList),
     /// It could not be read.
     Failed(Report<SourceError>),
 }
 
-/// Whether to watch the configuration service, and from where on.
+/// Controls the watch of the configuration service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct WatchOrder {
-    /// Watch, or leave the service alone.
+pub struct WatchCommand {
+    /// True to watch, false to make no calls to the service.
     pub on: bool,
-    /// The revision that the router has, from peers as well.
+    /// The revision that the router has, from the service or from a peer.
     pub after: ConfigRevision,
 }
 
-/// Watches the configuration service while `order` says so and sends what comes to `sender`.
+/// Watches the configuration service while `command` is on and sends each result to `sender`.
 ///
-/// A publication that is refused for its faults is not read again: the next watch starts after
-/// it. While `order` is off no call is made and none is left waiting.
+/// A publication that is refused for its faults is not read again, because the next watch starts
+/// after its revision. While `command` is off, no call is made or left open.
 pub async fn follow_config(
     source: impl ConfigSource,
     timing: SourceTiming,
-    mut order: watch::Receiver<WatchOrder>,
-    sender: mpsc::Sender<ConfigNews>,
+    mut command: watch::Receiver<WatchCommand>,
+    sender: mpsc::Sender<ConfigUpdate>,
     cancel: CancellationToken,
 ) {
     let mut seen = ConfigRevision(0);
     loop {
-        let now = *order.borrow_and_update();
+        let now = *command.borrow_and_update();
         seen = seen.max(now.after);
         if !now.on {
             tokio::select! {
                 () = cancel.cancelled() => return,
-                changed = order.changed() => if changed.is_err() { return },
+                changed = command.changed() => if changed.is_err() { return },
             }
             continue;
         }
-        let news = tokio::select! {
+        let update = tokio::select! {
             () = cancel.cancelled() => return,
-            news = next_news(&source, seen) => news,
-            switched = switched_off(&mut order) => if switched { continue } else { return },
+            update = next_update(&source, seen) => update,
+            switched = switched_off(&mut command) => if switched { continue } else { return },
         };
-        let failed = matches!(news, ConfigNews::Failed(_));
-        if let ConfigNews::Newer(text) = &news {
+        let failed = matches!(update, ConfigUpdate::Failed(_));
+        if let ConfigUpdate::Newer(text) = &update {
             seen = seen.max(text.revision);
         }
-        if sender.send(news).await.is_err() {
+        if sender.send(update).await.is_err() {
             return;
         }
-        if failed && !rest(&timing, &cancel).await {
+        if failed && !pause_before_retry(&timing, &cancel).await {
             return;
         }
     }
 }
 
-async fn next_news(source: &impl ConfigSource, seen: ConfigRevision) -> ConfigNews {
-    let news = if seen == ConfigRevision(0) {
+async fn next_update(source: &impl ConfigSource, seen: ConfigRevision) -> ConfigUpdate {
+    let update = if seen == ConfigRevision(0) {
         source.read().await.map(Some)
     } else {
         source.watch(seen).await
     };
-    match news {
-        Ok(Some(text)) => ConfigNews::Newer(text),
-        Ok(None) => ConfigNews::Unchanged,
-        Err(report) => ConfigNews::Failed(report),
+    match update {
+        Ok(Some(text)) => ConfigUpdate::Newer(text),
+        Ok(None) => ConfigUpdate::Unchanged,
+        Err(report) => ConfigUpdate::Failed(report),
     }
 }
 
-/// Waits until watching is switched off (true) or nobody can switch it any more (false).
-async fn switched_off(order: &mut watch::Receiver<WatchOrder>) -> bool {
-    order.wait_for(|order| !order.on).await.is_ok()
+/// Waits until watching is switched off and returns true, or false if the sender of `command` is
+/// gone.
+async fn switched_off(command: &mut watch::Receiver<WatchCommand>) -> bool {
+    command.wait_for(|command| !command.on).await.is_ok()
 }
 
-/// Reads the host list at intervals and sends what comes to `sender`.
+/// Reads the host list at intervals and sends each result to `sender`.
 pub async fn follow_hosts(
     source: impl HostSource,
     timing: SourceTiming,
-    sender: mpsc::Sender<HostNews>,
+    sender: mpsc::Sender<HostUpdate>,
     cancel: CancellationToken,
 ) {
     loop {
-        let news = tokio::select! {
+        let update = tokio::select! {
             () = cancel.cancelled() => return,
-            news = source.read() => news.map_or_else(HostNews::Failed, HostNews::Listed),
+            update = source.read() => update.map_or_else(HostUpdate::Failed, HostUpdate::Listed),
         };
-        if sender.send(news).await.is_err() {
+        if sender.send(update).await.is_err() {
             return;
         }
         let pause = jittered(timing.hosts_poll_ms);
@@ -128,14 +129,15 @@
     }
 }
 
-async fn rest(timing: &SourceTiming, cancel: &CancellationToken) -> bool {
+async fn pause_before_retry(timing: &SourceTiming, cancel: &CancellationToken) -> bool {
     tokio::select! {
         () = cancel.cancelled() => false,
         () = sleep(jittered(timing.retry_ms)) => true,
     }
 }
 
-/// A quarter more or less: routers that failed together must not come back together.
+/// Adds jitter of up to a quarter either way, so that routers that failed together don't retry
+/// together.
 fn jittered(millis: u64) -> Duration {
     let quarter = millis / 4;
     Duration::from_millis(rand::rng().random_range(millis - quarter..=millis + quarter))
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Connections between routers: who gets in, what is dropped, and forwarded requests.
+//! Connections between routers: authentication, refused connections and forwarded requests.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -38,7 +38,7 @@
 use verbenaturn::wire::handshake::HelloFrame;
 use verbenaturn::wire::publication::PublicationRequest;
 
-/// Longest wait for something that must happen; a test fails when it passes.
+/// Timeout for anything that must happen; the test fails when it expires.
 const LIMIT: Duration = Duration::from_secs(20);
 
 struct Router {
@@ -106,7 +106,7 @@
     }
 }
 
-fn question(revision: u64) -> PeerMessage {
+fn request(revision: u64) -> PeerMessage {
     PeerMessage::new(PeerBody::PublicationWanted(PublicationRequest { revision }))
 }
 
@@ -131,20 +131,20 @@
     assert!(
         matches!(right.next().await, PeerEvent::Opened { incarnation, .. } if incarnation.0 == 1)
     );
-    left.mesh.send(&right.host, question(3));
+    left.mesh.send(&right.host, request(3));
     assert!(
-        matches!(right.next().await, PeerEvent::Message { message, .. } if message == question(3))
+        matches!(right.next().await, PeerEvent::Message { message, .. } if message == request(3))
     );
-    right.mesh.send(&left.host, question(4));
+    right.mesh.send(&left.host, request(4));
     assert!(matches!(left.next().await, PeerEvent::Message { from, .. } if from == right.host));
     let sent = right.mesh.counters().received(TrafficKind::Publication);
-    assert_eq!(sent, question(3).encoded_len() as u64 + 20);
+    assert_eq!(sent, request(3).encoded_len() as u64 + 20);
     assert!(left.mesh.counters().sent(TrafficKind::Handshake) > 0);
 }
 
-// A router process dies and another starts on its host. Peers must see the connection close,
-// and the next one name the new incarnation, or they would go on counting on the dead one's
-// slots.
+// A router process dies and another starts on its host. Peers must get an event for the closed
+// connection, and one for the next connection with the new incarnation. Otherwise they would keep
+// counting the slots of the dead process.
 #[tokio::test]
 async fn a_restarted_peer_is_seen_as_closed_and_opened_with_its_new_incarnation() {
     let mut left = Router::start("left", 1, &[7], None).await;
@@ -153,8 +153,8 @@
     assert!(matches!(left.next().await, PeerEvent::Opened { .. }));
     right.cancel.cancel();
     assert!(matches!(left.next().await, PeerEvent::Closed { .. }));
-    let reborn = Router::start("right", 3, &[7], None).await;
-    left.dial(&reborn);
+    let restarted = Router::start("right", 3, &[7], None).await;
+    left.dial(&restarted);
     loop {
         match left.next().await {
             PeerEvent::Opened { incarnation, .. } => {
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn a_stranger_without_the_key_gets_in_neither_by_dialing_nor_by_being_dialed() {
+async fn a_peer_without_the_key_is_refused_as_dialer_and_as_acceptor() {
     let mut left = Router::start("left", 1, &[7], None).await;
     let mut stranger = Router::start("stranger", 9, &[8], None).await;
     stranger.dial(&left);
@@ -184,7 +184,7 @@
     old.dial(&new);
     assert!(matches!(old.next().await, PeerEvent::Opened { .. }));
     assert!(matches!(new.next().await, PeerEvent::Opened { .. }));
-    old.mesh.send(&new.host, question(5));
+    old.mesh.send(&new.host, request(5));
     assert!(matches!(new.next().await, PeerEvent::Message { .. }));
     new.mesh
         .set_keys(PeerKeys::new(vec![vec![8; 32]]).expect("one key"));
@@ -206,10 +206,10 @@
     assert!(matches!(left.next().await, PeerEvent::Closed { host } if host.as_str() == "somebody"));
 }
 
-// A peer of a newer version, a port scanner or a broken process connects. The router must drop
-// it, and go on serving its other peers.
+// A peer of a newer version, a port scanner or a faulty process connects. The router must close the
+// connection and keep serving its other peers.
 #[tokio::test]
-async fn nonsense_oversized_frames_and_other_versions_are_dropped() {
+async fn malformed_and_oversized_frames_and_other_versions_are_refused() {
     let mut left = Router::start("left", 1, &[7], None).await;
     let hello = HelloFrame {
         version: 99,
@@ -271,7 +271,7 @@
     left.dial(&right);
     assert!(matches!(left.next().await, PeerEvent::Opened { .. }));
     assert!(matches!(right.next().await, PeerEvent::Opened { .. }));
-    left.mesh.send(&right.host, question(3));
+    left.mesh.send(&right.host, request(3));
     assert!(matches!(right.next().await, PeerEvent::Message { .. }));
     let other = certified(&["other"]).pop();
     let mut other = Router::start("other", 3, &[7], other).await;
@@ -338,8 +338,8 @@
     assert_eq!(handshakes[0], handshakes[2], "one handshake for all");
 }
 
-// A caller's answer comes through another router, which dies in the middle. The caller must not
-// take the part for the whole answer.
+// The router that forwards an answer dies before the answer's end. The caller must not take the
+// truncated answer for a complete one.
 #[tokio::test]
 async fn an_answer_that_breaks_before_its_end_is_an_error() {
     let left = Router::start("left", 1, &[7], None).await;
@@ -362,10 +362,10 @@
     assert_eq!(report.current_context().step, PeerStep::AnswerCut);
 }
 
-// A nurse closes her page. The router that serves her request for another must learn of it and
-// stop the work at the endpoint.
+// A caller disconnects while a peer serves its forwarded request. The peer must be notified, so
+// that it stops the work at the endpoint.
 #[tokio::test]
-async fn a_caller_that_leaves_cancels_the_forwarded_call() {
+async fn a_disconnected_caller_cancels_the_forwarded_call() {
     let left = Router::start("left", 1, &[7], None).await;
     let mut right = Router::start("right", 2, &[7], None).await;
     let client = left.mesh.forward_client();
@@ -377,10 +377,10 @@
     assert_eq!(read_body(&mut call).await, (Vec::new(), false));
 }
 
-// The router that minted a ticket restarts. Its new life must not get the request: it can't
-// know whether the old one ran it.
+// The router that issued a ticket restarts. Its new incarnation must not get the request, because
+// it can't know if the previous one ran it.
 #[tokio::test]
-async fn a_request_for_a_gone_incarnation_is_not_sent() {
+async fn a_request_for_a_previous_incarnation_is_not_sent() {
     let left = Router::start("left", 1, &[7], None).await;
     let mut right = Router::start("right", 2, &[7], None).await;
     let client = left.mesh.forward_client();
@@ -390,10 +390,10 @@
     assert!(right.calls.try_recv().is_err());
 }
 
-// A slow reader at the far end: what waits in between is bounded, so a long body must not be
-// taken off the sender's hands.
+// The handler at the peer does not read. Buffers between the ends are bounded, so the sender of a
+// long body must be blocked.
 #[tokio::test]
-async fn a_handler_that_does_not_read_holds_the_sender_back() {
+async fn a_handler_that_does_not_read_blocks_the_sender() {
     let left = Router::start("left", 1, &[7], None).await;
     let mut right = Router::start("right", 2, &[7], None).await;
     let client = left.mesh.forward_client();
--- a/tests/sources.rs
+++ b/tests/sources.rs
@@ -1,4 +1,4 @@
-//! The source's edge when the sources misbehaves.
+//! The router's sources when the configuration service, the host list or a file is faulty.
 
 #[allow(dead_code)]
 #[path = "../examples/shared/sources.rs"]
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::standin::PublishedValue;
-use crate::standin::ServiceMood;
+use crate::standin::ServiceMode;
 use crate::standin::StandinSources;
 use verbenaturn::publication::MAX_PUBLICATION_BYTES;
 use verbenaturn::settings::SourceTiming;
@@ -21,8 +21,8 @@
 use verbenaturn::sources::HostSource;
 use verbenaturn::sources::SourceFault;
 use verbenaturn::sources::file::FileConfigSource;
-use verbenaturn::sources::follow::ConfigNews;
-use verbenaturn::sources::follow::WatchOrder;
+use verbenaturn::sources::follow::ConfigUpdate;
+use verbenaturn::sources::follow::WatchCommand;
 use verbenaturn::sources::follow::follow_config;
 use verbenaturn::sources::http::HttpConfigSource;
 use verbenaturn::sources::http::HttpHostSource;
@@ -76,30 +76,30 @@
     assert_eq!(sources.config_calls(), 4);
 }
 
-// The configuration service takes the connection and never answers. Without a limit of its own
-// the router would wait for ever and stay on its old publication after the service is well again.
+// The configuration service accepts the connection and never answers. Without a timeout the router
+// would wait forever and keep its old publication after the service has recovered.
 #[tokio::test]
-async fn a_hanging_service_is_given_up() {
+async fn a_hanging_service_times_out() {
     let (sources, source) = standin().await;
     sources.publish("{}");
-    sources.set_mood(ServiceMood::Hanging);
+    sources.set_mode(ServiceMode::Hanging);
     let read = source.read().await.unwrap_err();
     assert_eq!(read.current_context().fault, SourceFault::TimedOut);
     let watch = source.watch(ConfigRevision(1)).await.unwrap_err();
     assert_eq!(watch.current_context().fault, SourceFault::TimedOut);
-    sources.set_mood(ServiceMood::Well);
+    sources.set_mode(ServiceMode::Healthy);
     assert!(source.read().await.is_ok());
 }
 
-// A replica of the service that lags answers a watch with a revision from before. Taken for news
-// it would bring back shares that operators have changed since.
+// A lagging replica of the service answers a watch with an older revision. If it were accepted, it
+// would bring back shares that operators have changed since.
 #[tokio::test]
-async fn an_older_revision_is_no_news() {
+async fn an_older_revision_is_an_error() {
     let (sources, source) = standin().await;
-    sources.set_mood(ServiceMood::Old(value(3, "{}")));
+    sources.set_mode(ServiceMode::Old(value(3, "{}")));
     let fault = source.watch(ConfigRevision(5)).await.unwrap_err();
     let old = SourceFault::OldRevision {
-        came: ConfigRevision(3),
+        received: ConfigRevision(3),
         seen: ConfigRevision(5),
     };
     assert_eq!(fault.current_context().fault, old);
@@ -109,11 +109,11 @@
 #[tokio::test]
 async fn a_value_over_a_megabyte_is_not_read() {
     let (sources, source) = standin().await;
-    sources.set_mood(ServiceMood::Oversized(MAX_PUBLICATION_BYTES + 1));
+    sources.set_mode(ServiceMode::Oversized(MAX_PUBLICATION_BYTES + 1));
     let fault = source.read().await.unwrap_err();
     let too_large = SourceFault::TooLarge(MAX_PUBLICATION_BYTES);
     assert_eq!(fault.current_context().fault, too_large);
-    sources.set_mood(ServiceMood::Oversized(MAX_PUBLICATION_BYTES));
+    sources.set_mode(ServiceMode::Oversized(MAX_PUBLICATION_BYTES));
     assert_eq!(
         source.read().await.unwrap().text.len(),
         MAX_PUBLICATION_BYTES
@@ -131,14 +131,13 @@
     assert_eq!(source.read().await.unwrap().endpoints.len(), 1);
 }
 
-// The service answers with a broken value, then hangs, then gets well. The router must read on
-// through all of it, must not read a refused value again and again, and must leave the service
-// alone once a peer watches in its place.
+// The service fails and then recovers. The router must keep reading it, must not read a refused
+// value again and again, and must make no calls once a peer watches in its place.
 #[tokio::test]
 async fn following_survives_a_service_that_fails() {
     let (sources, source) = standin().await;
     sources.publish("{}");
-    let (order, orders) = watch::channel(WatchOrder {
+    let (order, orders) = watch::channel(WatchCommand {
         on: true,
         after: ConfigRevision(0),
     });
@@ -151,16 +150,16 @@
         sender,
         cancel.clone(),
     ));
-    let ConfigNews::Newer(first) = news.recv().await.unwrap() else {
+    let ConfigUpdate::Newer(first) = news.recv().await.unwrap() else {
         panic!("the first read failed");
     };
     assert_eq!(first.revision, ConfigRevision(1));
-    sources.set_mood(ServiceMood::Failing(503));
-    while !matches!(news.recv().await.unwrap(), ConfigNews::Failed(_)) {}
-    sources.set_mood(ServiceMood::Well);
+    sources.set_mode(ServiceMode::Failing(503));
+    while !matches!(news.recv().await.unwrap(), ConfigUpdate::Failed(_)) {}
+    sources.set_mode(ServiceMode::Healthy);
     sources.publish("{ }");
     let second = loop {
-        if let ConfigNews::Newer(text) = news.recv().await.unwrap() {
+        if let ConfigUpdate::Newer(text) = news.recv().await.unwrap() {
             break text;
         }
     };
@@ -170,7 +169,7 @@
     open_watches(&sources, 0).await;
     let calls = sources.config_calls();
     sources.publish("{  }");
-    order.send_replace(WatchOrder {
+    order.send_replace(WatchCommand {
         on: true,
         after: ConfigRevision(3),
     });
@@ -185,11 +184,11 @@
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-// At a small site an operator restores an old copy of the file, or edits it and leaves the
-// revision. Routers that restart take it for the newest while the others keep what they have:
-// the fleet runs on two publications. So the file is refused until its revision grows.
+// At a small site an operator restores an old copy of the file, or edits it without raising the
+// revision. Routers that restart would take it while the others keep theirs, so that the fleet runs
+// on two publications. The file must be refused until its revision increases.
 #[tokio::test]
-async fn a_file_that_goes_back_is_refused() {
+async fn a_file_whose_revision_does_not_increase_is_refused() {
     let path = scratch_file("goes-back.json");
     let write = |text: &str| std::fs::write(&path, text).unwrap();
     write(r#"{"revision": 5}"#);
@@ -199,7 +198,7 @@
     write(r#"{"revision": 4}"#);
     let fault = source.watch(ConfigRevision(5)).await.unwrap_err();
     let old = SourceFault::OldRevision {
-        came: ConfigRevision(4),
+        received: ConfigRevision(4),
         seen: ConfigRevision(5),
     };
     assert_eq!(fault.current_context().fault, old);
