--- a/src/core/systems/ownership/accounts.rs
+++ b/src/core/systems/ownership/accounts.rs
@@ -43,7 +43,7 @@
     pool.clock += step as i64;
     let seconds = passed.0 as f64 / 1e6;
     let part = (seconds / CLOCK_SMOOTHING_S).min(1.0);
-    pool.pace += (step / seconds - pool.pace) * part;
+    pool.clock_rate += (step / seconds - pool.clock_rate) * part;
 }
 
 /// Raises the virtual time of teams that begin to wait to the clock, and clamps leads and lags.
@@ -83,6 +83,6 @@
     let time = pool.accounts.get(&team).map_or(pool.clock, |row| row.time);
     let lead = (time - pool.clock) as f64;
     let correction = state.config.ownership.correction_ms as f64 / 1e3;
-    let ahead = lead / (pool.pace * correction).max(1.0);
+    let ahead = lead / (pool.clock_rate * correction).max(1.0);
     share * (1.0 - ahead).clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR)
 }
