--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a fleet's routers use after outages of the store, without a network.
+//! The endpoints that the routers of a fleet use after outages of the store, without a network.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 
 use self::engines::endpoints;
 
-/// Time for which endpoints that lapsed are kept.
+/// Time for which endpoints with lapsed registrations are kept.
 const GRACE: TimeSpan = TimeSpan::from_millis(2_000);
 
 fn ms(millis: u64) -> Moment {
@@ -28,7 +28,7 @@
 
 type Entries = BTreeMap<EndpointKey, EndpointEntry>;
 
-/// What a store holds at a revision.
+/// Returns the content of a store at a revision.
 fn told(entries: &Entries, revision: u64) -> (EndpointView, StoreRevision) {
     let mut view = EndpointView::default();
     view.replace(ms(0), entries.clone());
@@ -44,8 +44,9 @@
     entries.clone().into_iter().skip(count).collect()
 }
 
-/// The store was away and comes back without the endpoints' entries, which return one by one. All
-/// are used until the grace is over, and those that did not return are not used after it.
+/// The store was down and comes back without the endpoints' registrations, which return one by one.
+/// All endpoints are used during the grace period; afterwards those that have not returned are not
+/// used.
 #[test]
 fn lapsed_endpoints_are_used_until_the_grace_is_over() {
     let all = endpoints("engine", 3);
@@ -61,13 +62,13 @@
     assert!(list.end_kept(ms(11_999)).is_empty());
     assert_eq!(list.end_kept(ms(12_000)).len(), 2);
     assert_eq!(list.used(), back);
-    // Without an outage a removal counts at once.
+    // Without an outage a removal takes effect at once.
     read(&mut list, ms(13_000), &BTreeMap::new(), 4);
     assert!(list.used().is_empty());
 }
 
-/// Another router tells of what it keeps. Its clock differs and the exchange takes time; the
-/// endpoint must not be used for longer than there.
+/// Another router sends the endpoints that it keeps. Its clock differs and the exchange takes time;
+/// the endpoint must not be used for longer than at the sender.
 #[test]
 fn what_another_router_keeps_ends_no_later_than_there() {
     let all = endpoints("engine", 3);
@@ -75,7 +76,7 @@
     read(&mut keeping, ms(0), &all, 1);
     keeping.store_returned(ms(10_000), GRACE);
     read(&mut keeping, ms(10_000), &without(&all, 1), 2);
-    // Its 11.5 s are this router's 51.2 s; the question was asked 0.2 s before.
+    // 11.5 s on its clock are 51.2 s on this router's; the request was sent 0.2 s before.
     let mut list = EndpointList::default();
     assert!(list.adopt(ms(51_200), ms(51_000), keeping.telling(ms(11_500))));
     assert_eq!(list.used().len(), 3);
@@ -83,10 +84,10 @@
     assert_eq!(list.used().len(), 2);
 }
 
-/// Routers lose and reach the store at different moments after its outage, stop reading at any,
-/// and fetch each other's lists. Whatever the order, an endpoint that left after the store's return
-/// is used by none of them once the grace is over, also if no further change comes; those that stay
-/// are used by all.
+/// After an outage of the store, routers lose and regain it at different moments, stop reading at
+/// any moment, and fetch each other's lists. In any order of these events, no router uses an
+/// endpoint that left after the store's return once the grace period is over, even if no further
+/// change comes, and all routers use those that stay.
 #[test]
 fn after_the_grace_no_order_of_events_leaves_an_endpoint_that_is_gone() {
     for seed in 0..2_000 {
--- a/tests/gateway_follow.rs
+++ b/tests/gateway_follow.rs
@@ -1,4 +1,4 @@
-//! Following the store: what a router takes over from it, and when.
+//! Following the store: what a router takes from it, and when.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,10 +20,10 @@
 use self::stores::router;
 use self::stores::used;
 
-/// The store refuses one router for some seconds and serves the others. Endpoints leave, of which
-/// it hears from its peers. When the store serves it again, it must not take what it had read
-/// before for entries that lapsed: it would send work to endpoints that are gone, and tell its
-/// peers to do so.
+/// The store refuses one router for some seconds and serves the others. Meanwhile endpoints leave,
+/// and the router learns that from its peers. When the store serves it again, it must not treat the
+/// endpoints of its own older list as lapsed registrations: it would send work to endpoints that
+/// are gone, and pass them on to its peers.
 #[tokio::test]
 async fn a_router_that_was_refused_alone_brings_no_gone_endpoint_back() {
     let all = endpoints("engine", 4);
@@ -49,8 +49,8 @@
     assert!(used(&shared).iter().eq(rest.keys()));
 }
 
-/// The store is away for everybody, and the entries of two endpoints lapse. They are used for the
-/// grace and dropped when they don't come back.
+/// The store is down for all routers and the registrations of two endpoints lapse. They are used
+/// for the grace period and dropped if they are not registered again.
 #[tokio::test]
 async fn entries_that_lapsed_with_the_store_are_used_for_the_grace_only() {
     let all = endpoints("engine", 4);
@@ -67,9 +67,10 @@
     assert!(used(&shared).iter().eq(rest.keys()));
 }
 
-/// The store is away for everybody, and registrations lapse. It returns; another router reaches it
-/// just before this one and says so. Taken for an outage of this router alone, all that lapsed
-/// would count as gone, and calls would be refused for two seconds though the endpoints live.
+/// The store is down for all routers, and registrations lapse. It comes back; another router
+/// reaches it just before this one and reports that. If this router took that for an outage of its
+/// own, all lapsed endpoints would count as gone, and calls would be refused for two seconds
+/// although the endpoints work.
 #[tokio::test]
 async fn a_peer_that_reached_the_store_just_before_does_not_prove_that_it_was_there() {
     let all = endpoints("engine", 4);
@@ -86,9 +87,9 @@
     assert_eq!(used(&shared).len(), 4);
 }
 
-/// The store was away for everybody. A router that reaches it later than others would keep what
-/// leaves then for as long again, and tell its peers to: callers' requests would go on reaching
-/// endpoints that left well after the store's return.
+/// The store was down for all routers. A router that reaches it later than others must not count
+/// the grace period from then: it would keep endpoints that leave meanwhile and pass them on to its
+/// peers, so that requests would still reach endpoints that left well after the store's return.
 #[tokio::test]
 async fn the_grace_counts_from_when_the_first_router_reached_the_store() {
     let all = endpoints("engine", 4);
@@ -106,8 +107,8 @@
     assert!(used(&shared).iter().eq(rest.keys()));
 }
 
-/// Only the calls for routes failed for a while: the store was there, and no endpoint lapsed. One
-/// that leaves just after is not kept as if it had.
+/// Only the calls for routes failed for a while: the store was up, and no registration lapsed. An
+/// endpoint that leaves just after that must not be kept as if its registration had lapsed.
 #[tokio::test]
 async fn routes_that_could_not_be_read_make_no_endpoint_lapse() {
     let all = endpoints("engine", 4);
@@ -125,7 +126,7 @@
     assert_eq!(used(&shared).len(), 3);
 }
 
-/// A router that is no reader asks the store nothing, and starts when it becomes one.
+/// A router that is not a reader makes no calls to the store, and starts when it becomes one.
 #[tokio::test]
 async fn only_readers_ask_the_store() {
     let shared = router();
@@ -140,9 +141,9 @@
     assert_eq!(used(&shared).len(), 2);
 }
 
-/// The store falls silent to a reader: its connections stay open and nothing comes any more. As
-/// long as it believes that it hears of changes nobody else reads the store, and keys that were
-/// taken away go on working everywhere.
+/// The store stops responding to a reader while its connections stay open. As long as the reader
+/// counts itself as in contact, no other router reads the store, and revoked keys still work
+/// everywhere.
 #[tokio::test]
 async fn a_reader_notices_a_silent_store_soon() {
     let all = endpoints("engine", 2);
--- a/tests/gateway_freshness.rs
+++ b/tests/gateway_freshness.rs
@@ -1,5 +1,4 @@
-//! What the operator's bounds leave for the waits between a change and the last router that acts by
-//! it.
+//! The waits between a change and the last router that applies it, under the operator's bounds.
 
 use std::time::Duration;
 
@@ -16,8 +15,8 @@
     }
 }
 
-/// All readers are cut off just after a watch began, in fleets with any bounds from 1.3 s on: the
-/// waits in a row end within the stricter bound.
+/// All readers lose the store just after a watch began, in fleets with any bounds from 1.3 s on.
+/// The sum of the waits must stay within the stricter bound.
 #[test]
 fn the_waits_in_a_row_hold_the_bound() {
     for leave in (1_300..6_000).step_by(100) {
@@ -28,14 +27,14 @@
     }
 }
 
-/// Each call to the store is paid for: a wide bound does not shorten watches.
+/// Each call to the store is billed, so a wide bound must not shorten watches.
 #[test]
 fn a_wide_bound_leaves_watches_as_they_are_set() {
     let config = bounded(3_000, 3_000);
     assert_eq!(watch_wait(&config), Duration::from_millis(config.watch_ms));
 }
 
-/// A bound that can't be held must not make a fleet poll its store without a pause.
+/// A bound that can't be met must not make a fleet poll its store without a pause.
 #[test]
 fn a_bound_that_can_not_be_held_is_told_and_watches_keep_a_wait() {
     let config = bounded(300, 300);
--- a/tests/gateway_leaving.rs
+++ b/tests/gateway_leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave: from when on no router sends work to them.
+//! Endpoints that leave: the time until no router sends work to them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -33,11 +33,11 @@
 use self::stores::router;
 use self::stores::used;
 
-/// Time for a router to hear of a change.
+/// Time for a router to receive a change.
 const NEWS: Duration = Duration::from_millis(100);
 
-/// A router that reached the store again after an outage and then stopped reading, since others
-/// read it. Its last watch tells it that an endpoint is no longer registered.
+/// Returns a router that regained the store after an outage and then stopped reading, since other
+/// routers read it. Its last watch reports that an endpoint is no longer registered.
 async fn stopped_reader(
     all: &BTreeMap<EndpointKey, EndpointEntry>,
 ) -> (Arc<SharedState>, Arc<FakeStore>) {
@@ -54,11 +54,12 @@
     (shared, store)
 }
 
-/// Callers' requests reached an endpoint two seconds after it had left and, later, found nobody
-/// there. The store had been away; a router reached it again and stopped reading, since others
-/// read it. Its last watch told of the removal, taken for an entry that lapsed with the store and
-/// kept for a while; that while was ended by the next watch, and none came. The routers' logs showed
-/// two lists of one revision: with the endpoint at those that had stopped reading, without elsewhere.
+/// Guards against a kept endpoint that never expires. After an outage of the store, a router
+/// regained contact and then stopped reading, since others read it. It took the removal in its last
+/// watch for a registration that lapsed with the store and kept the endpoint. Only the next watch
+/// ended that, and there was none, so requests reached the endpoint two seconds after it had left
+/// and later found no process there. The routers' logs showed two lists of the same revision, one
+/// with the endpoint and one without.
 #[tokio::test]
 async fn a_router_that_stopped_reading_drops_what_it_kept() {
     let all = endpoints("engine", 4);
@@ -67,8 +68,9 @@
     assert_eq!(used(&shared).len(), 3);
 }
 
-/// As above, at a router that never read the store: it had fetched the list of the one that kept
-/// the endpoint, in which nothing told that it would end, and no newer list came for seconds.
+/// Guards against the same at a router that never read the store: it had fetched the list of the
+/// router that kept the endpoint. That list did not state when the endpoint expires, and no newer
+/// list came for seconds.
 #[tokio::test]
 async fn a_fetched_list_ends_as_early_as_the_one_it_came_from() {
     let all = endpoints("engine", 4);
@@ -83,7 +85,7 @@
     assert_eq!(used(&fetching).len(), 3);
 }
 
-/// Lets routers exchange messages on loopback. None answers who fetches its list.
+/// Starts gossip between the routers on loopback. None of them serves its list to others.
 async fn exchanging(routers: &[Arc<SharedState>]) {
     let mut port = 0;
     let addresses: Vec<String> = (1..=routers.len())
@@ -114,9 +116,9 @@
     }
 }
 
-/// Callers' requests reached an endpoint 3.7 s after it had left. The link of the host that sent
-/// them was full: small messages came and told of a newer list, and each fetch of it timed out. The
-/// messages told that something had changed and not what; the host's log showed both.
+/// Guards against work for an endpoint 3.7 s after it left. The link of the sending host was full:
+/// small messages arrived and announced a newer list, but each fetch of that list timed out. The
+/// messages did not say what had changed.
 #[tokio::test]
 async fn an_endpoint_that_left_gets_no_work_though_the_list_can_not_be_fetched() {
     let all = endpoints("engine", 4);
@@ -134,11 +136,11 @@
     assert!(used(&other).iter().eq(rest.keys()));
 }
 
-/// Time within which no router may send to an endpoint that left, in the strictest deployments.
+/// Time after which no router may send to an endpoint that left, in the strictest deployments.
 const LEAVE_BOUND: Duration = Duration::from_secs(2);
 
-/// Cuts off all routers that read the store just after they began to wait for changes, and then lets an
-/// endpoint leave. The store is well, the other routers reach it, and no list can be fetched.
+/// Cuts all readers off from the store just after they began to wait for changes, and then lets an
+/// endpoint leave. The store works, the other routers reach it, and no list can be fetched.
 async fn leave_as_all_readers_are_cut_off(
     all: &BTreeMap<EndpointKey, EndpointEntry>,
     routers: &[Arc<SharedState>],
@@ -152,7 +154,7 @@
         }
     }
     exchanging(routers).await;
-    // All of them read at first; those that are too many stop after their first watch.
+    // All of them read at first; the surplus readers stop after their first watch.
     sleep(Duration::from_millis(2_500)).await;
     let reading = routers.iter().filter(|shared| shared.is_in_touch()).count();
     assert_eq!(reading, 3);
@@ -178,17 +180,18 @@
     }
 }
 
-/// Callers' requests would reach an endpoint more than two seconds after it left. All routers that
-/// read the store are cut off from it at once, silently and just after they began to wait for
-/// changes; the store is well and the other routers reach it. Waiting and noticing took all of the
-/// two seconds, and telling the others, reading and telling the news came on top.
+/// Guards against work for an endpoint more than two seconds after it left. All readers lose the
+/// store at once, without an error and just after they began to wait for changes, while the store
+/// works and the other routers reach it. Waiting and noticing took all of the two seconds; gossip,
+/// reading the store and sending the change came on top.
 #[tokio::test]
 async fn an_endpoint_that_leaves_as_all_readers_are_cut_off_gets_no_work_within_the_bound() {
     let routers: Vec<Arc<SharedState>> = (0..5).map(|_| router()).collect();
     leave_as_all_readers_are_cut_off(&endpoints("engine", 4), &routers).await;
 }
 
-/// Guards against the same where each router has a list before, and so knows what left when it reads.
+/// Guards against the same where each router has a list before, and so knows which endpoints left
+/// when it reads the store.
 #[tokio::test]
 async fn routers_with_a_list_hear_within_the_bound_of_who_leaves_as_all_readers_are_cut_off() {
     let all = endpoints("engine", 4);
--- a/tests/gateway_lives.rs
+++ b/tests/gateway_lives.rs
@@ -1,5 +1,5 @@
-//! Endpoints that start again under the key that they had, without a network: what was learned of
-//! the former process must not be believed of the later one.
+//! Endpoints that restart under their key, without a network: what was learned about the former
+//! process must not be applied to the new one.
 
 use std::collections::BTreeMap;
 
@@ -77,9 +77,9 @@
     core
 }
 
-/// An engine crashes with a queue and is back under its key at once. Its queue, its cache, its
-/// failures and its pause went with the process; a router that still counts them keeps work from
-/// an idle engine, and one that believes in its cache queues whole prompts as if they were short.
+/// An engine crashes with a queue and restarts under its key at once. Its queue, cache, failures
+/// and pause ended with the process. A router that still counts them sends no work to an idle
+/// engine, and one that assumes the former cache queues whole prompts as if they were short.
 #[test]
 fn what_was_learned_of_a_former_process_goes_with_it() {
     let mut core = core();
@@ -98,8 +98,8 @@
     assert!(after.health.failure_rate(ms(21)) <= 0.0);
 }
 
-/// A call that waits for the former process ends when the later one is already at work. Its end
-/// must not free what the later process has.
+/// A call at the former process ends when the new process already has work. Its end must not
+/// release the load of the new process.
 #[test]
 fn the_end_of_a_former_attempt_does_not_count_for_the_later_process() {
     let mut core = core();
@@ -114,8 +114,8 @@
     assert!(row.health.failure_rate(ms(20)) <= 0.0);
 }
 
-/// Behind a cut an engine crashes and starts again; the connections to the former process stay
-/// silent without an end. Calls on them must hear of the restart.
+/// An engine crashes and restarts behind a network partition; connections to the former process
+/// stay open and silent. Calls on them must be notified of the restart.
 #[tokio::test]
 async fn attempts_at_a_former_process_are_told() {
     let mut core = core();
@@ -128,8 +128,8 @@
     assert!(tokio::time::timeout(limit, ticket.replaced()).await.is_ok());
 }
 
-/// Peers go on telling of what they have at the former process until their calls there end. Taken
-/// for load of the later one, an idle engine would seem busy.
+/// Peers report their load at the former process until their calls there end. If it counted for the
+/// new process, an idle engine would seem busy.
 #[test]
 fn what_peers_tell_of_a_former_process_does_not_count_for_the_later_one() {
     let mut core = core();
@@ -145,8 +145,8 @@
     assert_eq!((row.total_active(), row.total_pending()), (0, 0.0));
 }
 
-/// What a crashed engine wrote last reaches the store after its restart: that it is leaving. The
-/// later process works and must be used, and the former must not come back.
+/// The last write of a crashed engine, that it is leaving, reaches the store after its restart. The
+/// new process works and must be used, and the former must not be restored.
 #[test]
 fn a_late_entry_of_a_former_process_changes_nothing() {
     let entries = single();
@@ -171,7 +171,7 @@
     );
 }
 
-/// The list of a store is read again just after such a late entry.
+/// The complete list of the store is read just after such a late write.
 #[test]
 fn a_list_with_an_entry_of_a_former_process_keeps_the_later_one() {
     let entries = single();
@@ -185,8 +185,8 @@
     );
 }
 
-/// A peer that started after the crash took the late entry at its word and passes it on under a
-/// newer revision of the store.
+/// A peer that started after the crash accepted the late entry and passes it on with a newer
+/// revision of the store.
 #[test]
 fn a_peer_can_not_bring_a_former_process_back() {
     let metrics = GatewayMetrics::new().unwrap();
@@ -208,8 +208,9 @@
     assert_eq!(list.registered().values().next(), Some(&born(&entries, 20)));
 }
 
-/// The store was away, and something else wrote over an endpoint's entry meanwhile. It names no
-/// endpoint; unlike one that lapsed it isn't used until it is back, and the others hold.
+/// During an outage of the store an endpoint's entry was overwritten with something else. Unlike an
+/// endpoint whose registration lapsed, this one is not used until it registers again; the others
+/// are not affected.
 #[test]
 fn an_entry_that_names_nothing_is_not_used_as_lapsed() {
     let all = endpoints("engine", 2);
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -1,4 +1,4 @@
-//! Which routers read the store, over fleets and faults, without a network.
+//! Election of the routers that read the store, over fleets and faults, without a network.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +7,16 @@
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
 
-/// Pause between two decisions of a router, in ms.
+/// Interval between two decisions of a router, in ms.
 const ROUND_MS: u64 = 100;
-/// Rounds from a router's decision to read until it hears from the store.
+/// Rounds from a router's decision to read until it is in contact with the store.
 const CONNECT_ROUNDS: u64 = 1;
 
 fn ms(millis: u64) -> Moment {
     Moment(millis * 1_000)
 }
 
-/// One router: its election, whether it reads, and since when.
+/// One router: its election, since when it reads, and its contact with the store.
 struct Seat {
     election: ReaderElection,
     reads_since: Option<u64>,
@@ -25,13 +25,13 @@
     alive: bool,
 }
 
-/// A fleet in which each router sees the others as they were a round ago.
+/// A fleet in which each router sees the others' state of the previous round.
 struct Fleet {
     seats: Vec<Seat>,
     refused: BTreeSet<usize>,
     store_is_up: bool,
     round: u64,
-    /// Whole readings of the store.
+    /// Number of times that a router read the whole store.
     readings: usize,
 }
 
@@ -119,8 +119,8 @@
     }
 }
 
-/// All routers of a fleet start at once and know nothing of each other's reading. If each of them
-/// read the store, its rate limit would refuse the last ones, and each call is paid for.
+/// All routers of a fleet start at once and don't know which of them read the store. If all did,
+/// its rate limit would refuse some, and each call is billed.
 #[test]
 fn a_fleet_that_starts_at_once_settles_on_three_readers() {
     let mut fleet = Fleet::of(100);
@@ -129,8 +129,8 @@
     assert!(fleet.readings <= 12, "{} readings", fleet.readings);
 }
 
-/// The store refuses a third of all routers for seconds, all readers of the moment among them, and
-/// serves the others. Within two seconds others hear from it, or changes would come late.
+/// The store refuses a third of all routers for seconds, including all current readers, and serves
+/// the others. Others must be in contact with it within two seconds, or changes would be late.
 #[test]
 fn readers_that_are_refused_are_replaced() {
     let mut fleet = Fleet::of(30);
@@ -140,8 +140,8 @@
     assert!(fleet.touching() >= 2, "{} in touch", fleet.touching());
 }
 
-/// The store is away for everybody. The calls that find that out are paid for, so that a large
-/// fleet must not try more than a small one.
+/// The store is down for all routers. Calls that probe it are billed, so a large fleet must not
+/// make more of them than a small one.
 #[test]
 fn an_outage_is_watched_by_a_dozen_at_most() {
     let mut fleet = Fleet::of(300);
@@ -155,7 +155,7 @@
     assert_eq!(fleet.reading(), 3);
 }
 
-/// A reader is killed. One other takes its place; the two that are left keep theirs, since each
+/// A reader is killed. One other router replaces it; the two remaining readers stay, since each
 /// change of readers reads the whole store again.
 #[test]
 fn one_reader_less_costs_one_reading() {
@@ -170,7 +170,7 @@
     assert_eq!(fleet.readings, before + 1);
 }
 
-/// A router alone, or one whose peers are all gone, must not wait for others.
+/// A single router, or one whose peers are all gone, must not wait for others.
 #[test]
 fn a_router_alone_reads_the_store_after_its_welcome() {
     let mut fleet = Fleet::of(1);
@@ -180,9 +180,9 @@
     assert_eq!(fleet.touching(), 1);
 }
 
-/// The store falls silent to all three readers at the same moment and to a third of the others. The
-/// next three in the order may be among those, and each needs a second to know it; meanwhile keys
-/// that were taken away go on working. Twice as many have to try from the first.
+/// The store stops responding to all three readers at once and to a third of the other routers. The
+/// next three in the order may be among those, and each needs a second to notice; meanwhile revoked
+/// keys still work. Twice as many must therefore try from the start.
 #[test]
 fn when_nobody_is_in_touch_six_try_at_once() {
     let wanted = |touching: usize| {
@@ -194,7 +194,7 @@
                     idle_before: *idle_before,
                     ..ReaderStanding::default()
                 };
-                // Enough are in touch until now.
+                // Enough routers have been in contact until now.
                 election.reads(ms(1_000), standing(3));
                 election.reads(ms(1_100), standing(touching))
             })
--- a/tests/stores/mod.rs
+++ b/tests/stores/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the store, held in memory, and routers that follow it.
-// Each test file that takes this module uses a part of it.
+//! An in-memory fake of the store, and routers that follow it.
+// Each test file that includes this module uses only a part of it.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -29,30 +29,30 @@
 use verbenaturn::gateway::routes::EndpointKey;
 use verbenaturn::gateway::shared::SharedState;
 
-/// Pause between two looks of a waiting watch.
+/// Interval at which a watch polls the fake store.
 const LOOK_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a store holds.
+/// The content of a store.
 #[derive(Debug, Clone)]
 struct Holding {
     entries: BTreeMap<EndpointKey, EndpointEntry>,
     revision: u64,
-    /// The endpoint whose removal made this revision, if that did.
+    /// The endpoint whose removal created this revision, if that was the change.
     removed: Option<EndpointKey>,
 }
 
-/// A store that holds endpoints, or refuses, or no longer answers.
+/// A store of endpoints that can be made to refuse calls or to stop responding.
 #[derive(Debug, Default)]
 pub struct FakeStore {
-    /// Whether calls get no answer any more.
+    /// True if calls get no response.
     pub is_silent: AtomicBool,
-    /// Whether calls for routes are refused.
+    /// True if calls for routes are refused.
     pub refuses_routes: AtomicBool,
     held: Mutex<Option<Holding>>,
 }
 
 impl FakeStore {
-    /// Holds these endpoints and has forgotten how they changed.
+    /// Sets the content; the changes that led to it are compacted.
     pub fn hold(&self, entries: &BTreeMap<EndpointKey, EndpointEntry>, revision: u64) {
         *self.held.lock().unwrap() = Some(Holding {
             entries: entries.clone(),
@@ -61,7 +61,7 @@
         });
     }
 
-    /// Removes an endpoint and tells watches so.
+    /// Removes an endpoint and reports it to watches.
     pub fn remove(&self, key: &EndpointKey, revision: u64) {
         let mut held = self.held.lock().unwrap();
         let holding = held.as_mut().unwrap();
@@ -116,7 +116,7 @@
             let Holding {
                 revision, removed, ..
             } = self.held(section)?;
-            // A watch tells of its own section only.
+            // A watch reports changes of its own section only.
             let is_new = section == StateSection::Endpoints && revision > after.0;
             if is_new || begun.elapsed() >= wait {
                 let changes = removed.filter(|_| is_new).map(StateChange::Removed);
@@ -132,10 +132,10 @@
     }
 }
 
-/// Time for which routers of these tests keep endpoints that lapsed.
+/// Time for which routers in these tests keep endpoints with lapsed registrations.
 pub const GRACE: Duration = Duration::from_millis(400);
 
-/// A router that may read the store.
+/// Creates a router that may read the store.
 pub fn router() -> Arc<SharedState> {
     let config = GatewayConfig {
         store_retry_ms: 10,
@@ -148,7 +148,7 @@
     Arc::new(shared)
 }
 
-/// Lets a router follow one section of a store.
+/// Starts following one section of a store.
 pub fn follow(shared: &Arc<SharedState>, store: &Arc<FakeStore>, section: StateSection) {
     tokio::spawn(follow_section(
         Arc::clone(store),
@@ -157,7 +157,7 @@
     ));
 }
 
-/// A router that follows a store with these endpoints.
+/// Creates a router that follows a store with these endpoints.
 pub async fn following(
     all: &BTreeMap<EndpointKey, EndpointEntry>,
 ) -> (Arc<SharedState>, Arc<FakeStore>) {
@@ -169,7 +169,7 @@
     (shared, store)
 }
 
-/// The endpoints that a router sends work to.
+/// Returns the endpoints that a router sends work to.
 pub fn used(shared: &SharedState) -> BTreeSet<EndpointKey> {
     let now = shared.clock.now();
     let core = shared.core();
