--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -32,7 +32,7 @@
 
 /// The stages of a router's shutdown; each begins when its token is cancelled.
 #[derive(Debug, Clone)]
-pub struct LifeStages {
+pub struct ShutdownStages {
     /// SIGTERM was received: the router reports not ready and closes each connection after its
     /// response.
     pub draining: CancellationToken,
@@ -42,7 +42,7 @@
     pub ended: CancellationToken,
 }
 
-impl LifeStages {
+impl ShutdownStages {
     /// Creates the stages of a router that is not shutting down.
     #[must_use]
     pub fn new() -> Self {
@@ -57,7 +57,7 @@
     }
 }
 
-impl Default for LifeStages {
+impl Default for ShutdownStages {
     fn default() -> Self {
         Self::new()
     }
@@ -96,7 +96,7 @@
     /// Settings of the gateway's decisions.
     pub config: GatewayConfig,
     /// Stages of the shutdown.
-    pub life: LifeStages,
+    pub life: ShutdownStages,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
     /// Traffic of this process on its host's link.
@@ -121,7 +121,7 @@
             peers_touch: Mutex::default(),
             clock: DriverClock::start(),
             config,
-            life: LifeStages::new(),
+            life: ShutdownStages::new(),
             metrics,
             link: Arc::default(),
             in_flight: AtomicUsize::new(0),
