--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -52,7 +52,7 @@
 
 /// The endpoint list as one router sends it to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ToldEndpoints {
+pub struct EndpointListMessage {
     /// The registered endpoints.
     pub entries: BTreeMap<EndpointKey, EndpointEntry>,
     /// The kept endpoints.
@@ -140,7 +140,7 @@
 
     /// Applies the list of another router, requested at `asked`. Returns false if it is older than
     /// this list.
-    pub fn adopt(&mut self, now: Moment, asked: Moment, told: ToldEndpoints) -> bool {
+    pub fn adopt(&mut self, now: Moment, asked: Moment, told: EndpointListMessage) -> bool {
         let as_of = StoreRevision(told.revision);
         if as_of < self.as_of {
             return false;
@@ -160,7 +160,7 @@
 
     /// Returns the list to send to another router.
     #[must_use]
-    pub fn telling(&self, now: Moment) -> ToldEndpoints {
+    pub fn telling(&self, now: Moment) -> EndpointListMessage {
         let kept = self.kept.iter().map(|(key, kept)| {
             let told = ToldKept {
                 entry: kept.entry.clone(),
@@ -168,7 +168,7 @@
             };
             (key.clone(), told)
         });
-        ToldEndpoints {
+        EndpointListMessage {
             entries: self.registered.clone(),
             kept: kept.collect(),
             revision: self.as_of.0,
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -16,7 +16,7 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
-use super::endpoint_list::ToldEndpoints;
+use super::endpoint_list::EndpointListMessage;
 use super::routes::RouteTable;
 use super::shared::SharedState;
 
@@ -46,7 +46,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct KnownState {
     routes: Option<RouteTable>,
-    endpoints: Option<ToldEndpoints>,
+    endpoints: Option<EndpointListMessage>,
 }
 
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -20,8 +20,8 @@
 use super::config::GatewayConfig;
 use super::decide::GatewayCore;
 use super::endpoint_list::EndpointList;
+use super::endpoint_list::EndpointListMessage;
 use super::endpoint_list::RegisteredEndpoints;
-use super::endpoint_list::ToldEndpoints;
 use super::follow::StateSection;
 use super::follow::StoreRevision;
 use super::link::LinkMeter;
@@ -188,7 +188,7 @@
 
     /// Puts in force the endpoint list of another router, requested at `asked`. Returns false if it
     /// is older than the current one.
-    pub fn adopt_endpoints(&self, asked: Moment, told: ToldEndpoints) -> bool {
+    pub fn adopt_endpoints(&self, asked: Moment, told: EndpointListMessage) -> bool {
         let now = self.clock.now();
         self.change_endpoints(now, |list| list.adopt(now, asked, told))
     }
--- a/tests/gateway_follow.rs
+++ b/tests/gateway_follow.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::sleep;
 
-use verbenaturn::gateway::endpoint_list::ToldEndpoints;
+use verbenaturn::gateway::endpoint_list::EndpointListMessage;
 use verbenaturn::gateway::follow::StateSection;
 
 mod engines;
@@ -33,7 +33,7 @@
     let mut rest = all.clone();
     rest.pop_first();
     rest.pop_first();
-    let told = ToldEndpoints {
+    let told = EndpointListMessage {
         entries: rest.clone(),
         kept: BTreeMap::new(),
         revision: 20,
--- a/tests/gateway_lives.rs
+++ b/tests/gateway_lives.rs
@@ -11,7 +11,7 @@
 use verbenaturn::gateway::decide::GatewayCore;
 use verbenaturn::gateway::decide::endpoints::PeerLoad;
 use verbenaturn::gateway::endpoint_list::EndpointList;
-use verbenaturn::gateway::endpoint_list::ToldEndpoints;
+use verbenaturn::gateway::endpoint_list::EndpointListMessage;
 use verbenaturn::gateway::endpoint_view::EndpointView;
 use verbenaturn::gateway::follow::StoreRevision;
 use verbenaturn::gateway::metrics::GatewayMetrics;
@@ -194,7 +194,7 @@
     let entries = single();
     let offer = |revision, at| {
         let entry = born(&entries, at);
-        let told = ToldEndpoints {
+        let told = EndpointListMessage {
             entries: BTreeMap::from([(entry.key.clone(), entry)]),
             kept: BTreeMap::new(),
             revision,
