--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -43,7 +43,7 @@
 
 /// A kept endpoint as one router sends it to another, whose clock differs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ToldKept {
+pub struct KeptEndpointMessage {
     /// Its last registered entry.
     pub entry: EndpointEntry,
     /// Remaining time of its use, in ms.
@@ -57,7 +57,7 @@
     pub entries: BTreeMap<EndpointKey, EndpointEntry>,
     /// The kept endpoints.
     #[serde(default)]
-    pub kept: BTreeMap<EndpointKey, ToldKept>,
+    pub kept: BTreeMap<EndpointKey, KeptEndpointMessage>,
     /// The store's revision of the registered endpoints.
     pub revision: u64,
 }
@@ -146,7 +146,7 @@
             return false;
         }
         self.replace(told.entries, as_of);
-        for (key, ToldKept { entry, left_ms }) in told.kept {
+        for (key, KeptEndpointMessage { entry, left_ms }) in told.kept {
             // Counted from the request, the expiry can only be early, by the duration of the
             // exchange.
             let until = asked + TimeSpan::from_millis(left_ms);
@@ -162,7 +162,7 @@
     #[must_use]
     pub fn telling(&self, now: Moment) -> EndpointListMessage {
         let kept = self.kept.iter().map(|(key, kept)| {
-            let told = ToldKept {
+            let told = KeptEndpointMessage {
                 entry: kept.entry.clone(),
                 left_ms: kept.until.since(now).as_millis(),
             };
