--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -160,7 +160,7 @@
 
     /// Returns the list to send to another router.
     #[must_use]
-    pub fn telling(&self, now: Moment) -> EndpointListMessage {
+    pub fn to_message(&self, now: Moment) -> EndpointListMessage {
         let kept = self.kept.iter().map(|(key, kept)| {
             let told = KeptEndpointMessage {
                 entry: kept.entry.clone(),
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -102,7 +102,7 @@
     let has_news = list.as_of().0 > question.endpoints_revision;
     let state = KnownState {
         routes: newer.map(|table| (*table).clone()),
-        endpoints: has_news.then(|| list.telling(shared.clock.now())),
+        endpoints: has_news.then(|| list.to_message(shared.clock.now())),
     };
     match serde_json::to_vec(&state) {
         Ok(bytes) => {
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -78,7 +78,7 @@
     read(&mut keeping, ms(10_000), &without(&all, 1), 2);
     // 11.5 s on its clock are 51.2 s on this router's; the request was sent 0.2 s before.
     let mut list = EndpointList::default();
-    assert!(list.adopt(ms(51_200), ms(51_000), keeping.telling(ms(11_500))));
+    assert!(list.adopt(ms(51_200), ms(51_000), keeping.to_message(ms(11_500))));
     assert_eq!(list.used().len(), 3);
     list.end_kept(ms(51_500));
     assert_eq!(list.used().len(), 2);
@@ -111,7 +111,7 @@
                     read(&mut lists[index], now, &store.0, store.1);
                 }
                 _ => {
-                    let told = lists[rng.random_range(0..lists.len())].telling(now);
+                    let told = lists[rng.random_range(0..lists.len())].to_message(now);
                     lists[index].adopt(now, now, told);
                 }
             }
