--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -134,7 +134,7 @@
         }
         // The entry was overwritten with something else, so it did not lapse.
         self.kept.retain(|key, _| !unusable.contains(key));
-        self.settle(now);
+        self.prune_kept(now);
         true
     }
 
@@ -154,7 +154,7 @@
                 .entry(key)
                 .or_insert(KeptEndpoint { entry, until });
         }
-        self.settle(now);
+        self.prune_kept(now);
         true
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// Drops kept endpoints that are registered again or have expired.
-    fn settle(&mut self, now: Moment) {
+    fn prune_kept(&mut self, now: Moment) {
         let registered = &self.registered;
         self.kept
             .retain(|key, kept| kept.until > now && !registered.contains_key(key));
