--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -176,7 +176,7 @@
     }
 
     /// Drops kept endpoints that have expired and returns their keys.
-    pub fn end_kept(&mut self, now: Moment) -> Vec<EndpointKey> {
+    pub fn expire_kept(&mut self, now: Moment) -> Vec<EndpointKey> {
         let over = self.kept.extract_if(.., |_, kept| kept.until <= now);
         over.map(|(key, _)| key).collect()
     }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -197,7 +197,7 @@
     pub fn end_kept_endpoints(&self, now: Moment) {
         let mut ended = Vec::new();
         self.change_endpoints(now, |list| {
-            ended = list.end_kept(now);
+            ended = list.expire_kept(now);
             !ended.is_empty()
         });
         for key in ended {
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -59,8 +59,8 @@
     read(&mut list, ms(10_100), &back, 3);
     assert_eq!(list.used().len(), 3);
     assert!(list.kept().values().all(|kept| kept.until == ms(12_000)));
-    assert!(list.end_kept(ms(11_999)).is_empty());
-    assert_eq!(list.end_kept(ms(12_000)).len(), 2);
+    assert!(list.expire_kept(ms(11_999)).is_empty());
+    assert_eq!(list.expire_kept(ms(12_000)).len(), 2);
     assert_eq!(list.used(), back);
     // Without an outage a removal takes effect at once.
     read(&mut list, ms(13_000), &BTreeMap::new(), 4);
@@ -80,7 +80,7 @@
     let mut list = EndpointList::default();
     assert!(list.adopt(ms(51_200), ms(51_000), keeping.to_message(ms(11_500))));
     assert_eq!(list.used().len(), 3);
-    list.end_kept(ms(51_500));
+    list.expire_kept(ms(51_500));
     assert_eq!(list.used().len(), 2);
 }
 
@@ -118,7 +118,7 @@
         }
         let newest = lists.iter().map(EndpointList::as_of).max().unwrap();
         for list in &mut lists {
-            list.end_kept(ms(12_000));
+            list.expire_kept(ms(12_000));
             if list.as_of() == newest && newest == StoreRevision(store.1) {
                 assert_eq!(list.used(), store.0, "seed {seed}");
             }
