--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -187,7 +187,7 @@
         let now = self.shared.clock.now();
         self.peers.forget(now);
         self.peers.end_silent(now, self.timeout());
-        self.shared.end_kept_endpoints(now);
+        self.shared.expire_kept_endpoints(now);
         self.take_over(now);
         self.choose_reader(now);
         self.fetch_if_behind(now);
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -194,7 +194,7 @@
     }
 
     /// Drops kept endpoints that have expired.
-    pub fn end_kept_endpoints(&self, now: Moment) {
+    pub fn expire_kept_endpoints(&self, now: Moment) {
         let mut ended = Vec::new();
         self.change_endpoints(now, |list| {
             ended = list.expire_kept(now);
