--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -74,7 +74,7 @@
     kept: BTreeMap<EndpointKey, KeptEndpoint>,
     as_of: StoreRevision,
     /// Until when a removal counts as a registration that lapsed during an outage of the store.
-    lapses_end: Moment,
+    lapse_window_end: Moment,
 }
 
 impl EndpointList {
@@ -110,7 +110,7 @@
     /// Records that the store came back at `returned` after an outage for all routers. Endpoints
     /// that are missing from it are kept until `grace` has passed since then.
     pub fn store_returned(&mut self, returned: Moment, grace: TimeSpan) {
-        self.lapses_end = self.lapses_end.max(returned + grace);
+        self.lapse_window_end = self.lapse_window_end.max(returned + grace);
     }
 
     /// Applies the store's content. Returns false if it is older than the list.
@@ -124,9 +124,9 @@
             return false;
         }
         let before = self.replace(entries, as_of);
-        if now < self.lapses_end {
+        if now < self.lapse_window_end {
             for (key, entry) in before {
-                let until = self.lapses_end;
+                let until = self.lapse_window_end;
                 self.kept
                     .entry(key)
                     .or_insert(KeptEndpoint { entry, until });
