--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -16,7 +16,7 @@
 use super::digest::LoadColumns;
 use super::digest::RouterDigest;
 use super::readers::ReaderStanding;
-use super::shared::OwnTouch;
+use super::shared::StoreContact;
 
 /// Time for which a silent router still counts as a participant in the shared retry budget. The
 /// budget must also hold while routers can't reach each other.
@@ -257,7 +257,7 @@
         now: Moment,
         timeout: TimeSpan,
         own: IpAddr,
-        touch: OwnTouch,
+        touch: StoreContact,
     ) -> ReaderStanding {
         let rank = |address: &IpAddr| xxh3_64(address.to_string().as_bytes());
         let own = rank(&own);
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -65,7 +65,7 @@
 
 /// This router's contact with the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct OwnTouch {
+pub struct StoreContact {
     /// True if it reads all changes from the store directly.
     pub in_touch: bool,
     /// True if its last call to the store failed.
@@ -278,8 +278,8 @@
 
     /// Returns this router's contact with the store.
     #[must_use]
-    pub fn own_touch(&self) -> OwnTouch {
-        OwnTouch {
+    pub fn own_touch(&self) -> StoreContact {
+        StoreContact {
             in_touch: self.is_in_touch(),
             is_failing: self.store_failing.load(Ordering::Relaxed),
         }
