--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -74,7 +74,7 @@
 
 /// When other routers were last known to be in contact with the store, and when none was.
 #[derive(Debug, Default)]
-struct PeersTouch {
+struct PeerStoreContact {
     touched: Option<Moment>,
     untouched: Option<Moment>,
     /// When contact was regained after a time in which no router had any.
@@ -90,7 +90,7 @@
     sections_in_touch: Mutex<BTreeSet<StateSection>>,
     store_failing: AtomicBool,
     reader: watch::Sender<bool>,
-    peers_touch: Mutex<PeersTouch>,
+    peers_touch: Mutex<PeerStoreContact>,
     /// The router's clock.
     pub clock: DriverClock,
     /// Settings of the gateway's decisions.
