--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -250,7 +250,7 @@
                 Vec::new()
             },
             in_touch: self.shared.is_in_touch(),
-            store_failing: self.shared.own_touch().is_failing,
+            store_failing: self.shared.store_contact().is_failing,
             suspects: suspects.into_iter().map(suspect_entry).collect(),
             turned_away_per_s: turned_away as u32,
             left,
@@ -328,7 +328,7 @@
     }
 
     fn choose_reader(&mut self, now: Moment) {
-        let touch = self.shared.own_touch();
+        let touch = self.shared.store_contact();
         let own = self.plan.listen.ip();
         let standing = self.peers.standing(now, self.timeout(), own, touch);
         self.shared.note_peers_touch(now, standing.touching > 0);
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -278,7 +278,7 @@
 
     /// Returns this router's contact with the store.
     #[must_use]
-    pub fn own_touch(&self) -> StoreContact {
+    pub fn store_contact(&self) -> StoreContact {
         StoreContact {
             in_touch: self.is_in_touch(),
             is_failing: self.store_failing.load(Ordering::Relaxed),
--- a/tests/gateway_follow.rs
+++ b/tests/gateway_follow.rs
@@ -117,10 +117,10 @@
     sleep(Duration::from_millis(100)).await;
     store.refuses_routes.store(true, Ordering::Relaxed);
     sleep(Duration::from_millis(100)).await;
-    assert!(shared.own_touch().is_failing);
+    assert!(shared.store_contact().is_failing);
     store.refuses_routes.store(false, Ordering::Relaxed);
     sleep(Duration::from_millis(150)).await;
-    assert!(!shared.own_touch().is_failing);
+    assert!(!shared.store_contact().is_failing);
     store.remove(all.keys().next().unwrap(), 20);
     sleep(Duration::from_millis(100)).await;
     assert_eq!(used(&shared).len(), 3);
@@ -150,7 +150,7 @@
     let (shared, store) = following(&all).await;
     store.is_silent.store(true, Ordering::Relaxed);
     let begun = std::time::Instant::now();
-    while !shared.own_touch().is_failing {
+    while !shared.store_contact().is_failing {
         assert!(begun.elapsed() < Duration::from_millis(3_300));
         sleep(Duration::from_millis(20)).await;
     }
