--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -90,7 +90,7 @@
     sections_in_touch: Mutex<BTreeSet<StateSection>>,
     store_failing: AtomicBool,
     reader: watch::Sender<bool>,
-    peers_touch: Mutex<PeerStoreContact>,
+    peer_contact: Mutex<PeerStoreContact>,
     /// The router's clock.
     pub clock: DriverClock,
     /// Settings of the gateway's decisions.
@@ -118,7 +118,7 @@
             sections_in_touch: Mutex::default(),
             store_failing: AtomicBool::new(false),
             reader: watch::Sender::new(false),
-            peers_touch: Mutex::default(),
+            peer_contact: Mutex::default(),
             clock: DriverClock::start(),
             config,
             life: ShutdownStages::new(),
@@ -287,7 +287,7 @@
 
     /// Records whether any other router is in contact with the store.
     pub fn note_peers_touch(&self, now: Moment, touched: bool) {
-        let touch = self.peers_touch.lock();
+        let touch = self.peer_contact.lock();
         let mut touch = touch.unwrap_or_else(PoisonError::into_inner);
         if touched {
             if touch.touched <= touch.untouched {
@@ -303,7 +303,7 @@
     /// store.
     #[must_use]
     pub fn peers_kept_touch(&self, since: Moment) -> bool {
-        let touch = self.peers_touch.lock();
+        let touch = self.peer_contact.lock();
         let touch = touch.unwrap_or_else(PoisonError::into_inner);
         let touched = touch.touched.is_some_and(|at| at > since);
         let untouched = touch.untouched.is_some_and(|at| at > since);
@@ -313,7 +313,7 @@
     /// Returns when another router regained contact with the store, if that was after `since` and
     /// followed a time in which none had any.
     fn peers_regained_touch(&self, since: Moment) -> Option<Moment> {
-        let touch = self.peers_touch.lock();
+        let touch = self.peer_contact.lock();
         let touch = touch.unwrap_or_else(PoisonError::into_inner);
         let is_touched = touch.touched > touch.untouched;
         touch.regained.filter(|at| is_touched && *at > since)
