--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -331,7 +331,7 @@
         let touch = self.shared.store_contact();
         let own = self.plan.listen.ip();
         let standing = self.peers.standing(now, self.timeout(), own, touch);
-        self.shared.note_peers_touch(now, standing.touching > 0);
+        self.shared.record_peer_contact(now, standing.touching > 0);
         let reads = self.election.reads(now, standing);
         if reads != self.shared.is_reader() {
             let shortage = self.election.shortage(now).as_millis();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -286,7 +286,7 @@
     }
 
     /// Records whether any other router is in contact with the store.
-    pub fn note_peers_touch(&self, now: Moment, touched: bool) {
+    pub fn record_peer_contact(&self, now: Moment, touched: bool) {
         let touch = self.peer_contact.lock();
         let mut touch = touch.unwrap_or_else(PoisonError::into_inner);
         if touched {
--- a/tests/gateway_follow.rs
+++ b/tests/gateway_follow.rs
@@ -40,7 +40,7 @@
     };
     shared.adopt_endpoints(shared.clock.now(), told);
     rest.pop_first();
-    shared.note_peers_touch(shared.clock.now(), true);
+    shared.record_peer_contact(shared.clock.now(), true);
     store.hold(&rest, 30);
     for _ in 0..20 {
         sleep(Duration::from_millis(10)).await;
@@ -77,11 +77,11 @@
     let (shared, store) = following(&all).await;
     store.refuse();
     sleep(Duration::from_millis(100)).await;
-    shared.note_peers_touch(shared.clock.now(), false);
+    shared.record_peer_contact(shared.clock.now(), false);
     let mut rest = all.clone();
     rest.pop_first();
     rest.pop_first();
-    shared.note_peers_touch(shared.clock.now(), true);
+    shared.record_peer_contact(shared.clock.now(), true);
     store.hold(&rest, 30);
     sleep(Duration::from_millis(150)).await;
     assert_eq!(used(&shared).len(), 4);
@@ -96,8 +96,8 @@
     let (shared, store) = following(&all).await;
     store.refuse();
     sleep(Duration::from_millis(100)).await;
-    shared.note_peers_touch(shared.clock.now(), false);
-    shared.note_peers_touch(shared.clock.now(), true);
+    shared.record_peer_contact(shared.clock.now(), false);
+    shared.record_peer_contact(shared.clock.now(), true);
     sleep(Duration::from_millis(300)).await;
     let mut rest = all.clone();
     rest.pop_first();
