--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -315,7 +315,7 @@
     /// the time, so no registration lapsed because of an outage. A router that regained contact
     /// just before this one does not count as evidence.
     fn failed_alone(&self, since: Moment) -> bool {
-        self.shared.peers_kept_touch(since)
+        self.shared.peers_kept_contact(since)
     }
 
     async fn failed(&mut self, step: &str, fault: &StoreFault) -> Option<StoreRevision> {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -302,7 +302,7 @@
     /// Returns true if at every moment since `since` some other router was in contact with the
     /// store.
     #[must_use]
-    pub fn peers_kept_touch(&self, since: Moment) -> bool {
+    pub fn peers_kept_contact(&self, since: Moment) -> bool {
         let touch = self.peer_contact.lock();
         let touch = touch.unwrap_or_else(PoisonError::into_inner);
         let touched = touch.touched.is_some_and(|at| at > since);
