--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -211,7 +211,7 @@
     /// left.
     pub fn store_returned(&self, since: Moment) {
         let now = self.clock.now();
-        let returned = self.peers_regained_touch(since).unwrap_or(now).min(now);
+        let returned = self.peers_regained_contact(since).unwrap_or(now).min(now);
         let grace = TimeSpan::from_millis(self.config.lapse_grace_ms);
         self.endpoint_list().store_returned(returned, grace);
     }
@@ -312,7 +312,7 @@
 
     /// Returns when another router regained contact with the store, if that was after `since` and
     /// followed a time in which none had any.
-    fn peers_regained_touch(&self, since: Moment) -> Option<Moment> {
+    fn peers_regained_contact(&self, since: Moment) -> Option<Moment> {
         let touch = self.peer_contact.lock();
         let touch = touch.unwrap_or_else(PoisonError::into_inner);
         let is_touched = touch.touched > touch.untouched;
