--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -303,7 +303,9 @@
             return Err(AttemptOutcome::Broken("ambiguous length"));
         };
         let facts = traffic.protocol.answer_facts(&head, &call.facts.call_id);
-        traffic.shared.endpoint_said(&ticket.entry, facts.words);
+        traffic
+            .shared
+            .apply_endpoint_announcement(&ticket.entry, facts.words);
         let mut decoder = BodyDecoder::new(framing);
         if !facts.is_ours {
             // A second answer to an earlier request may arrive where this one's is due. Its bytes
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -138,7 +138,7 @@
     }
 
     /// Applies what an endpoint announced in an answer.
-    pub fn endpoint_said(&self, entry: &EndpointEntry, words: SpokenWords) {
+    pub fn apply_endpoint_announcement(&self, entry: &EndpointEntry, words: SpokenWords) {
         if words == SpokenWords::default() {
             return;
         }
