--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -15,7 +15,7 @@
 use super::decide::shares::TeamFlow;
 use super::digest::LoadColumns;
 use super::digest::RouterDigest;
-use super::readers::ReaderStanding;
+use super::readers::ElectionInput;
 use super::shared::StoreContact;
 
 /// Time for which a silent router still counts as a participant in the shared retry budget. The
@@ -258,13 +258,13 @@
         timeout: TimeSpan,
         own: IpAddr,
         touch: StoreContact,
-    ) -> ReaderStanding {
+    ) -> ElectionInput {
         let rank = |address: &IpAddr| xxh3_64(address.to_string().as_bytes());
         let own = rank(&own);
-        let mut standing = ReaderStanding {
+        let mut standing = ElectionInput {
             in_touch: touch.in_touch,
             is_failing: touch.is_failing,
-            ..ReaderStanding::default()
+            ..ElectionInput::default()
         };
         for (address, row) in self.live(now, timeout) {
             let is_before = rank(address) < own;
--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -35,7 +35,7 @@
 
 /// A router's position in the election, and the state of the others as far as it knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ReaderStanding {
+pub struct ElectionInput {
     /// True if the router is in contact with the store.
     pub in_touch: bool,
     /// True if its last call to the store failed.
@@ -78,7 +78,7 @@
     /// A router that is in contact remains a reader until enough routers before it in the order are
     /// in contact too, so that readers change only when needed: each new reader reads the whole
     /// store once.
-    pub fn reads(&mut self, now: Moment, standing: ReaderStanding) -> bool {
+    pub fn reads(&mut self, now: Moment, standing: ElectionInput) -> bool {
         let touching = standing.touching + usize::from(standing.in_touch);
         if touching >= ENOUGH {
             self.enough_at = now;
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
+use verbenaturn::gateway::readers::ElectionInput;
 use verbenaturn::gateway::readers::ReaderElection;
-use verbenaturn::gateway::readers::ReaderStanding;
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
 
@@ -70,11 +70,11 @@
         self.seats.iter().filter(reads).count()
     }
 
-    fn standing(&self, own: usize, touch: &[bool]) -> ReaderStanding {
-        let mut standing = ReaderStanding {
+    fn standing(&self, own: usize, touch: &[bool]) -> ElectionInput {
+        let mut standing = ElectionInput {
             in_touch: self.seats[own].in_touch,
             is_failing: self.seats[own].is_failing,
-            ..ReaderStanding::default()
+            ..ElectionInput::default()
         };
         for (index, seat) in self.seats.iter().enumerate() {
             if index == own || !seat.alive {
@@ -189,10 +189,10 @@
         (0..12)
             .filter(|idle_before| {
                 let mut election = ReaderElection::new(ms(0), TimeSpan(0));
-                let standing = |touching| ReaderStanding {
+                let standing = |touching| ElectionInput {
                     touching,
                     idle_before: *idle_before,
-                    ..ReaderStanding::default()
+                    ..ElectionInput::default()
                 };
                 // Enough routers have been in contact until now.
                 election.reads(ms(1_000), standing(3));
