--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -330,12 +330,13 @@
     fn choose_reader(&mut self, now: Moment) {
         let touch = self.shared.store_contact();
         let own = self.plan.listen.ip();
-        let standing = self.peers.standing(now, self.timeout(), own, touch);
-        self.shared.record_peer_contact(now, standing.touching > 0);
-        let reads = self.election.reads(now, standing);
+        let election_input = self.peers.election_input(now, self.timeout(), own, touch);
+        self.shared
+            .record_peer_contact(now, election_input.touching > 0);
+        let reads = self.election.reads(now, election_input);
         if reads != self.shared.is_reader() {
             let shortage = self.election.shortage(now).as_millis();
-            let touching = standing.touching;
+            let touching = election_input.touching;
             spdlog::info!(
                 "peers: reads_store={reads} in_touch={} failing={} others_in_touch={touching} \
                  shortage_ms={shortage}",
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -252,7 +252,7 @@
     /// Returns this router's position among the live routers in the election of the store's
     /// readers.
     #[must_use]
-    pub fn standing(
+    pub fn election_input(
         &self,
         now: Moment,
         timeout: TimeSpan,
@@ -261,22 +261,22 @@
     ) -> ElectionInput {
         let rank = |address: &IpAddr| xxh3_64(address.to_string().as_bytes());
         let own = rank(&own);
-        let mut standing = ElectionInput {
+        let mut election_input = ElectionInput {
             in_touch: touch.in_touch,
             is_failing: touch.is_failing,
             ..ElectionInput::default()
         };
         for (address, row) in self.live(now, timeout) {
             let is_before = rank(address) < own;
-            standing.touching += usize::from(row.digest.in_touch);
-            standing.touching_before += usize::from(row.digest.in_touch && is_before);
+            election_input.touching += usize::from(row.digest.in_touch);
+            election_input.touching_before += usize::from(row.digest.in_touch && is_before);
             let is_failing = row.digest.store_failing && !row.digest.in_touch;
-            standing.failing += usize::from(is_failing);
-            standing.failing_before += usize::from(is_failing && is_before);
+            election_input.failing += usize::from(is_failing);
+            election_input.failing_before += usize::from(is_failing && is_before);
             let is_idle = !row.digest.in_touch && !is_failing;
-            standing.idle_before += usize::from(is_idle && is_before);
+            election_input.idle_before += usize::from(is_idle && is_before);
         }
-        standing
+        election_input
     }
 
     /// Returns true if a digest of this incarnation of the router was received before.
--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -78,23 +78,23 @@
     /// A router that is in contact remains a reader until enough routers before it in the order are
     /// in contact too, so that readers change only when needed: each new reader reads the whole
     /// store once.
-    pub fn reads(&mut self, now: Moment, standing: ElectionInput) -> bool {
-        let touching = standing.touching + usize::from(standing.in_touch);
+    pub fn reads(&mut self, now: Moment, election_input: ElectionInput) -> bool {
+        let touching = election_input.touching + usize::from(election_input.in_touch);
         if touching >= ENOUGH {
             self.enough_at = now;
         }
-        if standing.in_touch {
-            return standing.touching_before < READERS;
+        if election_input.in_touch {
+            return election_input.touching_before < READERS;
         }
         if now < self.earliest || touching >= READERS {
             return false;
         }
-        if standing.is_failing {
-            return standing.failing_before < MOST_FAILING;
+        if election_input.is_failing {
+            return election_input.failing_before < MOST_FAILING;
         }
         // Routers that the store refuses report it, and the next ones in the order try instead.
         let wanted = (READERS - touching) << self.doublings(now, touching);
-        standing.failing < MOST_FAILING && standing.idle_before < wanted
+        election_input.failing < MOST_FAILING && election_input.idle_before < wanted
     }
 
     /// Returns how often the number of candidates is doubled.
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -70,8 +70,8 @@
         self.seats.iter().filter(reads).count()
     }
 
-    fn standing(&self, own: usize, touch: &[bool]) -> ElectionInput {
-        let mut standing = ElectionInput {
+    fn election_input(&self, own: usize, touch: &[bool]) -> ElectionInput {
+        let mut election_input = ElectionInput {
             in_touch: self.seats[own].in_touch,
             is_failing: self.seats[own].is_failing,
             ..ElectionInput::default()
@@ -80,15 +80,15 @@
             if index == own || !seat.alive {
                 continue;
             }
-            standing.touching += usize::from(touch[index]);
-            standing.touching_before += usize::from(touch[index] && index < own);
+            election_input.touching += usize::from(touch[index]);
+            election_input.touching_before += usize::from(touch[index] && index < own);
             let is_failing = seat.is_failing && !touch[index];
-            standing.failing += usize::from(is_failing);
-            standing.failing_before += usize::from(is_failing && index < own);
+            election_input.failing += usize::from(is_failing);
+            election_input.failing_before += usize::from(is_failing && index < own);
             let is_idle = !touch[index] && !is_failing;
-            standing.idle_before += usize::from(is_idle && index < own);
+            election_input.idle_before += usize::from(is_idle && index < own);
         }
-        standing
+        election_input
     }
 
     fn run(&mut self, rounds: u64) {
@@ -100,8 +100,8 @@
                 if !self.seats[index].alive {
                     continue;
                 }
-                let standing = self.standing(index, &touch);
-                let reads = self.seats[index].election.reads(now, standing);
+                let election_input = self.election_input(index, &touch);
+                let reads = self.seats[index].election.reads(now, election_input);
                 let reachable = self.store_is_up && !self.refused.contains(&index);
                 let seat = &mut self.seats[index];
                 seat.reads_since = reads.then(|| seat.reads_since.unwrap_or(self.round));
@@ -189,14 +189,14 @@
         (0..12)
             .filter(|idle_before| {
                 let mut election = ReaderElection::new(ms(0), TimeSpan(0));
-                let standing = |touching| ElectionInput {
+                let election_input = |touching| ElectionInput {
                     touching,
                     idle_before: *idle_before,
                     ..ElectionInput::default()
                 };
                 // Enough routers have been in contact until now.
-                election.reads(ms(1_000), standing(3));
-                election.reads(ms(1_100), standing(touching))
+                election.reads(ms(1_000), election_input(3));
+                election.reads(ms(1_100), election_input(touching))
             })
             .count()
     };
