--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -47,7 +47,7 @@
     /// Other routers that are in contact with the store.
     pub touching: usize,
     /// Those of them that come before it in the shared order.
-    pub touching_before: usize,
+    pub contact_before: usize,
     /// Other routers that come before it in the shared order and have not tried to read the store.
     pub idle_before: usize,
 }
@@ -84,7 +84,7 @@
             self.enough_at = now;
         }
         if election_input.in_touch {
-            return election_input.touching_before < READERS;
+            return election_input.contact_before < READERS;
         }
         if now < self.earliest || touching >= READERS {
             return false;
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -81,7 +81,7 @@
                 continue;
             }
             election_input.touching += usize::from(touch[index]);
-            election_input.touching_before += usize::from(touch[index] && index < own);
+            election_input.contact_before += usize::from(touch[index] && index < own);
             let is_failing = seat.is_failing && !touch[index];
             election_input.failing += usize::from(is_failing);
             election_input.failing_before += usize::from(is_failing && index < own);
