--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -332,13 +332,13 @@
         let own = self.plan.listen.ip();
         let election_input = self.peers.election_input(now, self.timeout(), own, touch);
         self.shared
-            .record_peer_contact(now, election_input.touching > 0);
+            .record_peer_contact(now, election_input.contact_count > 0);
         let reads = self.election.reads(now, election_input);
         if reads != self.shared.is_reader() {
             let shortage = self.election.shortage(now).as_millis();
-            let touching = election_input.touching;
+            let contact_count = election_input.contact_count;
             spdlog::info!(
-                "peers: reads_store={reads} in_touch={} failing={} others_in_touch={touching} \
+                "peers: reads_store={reads} in_touch={} failing={} others_in_touch={contact_count} \
                  shortage_ms={shortage}",
                 touch.in_touch,
                 touch.is_failing,
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -268,7 +268,7 @@
         };
         for (address, row) in self.live(now, timeout) {
             let is_before = rank(address) < own;
-            election_input.touching += usize::from(row.digest.in_touch);
+            election_input.contact_count += usize::from(row.digest.in_touch);
             election_input.contact_before += usize::from(row.digest.in_touch && is_before);
             let is_failing = row.digest.store_failing && !row.digest.in_touch;
             election_input.failing += usize::from(is_failing);
--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -45,7 +45,7 @@
     /// Those of them that come before it in the order that all routers share.
     pub failing_before: usize,
     /// Other routers that are in contact with the store.
-    pub touching: usize,
+    pub contact_count: usize,
     /// Those of them that come before it in the shared order.
     pub contact_before: usize,
     /// Other routers that come before it in the shared order and have not tried to read the store.
@@ -79,21 +79,21 @@
     /// in contact too, so that readers change only when needed: each new reader reads the whole
     /// store once.
     pub fn reads(&mut self, now: Moment, election_input: ElectionInput) -> bool {
-        let touching = election_input.touching + usize::from(election_input.in_touch);
-        if touching >= ENOUGH {
+        let contact_count = election_input.contact_count + usize::from(election_input.in_touch);
+        if contact_count >= ENOUGH {
             self.enough_at = now;
         }
         if election_input.in_touch {
             return election_input.contact_before < READERS;
         }
-        if now < self.earliest || touching >= READERS {
+        if now < self.earliest || contact_count >= READERS {
             return false;
         }
         if election_input.is_failing {
             return election_input.failing_before < MOST_FAILING;
         }
         // Routers that the store refuses report it, and the next ones in the order try instead.
-        let wanted = (READERS - touching) << self.doublings(now, touching);
+        let wanted = (READERS - contact_count) << self.doublings(now, contact_count);
         election_input.failing < MOST_FAILING && election_input.idle_before < wanted
     }
 
@@ -102,8 +102,8 @@
     /// Guards against a store that stops responding to all readers at once: the next three routers
     /// in the order may be affected too, and each of them notices only by its timeout. With no
     /// router in contact, twice as many try from the start.
-    fn doublings(&self, now: Moment, touching: usize) -> u32 {
-        let at_once = u32::from(touching == 0);
+    fn doublings(&self, now: Moment, contact_count: usize) -> u32 {
+        let at_once = u32::from(contact_count == 0);
         let pauses = now.since(self.enough_at).0 / DOUBLING_PAUSE.0;
         u32::try_from(pauses)
             .unwrap_or(u32::MAX)
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    fn touching(&self) -> usize {
+    fn contact_count(&self) -> usize {
         self.seats
             .iter()
             .filter(|seat| seat.alive && seat.in_touch)
@@ -80,7 +80,7 @@
             if index == own || !seat.alive {
                 continue;
             }
-            election_input.touching += usize::from(touch[index]);
+            election_input.contact_count += usize::from(touch[index]);
             election_input.contact_before += usize::from(touch[index] && index < own);
             let is_failing = seat.is_failing && !touch[index];
             election_input.failing += usize::from(is_failing);
@@ -125,7 +125,7 @@
 fn a_fleet_that_starts_at_once_settles_on_three_readers() {
     let mut fleet = Fleet::of(100);
     fleet.run(50);
-    assert_eq!((fleet.touching(), fleet.reading()), (3, 3));
+    assert_eq!((fleet.contact_count(), fleet.reading()), (3, 3));
     assert!(fleet.readings <= 12, "{} readings", fleet.readings);
 }
 
@@ -137,7 +137,11 @@
     fleet.run(50);
     fleet.refused = (0..10).collect();
     fleet.run(20);
-    assert!(fleet.touching() >= 2, "{} in touch", fleet.touching());
+    assert!(
+        fleet.contact_count() >= 2,
+        "{} in touch",
+        fleet.contact_count()
+    );
 }
 
 /// The store is down for all routers. Calls that probe it are billed, so a large fleet must not
@@ -151,7 +155,7 @@
     assert!(fleet.reading() <= 12, "{} try", fleet.reading());
     fleet.store_is_up = true;
     fleet.run(10);
-    assert_eq!(fleet.touching(), 3);
+    assert_eq!(fleet.contact_count(), 3);
     assert_eq!(fleet.reading(), 3);
 }
 
@@ -166,7 +170,7 @@
     fleet.seats[lost].alive = false;
     fleet.seats[lost].in_touch = false;
     fleet.run(30);
-    assert_eq!(fleet.touching(), 3);
+    assert_eq!(fleet.contact_count(), 3);
     assert_eq!(fleet.readings, before + 1);
 }
 
@@ -177,7 +181,7 @@
     fleet.run(1);
     assert_eq!(fleet.reading(), 0);
     fleet.run(3);
-    assert_eq!(fleet.touching(), 1);
+    assert_eq!(fleet.contact_count(), 1);
 }
 
 /// The store stops responding to all three readers at once and to a third of the other routers. The
@@ -185,18 +189,18 @@
 /// keys still work. Twice as many must therefore try from the start.
 #[test]
 fn when_nobody_is_in_touch_six_try_at_once() {
-    let wanted = |touching: usize| {
+    let wanted = |contact_count: usize| {
         (0..12)
             .filter(|idle_before| {
                 let mut election = ReaderElection::new(ms(0), TimeSpan(0));
-                let election_input = |touching| ElectionInput {
-                    touching,
+                let election_input = |contact_count| ElectionInput {
+                    contact_count,
                     idle_before: *idle_before,
                     ..ElectionInput::default()
                 };
                 // Enough routers have been in contact until now.
                 election.reads(ms(1_000), election_input(3));
-                election.reads(ms(1_100), election_input(touching))
+                election.reads(ms(1_100), election_input(contact_count))
             })
             .count()
     };
