--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -15,9 +15,9 @@
 
 /// Number of routers in contact below which more candidates try: if only one is left and dies, the
 /// fleet gets no changes until others have connected.
-const ENOUGH: usize = 2;
+const MIN_IN_CONTACT: usize = 2;
 
-/// Time with fewer than `ENOUGH` routers in contact after which the number of candidates doubles.
+/// Time with fewer than `MIN_IN_CONTACT` routers in contact after which the number of candidates doubles.
 const DOUBLING_PAUSE: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// Most doublings of the number of candidates.
@@ -57,7 +57,7 @@
 pub struct ReaderElection {
     /// When the router may first read the store.
     earliest: Moment,
-    /// When at least `ENOUGH` routers were last in contact.
+    /// When at least `MIN_IN_CONTACT` routers were last in contact.
     enough_at: Moment,
 }
 
@@ -80,7 +80,7 @@
     /// store once.
     pub fn reads(&mut self, now: Moment, election_input: ElectionInput) -> bool {
         let contact_count = election_input.contact_count + usize::from(election_input.in_touch);
-        if contact_count >= ENOUGH {
+        if contact_count >= MIN_IN_CONTACT {
             self.enough_at = now;
         }
         if election_input.in_touch {
@@ -110,7 +110,7 @@
             .clamp(at_once, MOST_DOUBLINGS)
     }
 
-    /// Returns for how long fewer than `ENOUGH` routers have been in contact.
+    /// Returns for how long fewer than `MIN_IN_CONTACT` routers have been in contact.
     #[must_use]
     pub fn shortage(&self, now: Moment) -> TimeSpan {
         now.since(self.enough_at)
