--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -58,7 +58,7 @@
     /// When the router may first read the store.
     earliest: Moment,
     /// When at least `MIN_IN_CONTACT` routers were last in contact.
-    enough_at: Moment,
+    sufficient_at: Moment,
 }
 
 impl ReaderElection {
@@ -69,7 +69,7 @@
         let earliest = now + WELCOME_WAIT + jitter;
         Self {
             earliest,
-            enough_at: earliest,
+            sufficient_at: earliest,
         }
     }
 
@@ -81,7 +81,7 @@
     pub fn reads(&mut self, now: Moment, election_input: ElectionInput) -> bool {
         let contact_count = election_input.contact_count + usize::from(election_input.in_touch);
         if contact_count >= MIN_IN_CONTACT {
-            self.enough_at = now;
+            self.sufficient_at = now;
         }
         if election_input.in_touch {
             return election_input.contact_before < READERS;
@@ -104,7 +104,7 @@
     /// router in contact, twice as many try from the start.
     fn doublings(&self, now: Moment, contact_count: usize) -> u32 {
         let at_once = u32::from(contact_count == 0);
-        let pauses = now.since(self.enough_at).0 / DOUBLING_PAUSE.0;
+        let pauses = now.since(self.sufficient_at).0 / DOUBLING_PAUSE.0;
         u32::try_from(pauses)
             .unwrap_or(u32::MAX)
             .clamp(at_once, MOST_DOUBLINGS)
@@ -113,6 +113,6 @@
     /// Returns for how long fewer than `MIN_IN_CONTACT` routers have been in contact.
     #[must_use]
     pub fn shortage(&self, now: Moment) -> TimeSpan {
-        now.since(self.enough_at)
+        now.since(self.sufficient_at)
     }
 }
