--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -26,7 +26,7 @@
 /// Most routers that keep trying while the store doesn't respond to them. If the store refuses a
 /// third of all routers, it refuses all twelve once in 500,000 cases, and the calls during an
 /// outage don't grow with the fleet.
-const MOST_FAILING: usize = 12;
+const MAX_FAILING: usize = 12;
 
 /// Time that a new router waits for messages from others before it may read the store itself: one
 /// gossip round and the reply. Otherwise each router of a rolling restart would read the whole
@@ -90,11 +90,11 @@
             return false;
         }
         if election_input.is_failing {
-            return election_input.failing_before < MOST_FAILING;
+            return election_input.failing_before < MAX_FAILING;
         }
         // Routers that the store refuses report it, and the next ones in the order try instead.
         let wanted = (READERS - contact_count) << self.doublings(now, contact_count);
-        election_input.failing < MOST_FAILING && election_input.idle_before < wanted
+        election_input.failing < MAX_FAILING && election_input.idle_before < wanted
     }
 
     /// Returns how often the number of candidates is doubled.
