--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -21,7 +21,7 @@
 const DOUBLING_PAUSE: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// Most doublings of the number of candidates.
-const MOST_DOUBLINGS: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 
 /// Most routers that keep trying while the store doesn't respond to them. If the store refuses a
 /// third of all routers, it refuses all twelve once in 500,000 cases, and the calls during an
@@ -107,7 +107,7 @@
         let pauses = now.since(self.sufficient_at).0 / DOUBLING_PAUSE.0;
         u32::try_from(pauses)
             .unwrap_or(u32::MAX)
-            .clamp(at_once, MOST_DOUBLINGS)
+            .clamp(at_once, MAX_DOUBLINGS)
     }
 
     /// Returns for how long fewer than `MIN_IN_CONTACT` routers have been in contact.
