--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -31,7 +31,7 @@
 /// Time that a new router waits for messages from others before it may read the store itself: one
 /// gossip round and the reply. Otherwise each router of a rolling restart would read the whole
 /// store.
-const WELCOME_WAIT: TimeSpan = TimeSpan::from_millis(150);
+const STARTUP_WAIT: TimeSpan = TimeSpan::from_millis(150);
 
 /// A router's position in the election, and the state of the others as far as it knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -66,7 +66,7 @@
     /// that starts at once.
     #[must_use]
     pub fn new(now: Moment, jitter: TimeSpan) -> Self {
-        let earliest = now + WELCOME_WAIT + jitter;
+        let earliest = now + STARTUP_WAIT + jitter;
         Self {
             earliest,
             sufficient_at: earliest,
