--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -29,7 +29,7 @@
 const MAX_STATE_BYTES: usize = 2_097_152;
 
 /// Most exchanges that a router serves concurrently.
-const MOST_EXCHANGES: usize = 8;
+const MAX_EXCHANGES: usize = 8;
 
 /// The request: the versions that the requesting router has.
 #[derive(Clone, PartialEq, Message)]
@@ -58,7 +58,7 @@
 
 /// Serves the state to other routers until the process ends.
 pub async fn serve_state(shared: Arc<SharedState>, listener: TcpListener) {
-    let places = Arc::new(tokio::sync::Semaphore::new(MOST_EXCHANGES));
+    let places = Arc::new(tokio::sync::Semaphore::new(MAX_EXCHANGES));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
