--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -33,7 +33,7 @@
 
 /// The request: the versions that the requesting router has.
 #[derive(Clone, PartialEq, Message)]
-struct StateQuestion {
+struct StateRequest {
     /// Version of its routes; 0 for none.
     #[prost(uint64, tag = "1")]
     routes_version: u64,
@@ -89,7 +89,7 @@
     let Some(Ok(question)) = frames.next().await else {
         return;
     };
-    let question = match StateQuestion::decode(question) {
+    let question = match StateRequest::decode(question) {
         Ok(question) => question,
         Err(fault) => {
             spdlog::warn!("peers: step=handover question fault=\"{fault}\"");
@@ -118,7 +118,7 @@
 pub async fn fetch_state(shared: Arc<SharedState>, peer: SocketAddr) {
     shared.set_fetching(true);
     let begun = shared.clock.now();
-    let question = StateQuestion {
+    let question = StateRequest {
         routes_version: shared.routes().map_or(0, |table| table.version),
         endpoints_revision: shared.endpoints_revision().0,
     };
@@ -149,7 +149,7 @@
     }
 }
 
-async fn ask_state(peer: SocketAddr, question: &StateQuestion) -> std::io::Result<KnownState> {
+async fn ask_state(peer: SocketAddr, question: &StateRequest) -> std::io::Result<KnownState> {
     let mut frames = framed(TcpStream::connect(peer).await?);
     frames.send(Bytes::from(question.encode_to_vec())).await?;
     let Some(answer) = frames.next().await else {
