--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -44,7 +44,7 @@
 
 /// The response: the parts of the state of which the responding router has a newer version.
 #[derive(Debug, Serialize, Deserialize)]
-struct KnownState {
+struct StateResponse {
     routes: Option<RouteTable>,
     endpoints: Option<EndpointListMessage>,
 }
@@ -100,7 +100,7 @@
     let routes = shared.routes();
     let newer = routes.filter(|table| table.version > question.routes_version);
     let has_news = list.as_of().0 > question.endpoints_revision;
-    let state = KnownState {
+    let state = StateResponse {
         routes: newer.map(|table| (*table).clone()),
         endpoints: has_news.then(|| list.to_message(shared.clock.now())),
     };
@@ -149,7 +149,7 @@
     }
 }
 
-async fn ask_state(peer: SocketAddr, question: &StateRequest) -> std::io::Result<KnownState> {
+async fn ask_state(peer: SocketAddr, question: &StateRequest) -> std::io::Result<StateResponse> {
     let mut frames = framed(TcpStream::connect(peer).await?);
     frames.send(Bytes::from(question.encode_to_vec())).await?;
     let Some(answer) = frames.next().await else {
