--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -24,7 +24,7 @@
 
 /// Most addresses that are known from digests only: three fleets of the largest intended size. A
 /// message from a stranger could name any number of them.
-const MOST_TOLD: usize = 4_096;
+const MAX_UNHEARD_ADDRESSES: usize = 4_096;
 
 /// The state of another router.
 #[derive(Debug)]
@@ -85,7 +85,7 @@
                 continue;
             };
             let is_known = self.heard.contains_key(&address);
-            if !is_known && self.told.len() < MOST_TOLD && self.told.insert(address) {
+            if !is_known && self.told.len() < MAX_UNHEARD_ADDRESSES && self.told.insert(address) {
                 self.ungreeted.insert(address);
             }
         }
