--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -351,9 +351,9 @@
     /// digests, and routers that fell silent.
     fn silent(&self, live: &[IpAddr]) -> Vec<IpAddr> {
         let seeds = self.plan.seeds.iter().filter_map(|seed| seed_ip(seed));
-        let told = self.peers.told.iter().copied();
+        let unheard_addresses = self.peers.unheard_addresses.iter().copied();
         let lost = self.peers.heard.keys().copied();
-        let mut silent: Vec<IpAddr> = seeds.chain(told).chain(lost).collect();
+        let mut silent: Vec<IpAddr> = seeds.chain(unheard_addresses).chain(lost).collect();
         silent.sort_unstable();
         silent.dedup();
         silent.retain(|address| !live.contains(address) && *address != self.plan.listen.ip());
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -60,7 +60,7 @@
     /// Routers that sent a digest.
     pub heard: BTreeMap<IpAddr, PeerRow>,
     /// Addresses known from digests only; a message is sent to them now and then.
-    pub told: BTreeSet<IpAddr>,
+    pub unheard_addresses: BTreeSet<IpAddr>,
     /// Those of them to which no message has been sent yet.
     ungreeted: BTreeSet<IpAddr>,
     /// Sums of the loads in `heard` by endpoint, updated with each digest: adding up all loads of a
@@ -85,11 +85,14 @@
                 continue;
             };
             let is_known = self.heard.contains_key(&address);
-            if !is_known && self.told.len() < MAX_UNHEARD_ADDRESSES && self.told.insert(address) {
+            if !is_known
+                && self.unheard_addresses.len() < MAX_UNHEARD_ADDRESSES
+                && self.unheard_addresses.insert(address)
+            {
                 self.ungreeted.insert(address);
             }
         }
-        self.told.remove(&from);
+        self.unheard_addresses.remove(&from);
         self.ungreeted.remove(&from);
         self.add_loads(&digest.loads);
         let known = self.heard.get(&from);
--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -124,7 +124,11 @@
         assert!(peers.take(Moment(block), from, digest));
     }
     assert_eq!(peers.take_ungreeted(40).len(), 40);
-    assert!(peers.told.len() <= 4_096, "{}", peers.told.len());
+    assert!(
+        peers.unheard_addresses.len() <= 4_096,
+        "{}",
+        peers.unheard_addresses.len()
+    );
 }
 
 /// Prompts of 12 KB flood a host on a link of 10 Mbit/s. Its processor and descriptors idle, and
