--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -287,8 +287,8 @@
         // another one.
         receivers.extend(std::mem::take(&mut self.newcomers));
         let own = self.plan.listen.ip();
-        let ungreeted = self.peers.take_ungreeted(YOUNG_MESSAGES).into_iter();
-        receivers.extend(ungreeted.filter(|address| *address != own));
+        let uncontacted = self.peers.take_ungreeted(YOUNG_MESSAGES).into_iter();
+        receivers.extend(uncontacted.filter(|address| *address != own));
         if self.round % SILENT_ROUNDS == 1 {
             receivers.extend(self.silent(&live));
         }
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -62,7 +62,7 @@
     /// Addresses known from digests only; a message is sent to them now and then.
     pub unheard_addresses: BTreeSet<IpAddr>,
     /// Those of them to which no message has been sent yet.
-    ungreeted: BTreeSet<IpAddr>,
+    uncontacted: BTreeSet<IpAddr>,
     /// Sums of the loads in `heard` by endpoint, updated with each digest: adding up all loads of a
     /// hundred routers in each round takes a tenth of a small host's processor time.
     loads: BTreeMap<u32, PeerLoad>,
@@ -89,11 +89,11 @@
                 && self.unheard_addresses.len() < MAX_UNHEARD_ADDRESSES
                 && self.unheard_addresses.insert(address)
             {
-                self.ungreeted.insert(address);
+                self.uncontacted.insert(address);
             }
         }
         self.unheard_addresses.remove(&from);
-        self.ungreeted.remove(&from);
+        self.uncontacted.remove(&from);
         self.add_loads(&digest.loads);
         let known = self.heard.get(&from);
         let interval = known.map_or(TimeSpan(0), |row| now.since(row.heard));
@@ -244,7 +244,7 @@
     pub fn take_ungreeted(&mut self, most: usize) -> Vec<IpAddr> {
         let mut taken = Vec::new();
         while taken.len() < most {
-            let Some(address) = self.ungreeted.pop_first() else {
+            let Some(address) = self.uncontacted.pop_first() else {
                 break;
             };
             taken.push(address);
