--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -287,7 +287,7 @@
         // another one.
         receivers.extend(std::mem::take(&mut self.newcomers));
         let own = self.plan.listen.ip();
-        let uncontacted = self.peers.take_ungreeted(YOUNG_MESSAGES).into_iter();
+        let uncontacted = self.peers.take_uncontacted(YOUNG_MESSAGES).into_iter();
         receivers.extend(uncontacted.filter(|address| *address != own));
         if self.round % SILENT_ROUNDS == 1 {
             receivers.extend(self.silent(&live));
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -241,7 +241,7 @@
     }
 
     /// Takes up to `most` addresses to which no message has been sent yet.
-    pub fn take_ungreeted(&mut self, most: usize) -> Vec<IpAddr> {
+    pub fn take_uncontacted(&mut self, most: usize) -> Vec<IpAddr> {
         let mut taken = Vec::new();
         while taken.len() < most {
             let Some(address) = self.uncontacted.pop_first() else {
--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -123,7 +123,7 @@
         let from = "10.200.0.1".parse().unwrap();
         assert!(peers.take(Moment(block), from, digest));
     }
-    assert_eq!(peers.take_ungreeted(40).len(), 40);
+    assert_eq!(peers.take_uncontacted(40).len(), 40);
     assert!(
         peers.unheard_addresses.len() <= 4_096,
         "{}",
