--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -46,7 +46,7 @@
     /// multiplied by the interval between its sender's messages, is right on average and as recent
     /// as those messages.
     #[allow(clippy::cast_precision_loss)]
-    fn lately_weight(&self, now: Moment) -> f64 {
+    fn recency_weight(&self, now: Moment) -> f64 {
         if now.since(self.heard) >= LATELY {
             return 0.0;
         }
@@ -184,7 +184,7 @@
     pub fn flows(&self, now: Moment, timeout: TimeSpan) -> BTreeMap<u64, TeamFlow> {
         let mut sums: BTreeMap<u64, TeamFlow> = BTreeMap::new();
         for (_, row) in self.live(now, timeout) {
-            let weight = row.lately_weight(now);
+            let weight = row.recency_weight(now);
             for demand in row.digest.demands.entries() {
                 *sums.entry(demand.team).or_default() += TeamFlow {
                     asked: f64::from(demand.tokens_per_s),
