--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -186,7 +186,7 @@
         self.round += 1;
         let now = self.shared.clock.now();
         self.peers.forget(now);
-        self.peers.end_silent(now, self.timeout());
+        self.peers.drop_silent_loads(now, self.timeout());
         self.shared.expire_kept_endpoints(now);
         self.take_over(now);
         self.choose_reader(now);
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -140,7 +140,7 @@
     }
 
     /// Drops the loads of silent routers: their calls at endpoints have ended or are unknown.
-    pub fn end_silent(&mut self, now: Moment, timeout: TimeSpan) {
+    pub fn drop_silent_loads(&mut self, now: Moment, timeout: TimeSpan) {
         let silent: Vec<IpAddr> = self
             .heard
             .iter()
