--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -166,7 +166,7 @@
         match RouterDigest::decode(bytes) {
             Ok(digest) => {
                 let now = self.shared.clock.now();
-                let is_new = !self.peers.knows_life(&from.ip(), digest.incarnation);
+                let is_new = !self.peers.knows_incarnation(&from.ip(), digest.incarnation);
                 let suspects = digest.suspects.iter().map(told_suspect);
                 let mut core = self.shared.core();
                 core.quarantine.take_told(now, suspects);
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -284,7 +284,7 @@
 
     /// Returns true if a digest of this incarnation of the router was received before.
     #[must_use]
-    pub fn knows_life(&self, address: &IpAddr, incarnation: u64) -> bool {
+    pub fn knows_incarnation(&self, address: &IpAddr, incarnation: u64) -> bool {
         let row = self.heard.get(address);
         row.is_some_and(|row| row.digest.incarnation == incarnation)
     }
