--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -138,7 +138,7 @@
 
 /// Longest pause between retries of a failed call, as a multiple of the first pause. Calls to a
 /// store that is down cost as much as any other.
-const MOST_PAUSES: u32 = 5;
+const MAX_PAUSE_FACTOR: u32 = 5;
 
 /// The state of following one section.
 struct SectionFollower<S> {
@@ -328,7 +328,7 @@
         }
         self.shared.metrics.store_failure();
         let pause = Duration::from_millis(self.shared.config.store_retry_ms);
-        let pauses = MOST_PAUSES.min(1 << self.failures.min(8));
+        let pauses = MAX_PAUSE_FACTOR.min(1 << self.failures.min(8));
         self.failures += 1;
         let factor = rand::rng().random_range(1.0..2.0);
         sleep(pause.mul_f64(factor) * pauses).await;
