--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -169,7 +169,7 @@
     loop {
         if !follower.shared.is_reader() {
             follower.stopped_reading();
-            follower.shared.reader_wanted().await;
+            follower.shared.wait_until_reader().await;
         }
         if let Some(as_of) = follower.read().await {
             follower.watch_from(as_of).await;
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -335,7 +335,7 @@
     }
 
     /// Waits until this router becomes a reader of the store.
-    pub async fn reader_wanted(&self) {
+    pub async fn wait_until_reader(&self) {
         let mut reader = self.reader.subscribe();
         // This state owns the sender, so the wait can't fail.
         let _ = reader.wait_for(|reads| *reads).await;
