--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -122,7 +122,7 @@
         routes_version: shared.routes().map_or(0, |table| table.version),
         endpoints_revision: shared.endpoints_revision().0,
     };
-    let asked = timeout(EXCHANGE_LIMIT, ask_state(peer, &question)).await;
+    let asked = timeout(EXCHANGE_LIMIT, send_state_request(peer, &question)).await;
     shared.set_fetching(false);
     let state = match asked {
         Ok(Ok(state)) => state,
@@ -149,7 +149,10 @@
     }
 }
 
-async fn ask_state(peer: SocketAddr, question: &StateRequest) -> std::io::Result<StateResponse> {
+async fn send_state_request(
+    peer: SocketAddr,
+    question: &StateRequest,
+) -> std::io::Result<StateResponse> {
     let mut frames = framed(TcpStream::connect(peer).await?);
     frames.send(Bytes::from(question.encode_to_vec())).await?;
     let Some(answer) = frames.next().await else {
