--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -74,7 +74,7 @@
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
             let _place = place;
-            if timeout(EXCHANGE_LIMIT, answer_state(&shared, stream))
+            if timeout(EXCHANGE_LIMIT, send_state_response(&shared, stream))
                 .await
                 .is_err()
             {
@@ -84,7 +84,7 @@
     }
 }
 
-async fn answer_state(shared: &SharedState, stream: TcpStream) {
+async fn send_state_response(shared: &SharedState, stream: TcpStream) {
     let mut frames = framed(stream);
     let Some(Ok(question)) = frames.next().await else {
         return;
