--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -86,20 +86,20 @@
 
 async fn send_state_response(shared: &SharedState, stream: TcpStream) {
     let mut frames = framed(stream);
-    let Some(Ok(question)) = frames.next().await else {
+    let Some(Ok(request)) = frames.next().await else {
         return;
     };
-    let question = match StateRequest::decode(question) {
-        Ok(question) => question,
+    let request = match StateRequest::decode(request) {
+        Ok(request) => request,
         Err(fault) => {
-            spdlog::warn!("peers: step=handover question fault=\"{fault}\"");
+            spdlog::warn!("peers: step=handover request fault=\"{fault}\"");
             return;
         }
     };
     let list = shared.endpoints();
     let routes = shared.routes();
-    let newer = routes.filter(|table| table.version > question.routes_version);
-    let has_news = list.as_of().0 > question.endpoints_revision;
+    let newer = routes.filter(|table| table.version > request.routes_version);
+    let has_news = list.as_of().0 > request.endpoints_revision;
     let state = StateResponse {
         routes: newer.map(|table| (*table).clone()),
         endpoints: has_news.then(|| list.to_message(shared.clock.now())),
@@ -118,11 +118,11 @@
 pub async fn fetch_state(shared: Arc<SharedState>, peer: SocketAddr) {
     shared.set_fetching(true);
     let begun = shared.clock.now();
-    let question = StateRequest {
+    let request = StateRequest {
         routes_version: shared.routes().map_or(0, |table| table.version),
         endpoints_revision: shared.endpoints_revision().0,
     };
-    let asked = timeout(EXCHANGE_LIMIT, send_state_request(peer, &question)).await;
+    let asked = timeout(EXCHANGE_LIMIT, send_state_request(peer, &request)).await;
     shared.set_fetching(false);
     let state = match asked {
         Ok(Ok(state)) => state,
@@ -151,10 +151,10 @@
 
 async fn send_state_request(
     peer: SocketAddr,
-    question: &StateRequest,
+    request: &StateRequest,
 ) -> std::io::Result<StateResponse> {
     let mut frames = framed(TcpStream::connect(peer).await?);
-    frames.send(Bytes::from(question.encode_to_vec())).await?;
+    frames.send(Bytes::from(request.encode_to_vec())).await?;
     let Some(answer) = frames.next().await else {
         return Err(std::io::ErrorKind::UnexpectedEof.into());
     };
