--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -44,7 +44,7 @@
 /// one, and of the busiest. Callers spread unevenly: six of ninety routers had four fifths of all
 /// calls, and the load that the others report changes little. Reading a message costs the smallest
 /// hosts 0.15 ms; a hundred per second took a seventh of their processor time.
-const FEWEST_MESSAGES: usize = 3;
+const MIN_MESSAGES: usize = 3;
 const USUAL_MESSAGES: usize = 5;
 const MOST_MESSAGES: usize = 20;
 
@@ -393,7 +393,7 @@
     let usual = USUAL_MESSAGES as u64 * routers * own_active / all;
     usize::try_from(usual)
         .unwrap_or(MOST_MESSAGES)
-        .clamp(FEWEST_MESSAGES, MOST_MESSAGES)
+        .clamp(MIN_MESSAGES, MOST_MESSAGES)
 }
 
 /// Returns how many messages of `digest_bytes` fit into one round's gossip fraction of the link, at
