--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -45,7 +45,7 @@
 /// calls, and the load that the others report changes little. Reading a message costs the smallest
 /// hosts 0.15 ms; a hundred per second took a seventh of their processor time.
 const MIN_MESSAGES: usize = 3;
-const USUAL_MESSAGES: usize = 5;
+const AVERAGE_MESSAGES: usize = 5;
 const MOST_MESSAGES: usize = 20;
 
 /// Rounds after a start in which a router sends to more of the others, and messages in each of
@@ -390,7 +390,7 @@
     }
     let routers = live as u64 + 1;
     let all = (own_active + others_active).max(1);
-    let usual = USUAL_MESSAGES as u64 * routers * own_active / all;
+    let usual = AVERAGE_MESSAGES as u64 * routers * own_active / all;
     usize::try_from(usual)
         .unwrap_or(MOST_MESSAGES)
         .clamp(MIN_MESSAGES, MOST_MESSAGES)
