--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -46,7 +46,7 @@
 /// hosts 0.15 ms; a hundred per second took a seventh of their processor time.
 const MIN_MESSAGES: usize = 3;
 const AVERAGE_MESSAGES: usize = 5;
-const MOST_MESSAGES: usize = 20;
+const MAX_MESSAGES: usize = 20;
 
 /// Rounds after a start in which a router sends to more of the others, and messages in each of
 /// these rounds. The routers of a fleet that starts at once don't know its load; until they have
@@ -392,8 +392,8 @@
     let all = (own_active + others_active).max(1);
     let usual = AVERAGE_MESSAGES as u64 * routers * own_active / all;
     usize::try_from(usual)
-        .unwrap_or(MOST_MESSAGES)
-        .clamp(MIN_MESSAGES, MOST_MESSAGES)
+        .unwrap_or(MAX_MESSAGES)
+        .clamp(MIN_MESSAGES, MAX_MESSAGES)
 }
 
 /// Returns how many messages of `digest_bytes` fit into one round's gossip fraction of the link, at
