--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -52,7 +52,7 @@
 /// these rounds. The routers of a fleet that starts at once don't know its load; until they have
 /// exchanged messages, all of them send to the endpoints that seem idle. Forty messages per round
 /// cost a host of 0.12 cores a tenth of its time for a second and a half.
-const YOUNG_ROUNDS: u64 = 15;
+const STARTUP_ROUNDS: u64 = 15;
 const YOUNG_MESSAGES: usize = 40;
 
 /// Fraction of the host's link that gossip may use. At 10 Mbit/s, twenty messages per round took a
@@ -224,7 +224,7 @@
     fn digest(&self, now: Moment) -> RouterDigest {
         let endpoints_revision = self.shared.endpoints_revision().0;
         let routes_version = self.shared.routes().map_or(0, |table| table.version);
-        let tells_routers = self.round < YOUNG_ROUNDS
+        let tells_routers = self.round < STARTUP_ROUNDS
             || !self.newcomers.is_empty()
             || self.round.is_multiple_of(ADDRESS_ROUNDS);
         let mut core = self.shared.core();
@@ -274,7 +274,7 @@
         let live: Vec<IpAddr> = self.peers.live(now, timeout).map(|(ip, _)| *ip).collect();
         let count = if self.has_news() {
             live.len()
-        } else if self.round < YOUNG_ROUNDS {
+        } else if self.round < STARTUP_ROUNDS {
             live.len().min(YOUNG_MESSAGES)
         } else {
             let wanted = messages_per_round(live.len(), self.own_active(), self.peers.all_active());
