--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -53,7 +53,7 @@
 /// exchanged messages, all of them send to the endpoints that seem idle. Forty messages per round
 /// cost a host of 0.12 cores a tenth of its time for a second and a half.
 const STARTUP_ROUNDS: u64 = 15;
-const YOUNG_MESSAGES: usize = 40;
+const STARTUP_MESSAGES: usize = 40;
 
 /// Fraction of the host's link that gossip may use. At 10 Mbit/s, twenty messages per round took a
 /// quarter of a small host's link while a flood of calls filled the rest.
@@ -275,7 +275,7 @@
         let count = if self.has_news() {
             live.len()
         } else if self.round < STARTUP_ROUNDS {
-            live.len().min(YOUNG_MESSAGES)
+            live.len().min(STARTUP_MESSAGES)
         } else {
             let wanted = messages_per_round(live.len(), self.own_active(), self.peers.all_active());
             wanted.min(self.messages_of_link(digest_bytes))
@@ -287,7 +287,7 @@
         // another one.
         receivers.extend(std::mem::take(&mut self.newcomers));
         let own = self.plan.listen.ip();
-        let uncontacted = self.peers.take_uncontacted(YOUNG_MESSAGES).into_iter();
+        let uncontacted = self.peers.take_uncontacted(STARTUP_MESSAGES).into_iter();
         receivers.extend(uncontacted.filter(|address| *address != own));
         if self.round % SILENT_ROUNDS == 1 {
             receivers.extend(self.silent(&live));
