--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -57,7 +57,7 @@
 
 /// Fraction of the host's link that gossip may use. At 10 Mbit/s, twenty messages per round took a
 /// quarter of a small host's link while a flood of calls filled the rest.
-const LINK_PART: f64 = 0.03;
+const GOSSIP_LINK_FRACTION: f64 = 0.03;
 
 /// Bytes of the IP and UDP headers of a datagram.
 const DATAGRAM_HEADER_BYTES: usize = 28;
@@ -401,7 +401,7 @@
 #[must_use]
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn messages_on_link(speed: LinkSpeed, round: Duration, digest_bytes: usize) -> usize {
-    let bytes = (speed.bytes_in(round) * LINK_PART) as usize;
+    let bytes = (speed.bytes_in(round) * GOSSIP_LINK_FRACTION) as usize;
     (bytes / (digest_bytes + DATAGRAM_HEADER_BYTES)).max(1)
 }
 
