--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -74,7 +74,7 @@
 const MAX_DATAGRAM_BYTES: usize = 16_384;
 
 /// Most addresses of other routers in one message.
-const ADDRESSES_TOLD: usize = 8;
+const MAX_ADDRESSES: usize = 8;
 
 /// Longest random delay, in ms, of the first read of the store, which spreads the reads of a fleet
 /// that starts at once: two gossip rounds, in which the first readers report that they read.
@@ -264,7 +264,7 @@
         let start = rand::rng().random_range(0..live.len().max(1));
         let turned = live.iter().cycle().skip(start);
         turned
-            .take(live.len().min(ADDRESSES_TOLD))
+            .take(live.len().min(MAX_ADDRESSES))
             .map(|(address, _)| address.to_string())
             .collect()
     }
