--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -167,7 +167,7 @@
             Ok(digest) => {
                 let now = self.shared.clock.now();
                 let is_new = !self.peers.knows_incarnation(&from.ip(), digest.incarnation);
-                let suspects = digest.suspects.iter().map(told_suspect);
+                let suspects = digest.suspects.iter().map(decode_suspect);
                 let mut core = self.shared.core();
                 core.quarantine.take_told(now, suspects);
                 core.endpoints
@@ -439,7 +439,7 @@
     }
 }
 
-fn told_suspect(entry: &SuspectEntry) -> CrashSuspect {
+fn decode_suspect(entry: &SuspectEntry) -> CrashSuspect {
     CrashSuspect {
         endpoint: EndpointId(entry.endpoint),
         life: entry.life,
