--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -245,7 +245,7 @@
             loads: loads.collect(),
             demands: DemandColumns::of(&flows),
             routers: if tells_routers {
-                self.told_addresses(now)
+                self.addresses_to_send(now)
             } else {
                 Vec::new()
             },
@@ -259,7 +259,7 @@
     }
 
     /// Returns the addresses of some live routers, different ones in each round.
-    fn told_addresses(&self, now: Moment) -> Vec<String> {
+    fn addresses_to_send(&self, now: Moment) -> Vec<String> {
         let live: Vec<_> = self.peers.live(now, self.timeout()).collect();
         let start = rand::rng().random_range(0..live.len().max(1));
         let turned = live.iter().cycle().skip(start);
