--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -109,7 +109,7 @@
     /// Since when another router has had a newer state than this one.
     behind_since: Option<Moment>,
     /// The versions in the last digest.
-    told_versions: (u64, u64),
+    sent_versions: (u64, u64),
     /// Whether the last digest reported contact with the store.
     told_in_touch: bool,
 }
@@ -128,7 +128,7 @@
         newcomers: BTreeSet::new(),
         election,
         behind_since: None,
-        told_versions: (0, 0),
+        sent_versions: (0, 0),
         told_in_touch: false,
     };
     let pause = Duration::from_millis(gossip.shared.config.gossip_ms.max(1));
@@ -315,9 +315,9 @@
     fn has_news(&mut self) -> bool {
         let in_touch = self.shared.is_in_touch();
         let versions = self.versions();
-        let is_new = versions != self.told_versions && in_touch;
+        let is_new = versions != self.sent_versions && in_touch;
         let is_lost = self.told_in_touch && !in_touch;
-        self.told_versions = versions;
+        self.sent_versions = versions;
         self.told_in_touch = in_touch;
         is_new || is_lost
     }
