--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -111,7 +111,7 @@
     /// The versions in the last digest.
     sent_versions: (u64, u64),
     /// Whether the last digest reported contact with the store.
-    told_in_touch: bool,
+    sent_in_touch: bool,
 }
 
 /// Exchanges digests with other routers until the process ends.
@@ -129,7 +129,7 @@
         election,
         behind_since: None,
         sent_versions: (0, 0),
-        told_in_touch: false,
+        sent_in_touch: false,
     };
     let pause = Duration::from_millis(gossip.shared.config.gossip_ms.max(1));
     let mut ticks = interval(pause);
@@ -316,9 +316,9 @@
         let in_touch = self.shared.is_in_touch();
         let versions = self.versions();
         let is_new = versions != self.sent_versions && in_touch;
-        let is_lost = self.told_in_touch && !in_touch;
+        let is_lost = self.sent_in_touch && !in_touch;
         self.sent_versions = versions;
-        self.told_in_touch = in_touch;
+        self.sent_in_touch = in_touch;
         is_new || is_lost
     }
 
