--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -104,7 +104,7 @@
     round: u64,
     next: usize,
     /// Addresses of routers with a new incarnation, to which the next round sends.
-    newcomers: BTreeSet<IpAddr>,
+    new_peers: BTreeSet<IpAddr>,
     election: ReaderElection,
     /// Since when another router has had a newer state than this one.
     behind_since: Option<Moment>,
@@ -125,7 +125,7 @@
         peers: PeerTable::default(),
         round: 0,
         next: 0,
-        newcomers: BTreeSet::new(),
+        new_peers: BTreeSet::new(),
         election,
         behind_since: None,
         sent_versions: (0, 0),
@@ -175,7 +175,7 @@
                 drop(core);
                 if self.peers.take(now, from.ip(), digest) && is_new {
                     spdlog::info!("peers: router={} found", from.ip());
-                    self.newcomers.insert(from.ip());
+                    self.new_peers.insert(from.ip());
                 }
             }
             Err(fault) => spdlog::warn!("peers: router={from} step=decode fault=\"{fault}\""),
@@ -225,7 +225,7 @@
         let endpoints_revision = self.shared.endpoints_revision().0;
         let routes_version = self.shared.routes().map_or(0, |table| table.version);
         let tells_routers = self.round < STARTUP_ROUNDS
-            || !self.newcomers.is_empty()
+            || !self.new_peers.is_empty()
             || self.round.is_multiple_of(ADDRESS_ROUNDS);
         let mut core = self.shared.core();
         let suspects = core.quarantine.telling(now);
@@ -285,7 +285,7 @@
         self.next = self.next.wrapping_add(count);
         // A router that has just started takes calls only after it has received a message from
         // another one.
-        receivers.extend(std::mem::take(&mut self.newcomers));
+        receivers.extend(std::mem::take(&mut self.new_peers));
         let own = self.plan.listen.ip();
         let uncontacted = self.peers.take_uncontacted(STARTUP_MESSAGES).into_iter();
         receivers.extend(uncontacted.filter(|address| *address != own));
