--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -189,7 +189,7 @@
         self.peers.drop_silent_loads(now, self.timeout());
         self.shared.expire_kept_endpoints(now);
         self.take_over(now);
-        self.choose_reader(now);
+        self.update_reader_role(now);
         self.fetch_if_behind(now);
         let digest = self.digest(now).encode_to_vec();
         for address in self.receivers(now, digest.len()) {
@@ -327,7 +327,7 @@
         (version, self.shared.endpoints_revision().0)
     }
 
-    fn choose_reader(&mut self, now: Moment) {
+    fn update_reader_role(&mut self, now: Moment) {
         let touch = self.shared.store_contact();
         let own = self.plan.listen.ip();
         let election_input = self.peers.election_input(now, self.timeout(), own, touch);
