--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -188,7 +188,7 @@
         self.peers.forget(now);
         self.peers.drop_silent_loads(now, self.timeout());
         self.shared.expire_kept_endpoints(now);
-        self.take_over(now);
+        self.apply_reports(now);
         self.update_reader_role(now);
         self.fetch_if_behind(now);
         let digest = self.digest(now).encode_to_vec();
@@ -202,7 +202,7 @@
     }
 
     /// Passes the other routers' reports to the decision core.
-    fn take_over(&self, now: Moment) {
+    fn apply_reports(&self, now: Moment) {
         let timeout = self.timeout();
         let flows = self.peers.flows(now, timeout);
         let turned_away = self.peers.turned_away(now, timeout);
