--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -278,7 +278,7 @@
             live.len().min(STARTUP_MESSAGES)
         } else {
             let wanted = messages_per_round(live.len(), self.own_active(), self.peers.all_active());
-            wanted.min(self.messages_of_link(digest_bytes))
+            wanted.min(self.messages_for_link(digest_bytes))
         };
         let turned = live.iter().cycle().skip(self.next % live.len().max(1));
         let mut receivers: Vec<IpAddr> = turned.take(count).copied().collect();
@@ -296,7 +296,7 @@
     }
 
     /// Returns the number of messages per round that the host's link has room for.
-    fn messages_of_link(&self, digest_bytes: usize) -> usize {
+    fn messages_for_link(&self, digest_bytes: usize) -> usize {
         let config = &self.shared.config;
         let round = Duration::from_millis(config.gossip_ms);
         messages_on_link(config.link_mbps, round, digest_bytes)
