--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -224,7 +224,7 @@
     fn digest(&self, now: Moment) -> RouterDigest {
         let endpoints_revision = self.shared.endpoints_revision().0;
         let routes_version = self.shared.routes().map_or(0, |table| table.version);
-        let tells_routers = self.round < STARTUP_ROUNDS
+        let lists_routers = self.round < STARTUP_ROUNDS
             || !self.new_peers.is_empty()
             || self.round.is_multiple_of(ADDRESS_ROUNDS);
         let mut core = self.shared.core();
@@ -244,7 +244,7 @@
             endpoints_revision,
             loads: loads.collect(),
             demands: DemandColumns::of(&flows),
-            routers: if tells_routers {
+            routers: if lists_routers {
                 self.addresses_to_send(now)
             } else {
                 Vec::new()
