--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -174,7 +174,7 @@
         .change_context(GatewayError::at("start traffic thread"))?;
     let host = &settings.host;
     spdlog::info!("daemon: host={host} domain={} started", settings.domain);
-    tell_freshness(&settings.gateway);
+    log_freshness(&settings.gateway);
     let ended = control.block_on(control_life(shared, &settings, listeners, store, file));
     if traffic.join().is_err() {
         spdlog::error!("daemon: step=stop the traffic thread panicked");
@@ -185,7 +185,7 @@
 
 /// Logs the longest time until a change is in force, with a warning if it exceeds the operator's
 /// bound.
-fn tell_freshness(config: &GatewayConfig) {
+fn log_freshness(config: &GatewayConfig) {
     let bound = freshness::bound(config).as_millis();
     let news = freshness::longest_news(config).as_millis();
     let watch = freshness::watch_wait(config).as_millis();
