--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -175,7 +175,7 @@
     let host = &settings.host;
     spdlog::info!("daemon: host={host} domain={} started", settings.domain);
     log_freshness(&settings.gateway);
-    let ended = control.block_on(control_life(shared, &settings, listeners, store, file));
+    let ended = control.block_on(run_control(shared, &settings, listeners, store, file));
     if traffic.join().is_err() {
         spdlog::error!("daemon: step=stop the traffic thread panicked");
     }
@@ -233,7 +233,7 @@
     }
 }
 
-async fn control_life<S: StateStore>(
+async fn run_control<S: StateStore>(
     shared: Arc<SharedState>,
     settings: &GatewaySettings,
     listeners: Listeners,
