--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -38,7 +38,7 @@
 /// Returns the longest time from a change until no router acts on the previous state, provided that
 /// only readers lose the store.
 #[must_use]
-pub fn longest_news(config: &GatewayConfig) -> Duration {
+pub fn max_propagation_time(config: &GatewayConfig) -> Duration {
     watch_wait(config) + fixed_waits(config)
 }
 
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -187,7 +187,7 @@
 /// bound.
 fn log_freshness(config: &GatewayConfig) {
     let bound = freshness::bound(config).as_millis();
-    let news = freshness::longest_news(config).as_millis();
+    let news = freshness::max_propagation_time(config).as_millis();
     let watch = freshness::watch_wait(config).as_millis();
     if news > bound {
         spdlog::warn!(
--- a/tests/gateway_freshness.rs
+++ b/tests/gateway_freshness.rs
@@ -4,7 +4,7 @@
 
 use verbenaturn::gateway::config::GatewayConfig;
 use verbenaturn::gateway::freshness::bound;
-use verbenaturn::gateway::freshness::longest_news;
+use verbenaturn::gateway::freshness::max_propagation_time;
 use verbenaturn::gateway::freshness::watch_wait;
 
 fn bounded(leave_ms: u64, change_ms: u64) -> GatewayConfig {
@@ -22,7 +22,10 @@
     for leave in (1_300..6_000).step_by(100) {
         for change in (1_300..6_000).step_by(100) {
             let config = bounded(leave, change);
-            assert!(longest_news(&config) <= bound(&config), "{leave} {change}");
+            assert!(
+                max_propagation_time(&config) <= bound(&config),
+                "{leave} {change}"
+            );
         }
     }
 }
@@ -38,6 +41,6 @@
 #[test]
 fn a_bound_that_can_not_be_held_is_told_and_watches_keep_a_wait() {
     let config = bounded(300, 300);
-    assert!(longest_news(&config) > bound(&config));
+    assert!(max_propagation_time(&config) > bound(&config));
     assert_eq!(watch_wait(&config), Duration::from_millis(200));
 }
