--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -32,7 +32,7 @@
 #[must_use]
 pub fn watch_wait(config: &GatewayConfig) -> Duration {
     let left = bound(config).saturating_sub(fixed_waits(config));
-    left.clamp(SHORTEST_WATCH, longest_watch(config))
+    left.clamp(SHORTEST_WATCH, max_watch_wait(config))
 }
 
 /// Returns the longest time from a change until no router acts on the previous state, provided that
@@ -48,7 +48,7 @@
     Duration::from_millis(config.leave_bound_ms.min(config.change_bound_ms))
 }
 
-fn longest_watch(config: &GatewayConfig) -> Duration {
+fn max_watch_wait(config: &GatewayConfig) -> Duration {
     Duration::from_millis(config.watch_ms).max(SHORTEST_WATCH)
 }
 
