--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -26,13 +26,13 @@
 
 /// Shortest wait of a watch. Below it the store would be polled in effect, so a smaller bound is
 /// not met.
-const SHORTEST_WATCH: Duration = Duration::from_millis(200);
+const MIN_WATCH_WAIT: Duration = Duration::from_millis(200);
 
 /// Returns how long a watch of the store waits for a change.
 #[must_use]
 pub fn watch_wait(config: &GatewayConfig) -> Duration {
     let left = bound(config).saturating_sub(fixed_waits(config));
-    left.clamp(SHORTEST_WATCH, max_watch_wait(config))
+    left.clamp(MIN_WATCH_WAIT, max_watch_wait(config))
 }
 
 /// Returns the longest time from a change until no router acts on the previous state, provided that
@@ -49,7 +49,7 @@
 }
 
 fn max_watch_wait(config: &GatewayConfig) -> Duration {
-    Duration::from_millis(config.watch_ms).max(SHORTEST_WATCH)
+    Duration::from_millis(config.watch_ms).max(MIN_WATCH_WAIT)
 }
 
 fn fixed_waits(config: &GatewayConfig) -> Duration {
