--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -114,7 +114,7 @@
     /// Served tokens per second.
     pub served_per_s: u32,
     /// Tokens per second requested within [`super::decide::shares::LATELY`].
-    pub lately_per_s: u32,
+    pub recent_per_s: u32,
 }
 
 /// The demands at one router, one column per field; rates are in units of `RATE_STEP`.
@@ -142,7 +142,7 @@
                 team: team.hash(),
                 tokens_per_s: flow.asked as u32,
                 served_per_s: flow.served as u32,
-                lately_per_s: flow.asked_lately as u32,
+                recent_per_s: flow.asked_lately as u32,
             })
             .collect()
     }
@@ -158,7 +158,7 @@
                 team: *team,
                 tokens_per_s: asked.saturating_mul(RATE_STEP),
                 served_per_s: served.saturating_mul(RATE_STEP),
-                lately_per_s: lately.saturating_mul(RATE_STEP),
+                recent_per_s: lately.saturating_mul(RATE_STEP),
             })
     }
 }
@@ -174,7 +174,7 @@
             columns.teams.push(entry.team);
             columns.asked.push(rate_steps(entry.tokens_per_s));
             columns.served.push(rate_steps(entry.served_per_s));
-            columns.asked_lately.push(rate_steps(entry.lately_per_s));
+            columns.asked_lately.push(rate_steps(entry.recent_per_s));
         }
         columns
     }
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -188,7 +188,7 @@
             for demand in row.digest.demands.entries() {
                 *sums.entry(demand.team).or_default() += TeamFlow {
                     asked: f64::from(demand.tokens_per_s),
-                    asked_lately: f64::from(demand.lately_per_s) * weight,
+                    asked_lately: f64::from(demand.recent_per_s) * weight,
                     served: f64::from(demand.served_per_s),
                 };
             }
--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -187,7 +187,7 @@
         team: team.wrapping_mul(0x9E37_79B9_7F4A_7C15),
         tokens_per_s: 15_000,
         served_per_s: 9_000,
-        lately_per_s: 15_000,
+        recent_per_s: 15_000,
     };
     RouterDigest {
         incarnation: 1,
