--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -154,11 +154,11 @@
         self.teams
             .iter()
             .zip(rates)
-            .map(|(team, ((asked, lately), served))| DemandEntry {
+            .map(|(team, ((asked, recent), served))| DemandEntry {
                 team: *team,
                 tokens_per_s: asked.saturating_mul(RATE_STEP),
                 served_per_s: served.saturating_mul(RATE_STEP),
-                recent_per_s: lately.saturating_mul(RATE_STEP),
+                recent_per_s: recent.saturating_mul(RATE_STEP),
             })
     }
 }
