--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -10,7 +10,7 @@
 use super::http::ResponseHead;
 use super::http::WireStream;
 use super::http::head::has_connection_option;
-use super::routes::EndpointLife;
+use super::routes::EndpointProcess;
 
 /// Most idle connections kept to one endpoint. A router has a few requests at each endpoint at
 /// the same time; more idle ones than that are left over from a peak.
@@ -34,7 +34,7 @@
     most: usize,
     /// Connections kept now.
     count: Cell<usize>,
-    idle: RefCell<BTreeMap<EndpointLife, Vec<IdleConnection>>>,
+    idle: RefCell<BTreeMap<EndpointProcess, Vec<IdleConnection>>>,
 }
 
 impl EndpointPool {
@@ -58,7 +58,7 @@
     ///
     /// Guards against the answer of another request: a connection that has anything to read, or
     /// was closed, is dropped here.
-    pub fn take(&self, endpoint: &EndpointLife) -> Option<WireStream> {
+    pub fn take(&self, endpoint: &EndpointProcess) -> Option<WireStream> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(endpoint)?;
         let now = Instant::now();
@@ -72,7 +72,7 @@
     }
 
     /// Keeps a connection whose answer was whole.
-    pub fn put(&self, endpoint: &EndpointLife, stream: WireStream, idle_limit: Duration) {
+    pub fn put(&self, endpoint: &EndpointProcess, stream: WireStream, idle_limit: Duration) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(endpoint.clone()).or_default();
         if connections.len() < MOST_IDLE && self.count.get() < self.most {
@@ -85,7 +85,7 @@
     }
 
     /// Drops what is too old, and all connections to endpoints that are not `known`.
-    pub fn sweep(&self, known: impl Fn(&EndpointLife) -> bool) {
+    pub fn sweep(&self, known: impl Fn(&EndpointProcess) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|endpoint, connections| {
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -275,14 +275,14 @@
 
 /// Identifies one process of an endpoint, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct EndpointLife {
+pub struct EndpointProcess {
     /// The endpoint.
     pub key: EndpointKey,
     /// The start time of the process.
     pub born: EndpointBirth,
 }
 
-impl EndpointLife {
+impl EndpointProcess {
     /// Returns the hash that stands for this process in gossip.
     #[must_use]
     pub fn hash(&self) -> u64 {
@@ -313,8 +313,8 @@
 impl EndpointEntry {
     /// Returns the identity of the process that registered.
     #[must_use]
-    pub fn life(&self) -> EndpointLife {
-        EndpointLife {
+    pub fn life(&self) -> EndpointProcess {
+        EndpointProcess {
             key: self.key.clone(),
             born: self.born,
         }
