--- a/src/gateway/endpoint_view.rs
+++ b/src/gateway/endpoint_view.rs
@@ -8,9 +8,9 @@
 
 use super::endpoint_list::RegisteredEndpoints;
 use super::follow::StoreRevision;
-use super::routes::EndpointBirth;
 use super::routes::EndpointEntry;
 use super::routes::EndpointKey;
+use super::routes::ProcessStartTime;
 
 /// Time for which the start time of a removed endpoint is remembered. Writes of its former process
 /// can arrive late by as long as a store delays calls, a few seconds.
@@ -22,7 +22,7 @@
     registered: BTreeMap<EndpointKey, EndpointEntry>,
     unusable: BTreeSet<EndpointKey>,
     /// The latest start time of each removed endpoint, and when it was removed.
-    gone: BTreeMap<EndpointKey, (EndpointBirth, Moment)>,
+    gone: BTreeMap<EndpointKey, (ProcessStartTime, Moment)>,
 }
 
 impl EndpointView {
@@ -41,7 +41,7 @@
         self.registered.insert(entry.key.clone(), entry);
     }
 
-    fn latest_birth(&self, now: Moment, key: &EndpointKey) -> EndpointBirth {
+    fn latest_birth(&self, now: Moment, key: &EndpointKey) -> ProcessStartTime {
         let known = self.registered.get(key);
         let gone = self.gone.get(key);
         let gone = gone.filter(|(_, at)| now.since(*at) < BIRTH_MEMORY);
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -48,7 +48,7 @@
 
 text_key!(
     /// An endpoint's published name. Its process may restart under the same name, see
-    /// [`EndpointBirth`].
+    /// [`ProcessStartTime`].
     EndpointKey
 );
 text_key!(
@@ -257,15 +257,15 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct EndpointBirth(pub u64);
+pub struct ProcessStartTime(pub u64);
 
-impl fmt::Display for EndpointBirth {
+impl fmt::Display for ProcessStartTime {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(formatter)
     }
 }
 
-impl FromStr for EndpointBirth {
+impl FromStr for ProcessStartTime {
     type Err = std::num::ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -279,7 +279,7 @@
     /// The endpoint.
     pub key: EndpointKey,
     /// The start time of the process.
-    pub born: EndpointBirth,
+    pub born: ProcessStartTime,
 }
 
 impl EndpointProcess {
@@ -297,7 +297,7 @@
     pub key: EndpointKey,
     /// The start time of its process.
     #[serde(default)]
-    pub born: EndpointBirth,
+    pub born: ProcessStartTime,
     /// Its service.
     pub service: ServiceKey,
     /// The address at which it takes calls.
--- a/tests/engines/mod.rs
+++ b/tests/engines/mod.rs
@@ -20,11 +20,11 @@
 use verbenaturn::gateway::decide::shares::TeamFlow;
 use verbenaturn::gateway::protocol::PromptPart;
 use verbenaturn::gateway::protocol::PromptShape;
-use verbenaturn::gateway::routes::EndpointBirth;
 use verbenaturn::gateway::routes::EndpointEntry;
 use verbenaturn::gateway::routes::EndpointKey;
 use verbenaturn::gateway::routes::EndpointState;
 use verbenaturn::gateway::routes::EngineShape;
+use verbenaturn::gateway::routes::ProcessStartTime;
 use verbenaturn::gateway::routes::Repeatability;
 use verbenaturn::gateway::routes::RouteEntry;
 use verbenaturn::gateway::routes::RouteKey;
@@ -119,7 +119,7 @@
             let key = EndpointKey(SmolStr::new(format!("{service}-{index}")));
             let entry = EndpointEntry {
                 key: key.clone(),
-                born: EndpointBirth(1),
+                born: ProcessStartTime(1),
                 service: ServiceKey(SmolStr::new(service)),
                 address: "127.0.0.1:1".parse().unwrap(),
                 domain: SmolStr::new("suva-a"),
--- a/tests/gateway_departures.rs
+++ b/tests/gateway_departures.rs
@@ -7,8 +7,8 @@
 use verbenaturn::gateway::decide::GatewayCore;
 use verbenaturn::gateway::digest::RouterDigest;
 use verbenaturn::gateway::peer_table::PeerTable;
-use verbenaturn::gateway::routes::EndpointBirth;
 use verbenaturn::gateway::routes::EndpointState;
+use verbenaturn::gateway::routes::ProcessStartTime;
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
 
@@ -43,7 +43,7 @@
     newer.pop_first();
     let mut entries = newer.values_mut();
     entries.next().unwrap().state = EndpointState::Leaving;
-    entries.next().unwrap().born = EndpointBirth(7);
+    entries.next().unwrap().born = ProcessStartTime(7);
     reading.set_endpoints(ms(100), &newer);
     let left = reported(&mut reading, ms(200));
     assert_eq!(left.len(), 3);
--- a/tests/gateway_lives.rs
+++ b/tests/gateway_lives.rs
@@ -17,10 +17,10 @@
 use verbenaturn::gateway::metrics::GatewayMetrics;
 use verbenaturn::gateway::protocol::PromptPart;
 use verbenaturn::gateway::protocol::PromptShape;
-use verbenaturn::gateway::routes::EndpointBirth;
 use verbenaturn::gateway::routes::EndpointEntry;
 use verbenaturn::gateway::routes::EndpointKey;
 use verbenaturn::gateway::routes::EndpointState;
+use verbenaturn::gateway::routes::ProcessStartTime;
 use verbenaturn::gateway::shared::SharedState;
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
@@ -42,7 +42,7 @@
 fn born(entries: &BTreeMap<EndpointKey, EndpointEntry>, at: u64) -> EndpointEntry {
     let entry = entries.values().next().unwrap().clone();
     EndpointEntry {
-        born: EndpointBirth(at),
+        born: ProcessStartTime(at),
         ..entry
     }
 }
--- a/tests/gateway_quarantine.rs
+++ b/tests/gateway_quarantine.rs
@@ -12,9 +12,9 @@
 use verbenaturn::gateway::decide::GatewayCore;
 use verbenaturn::gateway::decide::RefusalCause;
 use verbenaturn::gateway::protocol::PromptShape;
-use verbenaturn::gateway::routes::EndpointBirth;
 use verbenaturn::gateway::routes::EndpointEntry;
 use verbenaturn::gateway::routes::EndpointKey;
+use verbenaturn::gateway::routes::ProcessStartTime;
 use verbenaturn::gateway::routes::TeamKey;
 use verbenaturn::units::Moment;
 use verbenaturn::units::RequestFingerprint;
@@ -33,7 +33,7 @@
 }
 
 fn engines_of(born: u64) -> BTreeMap<EndpointKey, EndpointEntry> {
-    let born = EndpointBirth(born);
+    let born = ProcessStartTime(born);
     let entries = endpoints("engine", 2).into_iter();
     entries
         .map(|(key, entry)| (key, EndpointEntry { born, ..entry }))
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use verbenaturn::gateway::protocol::SpokenWords;
-use verbenaturn::gateway::routes::EndpointBirth;
+use verbenaturn::gateway::routes::ProcessStartTime;
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
 
@@ -55,7 +55,7 @@
     core.endpoints.apply_announcement(ms(100), first, LEAVING);
     core.endpoints
         .apply_announcement(ms(100), first, pause(60_000));
-    first.born = EndpointBirth(first.born.0 + 1);
+    first.born = ProcessStartTime(first.born.0 + 1);
     core.set_endpoints(ms(200), &all);
     assert_eq!(ready(&core, ms(200)), 3);
 }
