--- a/src/gateway/endpoint_view.rs
+++ b/src/gateway/endpoint_view.rs
@@ -14,7 +14,7 @@
 
 /// Time for which the start time of a removed endpoint is remembered. Writes of its former process
 /// can arrive late by as long as a store delays calls, a few seconds.
-const BIRTH_MEMORY: TimeSpan = TimeSpan::from_millis(30_000);
+const START_TIME_MEMORY: TimeSpan = TimeSpan::from_millis(30_000);
 
 /// The registered endpoints as read from the store.
 #[derive(Debug, Default)]
@@ -44,7 +44,7 @@
     fn latest_birth(&self, now: Moment, key: &EndpointKey) -> ProcessStartTime {
         let known = self.registered.get(key);
         let gone = self.gone.get(key);
-        let gone = gone.filter(|(_, at)| now.since(*at) < BIRTH_MEMORY);
+        let gone = gone.filter(|(_, at)| now.since(*at) < START_TIME_MEMORY);
         let known = known.map(|entry| entry.born);
         known.max(gone.map(|(born, _)| *born)).unwrap_or_default()
     }
@@ -56,7 +56,8 @@
             return;
         };
         spdlog::info!("store: key={key} no longer registered");
-        self.gone.retain(|_, (_, at)| now.since(*at) < BIRTH_MEMORY);
+        self.gone
+            .retain(|_, (_, at)| now.since(*at) < START_TIME_MEMORY);
         self.gone.insert(key.clone(), (entry.born, now));
     }
 
