--- a/src/gateway/endpoint_view.rs
+++ b/src/gateway/endpoint_view.rs
@@ -32,7 +32,7 @@
     /// place of its successor's, or mark the successor as leaving.
     pub fn put(&mut self, now: Moment, entry: EndpointEntry) {
         self.unusable.remove(&entry.key);
-        if self.latest_birth(now, &entry.key) > entry.born {
+        if self.latest_start_time(now, &entry.key) > entry.born {
             let (key, born) = (&entry.key, entry.born);
             spdlog::info!("store: key={key} born={born} ignored: a later process has started");
             return;
@@ -41,7 +41,7 @@
         self.registered.insert(entry.key.clone(), entry);
     }
 
-    fn latest_birth(&self, now: Moment, key: &EndpointKey) -> ProcessStartTime {
+    fn latest_start_time(&self, now: Moment, key: &EndpointKey) -> ProcessStartTime {
         let known = self.registered.get(key);
         let gone = self.gone.get(key);
         let gone = gone.filter(|(_, at)| now.since(*at) < START_TIME_MEMORY);
