--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -17,7 +17,7 @@
 }
 
 /// One router: its election, since when it reads, and its contact with the store.
-struct Seat {
+struct SimulatedRouter {
     election: ReaderElection,
     reads_since: Option<u64>,
     in_touch: bool,
@@ -27,7 +27,7 @@
 
 /// A fleet in which each router sees the others' state of the previous round.
 struct Fleet {
-    seats: Vec<Seat>,
+    seats: Vec<SimulatedRouter>,
     refused: BTreeSet<usize>,
     store_is_up: bool,
     round: u64,
@@ -38,7 +38,7 @@
 impl Fleet {
     fn of(count: usize) -> Self {
         let seats = (0..count)
-            .map(|index| Seat {
+            .map(|index| SimulatedRouter {
                 election: ReaderElection::new(
                     ms(0),
                     TimeSpan::from_millis(index as u64 * 37 % 250),
@@ -66,7 +66,7 @@
     }
 
     fn reading(&self) -> usize {
-        let reads = |seat: &&Seat| seat.alive && seat.reads_since.is_some();
+        let reads = |seat: &&SimulatedRouter| seat.alive && seat.reads_since.is_some();
         self.seats.iter().filter(reads).count()
     }
 
