--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -27,7 +27,7 @@
 
 /// A fleet in which each router sees the others' state of the previous round.
 struct Fleet {
-    seats: Vec<SimulatedRouter>,
+    routers: Vec<SimulatedRouter>,
     refused: BTreeSet<usize>,
     store_is_up: bool,
     round: u64,
@@ -37,7 +37,7 @@
 
 impl Fleet {
     fn of(count: usize) -> Self {
-        let seats = (0..count)
+        let routers = (0..count)
             .map(|index| SimulatedRouter {
                 election: ReaderElection::new(
                     ms(0),
@@ -50,7 +50,7 @@
             })
             .collect();
         Self {
-            seats,
+            routers,
             refused: BTreeSet::new(),
             store_is_up: true,
             round: 0,
@@ -59,7 +59,7 @@
     }
 
     fn contact_count(&self) -> usize {
-        self.seats
+        self.routers
             .iter()
             .filter(|seat| seat.alive && seat.in_touch)
             .count()
@@ -67,16 +67,16 @@
 
     fn reading(&self) -> usize {
         let reads = |seat: &&SimulatedRouter| seat.alive && seat.reads_since.is_some();
-        self.seats.iter().filter(reads).count()
+        self.routers.iter().filter(reads).count()
     }
 
     fn election_input(&self, own: usize, touch: &[bool]) -> ElectionInput {
         let mut election_input = ElectionInput {
-            in_touch: self.seats[own].in_touch,
-            is_failing: self.seats[own].is_failing,
+            in_touch: self.routers[own].in_touch,
+            is_failing: self.routers[own].is_failing,
             ..ElectionInput::default()
         };
-        for (index, seat) in self.seats.iter().enumerate() {
+        for (index, seat) in self.routers.iter().enumerate() {
             if index == own || !seat.alive {
                 continue;
             }
@@ -95,15 +95,15 @@
         for _ in 0..rounds {
             self.round += 1;
             let now = ms(self.round * ROUND_MS);
-            let touch: Vec<bool> = self.seats.iter().map(|seat| seat.in_touch).collect();
-            for index in 0..self.seats.len() {
-                if !self.seats[index].alive {
+            let touch: Vec<bool> = self.routers.iter().map(|seat| seat.in_touch).collect();
+            for index in 0..self.routers.len() {
+                if !self.routers[index].alive {
                     continue;
                 }
                 let election_input = self.election_input(index, &touch);
-                let reads = self.seats[index].election.reads(now, election_input);
+                let reads = self.routers[index].election.reads(now, election_input);
                 let reachable = self.store_is_up && !self.refused.contains(&index);
-                let seat = &mut self.seats[index];
+                let seat = &mut self.routers[index];
                 seat.reads_since = reads.then(|| seat.reads_since.unwrap_or(self.round));
                 let connected = seat
                     .reads_since
@@ -166,9 +166,9 @@
     let mut fleet = Fleet::of(30);
     fleet.run(50);
     let before = fleet.readings;
-    let lost = fleet.seats.iter().position(|seat| seat.in_touch).unwrap();
-    fleet.seats[lost].alive = false;
-    fleet.seats[lost].in_touch = false;
+    let lost = fleet.routers.iter().position(|seat| seat.in_touch).unwrap();
+    fleet.routers[lost].alive = false;
+    fleet.routers[lost].in_touch = false;
     fleet.run(30);
     assert_eq!(fleet.contact_count(), 3);
     assert_eq!(fleet.readings, before + 1);
