--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -61,12 +61,12 @@
     fn contact_count(&self) -> usize {
         self.routers
             .iter()
-            .filter(|seat| seat.alive && seat.in_touch)
+            .filter(|router| router.alive && router.in_touch)
             .count()
     }
 
     fn reading(&self) -> usize {
-        let reads = |seat: &&SimulatedRouter| seat.alive && seat.reads_since.is_some();
+        let reads = |router: &&SimulatedRouter| router.alive && router.reads_since.is_some();
         self.routers.iter().filter(reads).count()
     }
 
@@ -76,13 +76,13 @@
             is_failing: self.routers[own].is_failing,
             ..ElectionInput::default()
         };
-        for (index, seat) in self.routers.iter().enumerate() {
-            if index == own || !seat.alive {
+        for (index, router) in self.routers.iter().enumerate() {
+            if index == own || !router.alive {
                 continue;
             }
             election_input.contact_count += usize::from(touch[index]);
             election_input.contact_before += usize::from(touch[index] && index < own);
-            let is_failing = seat.is_failing && !touch[index];
+            let is_failing = router.is_failing && !touch[index];
             election_input.failing += usize::from(is_failing);
             election_input.failing_before += usize::from(is_failing && index < own);
             let is_idle = !touch[index] && !is_failing;
@@ -95,7 +95,7 @@
         for _ in 0..rounds {
             self.round += 1;
             let now = ms(self.round * ROUND_MS);
-            let touch: Vec<bool> = self.routers.iter().map(|seat| seat.in_touch).collect();
+            let touch: Vec<bool> = self.routers.iter().map(|router| router.in_touch).collect();
             for index in 0..self.routers.len() {
                 if !self.routers[index].alive {
                     continue;
@@ -103,16 +103,16 @@
                 let election_input = self.election_input(index, &touch);
                 let reads = self.routers[index].election.reads(now, election_input);
                 let reachable = self.store_is_up && !self.refused.contains(&index);
-                let seat = &mut self.routers[index];
-                seat.reads_since = reads.then(|| seat.reads_since.unwrap_or(self.round));
-                let connected = seat
+                let router = &mut self.routers[index];
+                router.reads_since = reads.then(|| router.reads_since.unwrap_or(self.round));
+                let connected = router
                     .reads_since
                     .is_some_and(|since| self.round >= since + CONNECT_ROUNDS);
                 let touches = connected && reachable;
-                self.readings += usize::from(touches && !seat.in_touch);
-                seat.in_touch = touches;
+                self.readings += usize::from(touches && !router.in_touch);
+                router.in_touch = touches;
                 if connected {
-                    seat.is_failing = !reachable;
+                    router.is_failing = !reachable;
                 }
             }
         }
@@ -166,7 +166,11 @@
     let mut fleet = Fleet::of(30);
     fleet.run(50);
     let before = fleet.readings;
-    let lost = fleet.routers.iter().position(|seat| seat.in_touch).unwrap();
+    let lost = fleet
+        .routers
+        .iter()
+        .position(|router| router.in_touch)
+        .unwrap();
     fleet.routers[lost].alive = false;
     fleet.routers[lost].in_touch = false;
     fleet.run(30);
