--- a/tests/stores/mod.rs
+++ b/tests/stores/mod.rs
@@ -34,7 +34,7 @@
 
 /// The content of a store.
 #[derive(Debug, Clone)]
-struct Holding {
+struct StoreContent {
     entries: BTreeMap<EndpointKey, EndpointEntry>,
     revision: u64,
     /// The endpoint whose removal created this revision, if that was the change.
@@ -48,13 +48,13 @@
     pub is_silent: AtomicBool,
     /// True if calls for routes are refused.
     pub refuses_routes: AtomicBool,
-    held: Mutex<Option<Holding>>,
+    held: Mutex<Option<StoreContent>>,
 }
 
 impl FakeStore {
     /// Sets the content; the changes that led to it are compacted.
     pub fn hold(&self, entries: &BTreeMap<EndpointKey, EndpointEntry>, revision: u64) {
-        *self.held.lock().unwrap() = Some(Holding {
+        *self.held.lock().unwrap() = Some(StoreContent {
             entries: entries.clone(),
             revision,
             removed: None,
@@ -75,7 +75,7 @@
         *self.held.lock().unwrap() = None;
     }
 
-    fn held(&self, section: StateSection) -> Result<Holding, StoreFault> {
+    fn held(&self, section: StateSection) -> Result<StoreContent, StoreFault> {
         let refuses = self.refuses_routes.load(Ordering::Relaxed);
         let held = self.held.lock().unwrap().clone();
         let held = held.filter(|_| !refuses || section != StateSection::Routes);
@@ -88,7 +88,7 @@
         if self.is_silent.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
-        let Holding {
+        let StoreContent {
             entries, revision, ..
         } = self.held(section)?;
         let entries = match section {
@@ -113,7 +113,7 @@
             if self.is_silent.load(Ordering::Relaxed) {
                 std::future::pending::<()>().await;
             }
-            let Holding {
+            let StoreContent {
                 revision, removed, ..
             } = self.held(section)?;
             // A watch reports changes of its own section only.
