--- a/tests/stores/mod.rs
+++ b/tests/stores/mod.rs
@@ -64,10 +64,10 @@
     /// Removes an endpoint and reports it to watches.
     pub fn remove(&self, key: &EndpointKey, revision: u64) {
         let mut held = self.held.lock().unwrap();
-        let holding = held.as_mut().unwrap();
-        holding.entries.remove(key);
-        holding.revision = revision;
-        holding.removed = Some(key.clone());
+        let content = held.as_mut().unwrap();
+        content.entries.remove(key);
+        content.revision = revision;
+        content.removed = Some(key.clone());
     }
 
     /// Refuses all calls.
