--- a/tests/stores/mod.rs
+++ b/tests/stores/mod.rs
@@ -30,7 +30,7 @@
 use verbenaturn::gateway::shared::SharedState;
 
 /// Interval at which a watch polls the fake store.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const POLL_PAUSE: Duration = Duration::from_millis(20);
 
 /// The content of a store.
 #[derive(Debug, Clone)]
@@ -109,7 +109,7 @@
     ) -> Result<StateChanges, StoreFault> {
         let begun = Instant::now();
         loop {
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_PAUSE).await;
             if self.is_silent.load(Ordering::Relaxed) {
                 std::future::pending::<()>().await;
             }
