--- a/tests/gateway_freshness.rs
+++ b/tests/gateway_freshness.rs
@@ -39,7 +39,7 @@
 
 /// A bound that can't be met must not make a fleet poll its store without a pause.
 #[test]
-fn a_bound_that_can_not_be_held_is_told_and_watches_keep_a_wait() {
+fn a_bound_that_can_not_be_met_is_reported_and_watches_keep_a_wait() {
     let config = bounded(300, 300);
     assert!(max_propagation_time(&config) > bound(&config));
     assert_eq!(watch_wait(&config), Duration::from_millis(200));
