--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -180,7 +180,7 @@
 
 /// A single router, or one whose peers are all gone, must not wait for others.
 #[test]
-fn a_router_alone_reads_the_store_after_its_welcome() {
+fn a_router_alone_reads_the_store_after_the_startup_wait() {
     let mut fleet = Fleet::of(1);
     fleet.run(1);
     assert_eq!(fleet.reading(), 0);
