--- a/tests/gateway_lives.rs
+++ b/tests/gateway_lives.rs
@@ -117,7 +117,7 @@
 /// An engine crashes and restarts behind a network partition; connections to the former process
 /// stay open and silent. Calls on them must be notified of the restart.
 #[tokio::test]
-async fn attempts_at_a_former_process_are_told() {
+async fn attempts_at_a_former_process_are_notified() {
     let mut core = core();
     let ticket = placed(&mut core, ms(0));
     restarted(&mut core, 1);
