--- a/tests/gateway_lives.rs
+++ b/tests/gateway_lives.rs
@@ -131,7 +131,7 @@
 /// Peers report their load at the former process until their calls there end. If it counted for the
 /// new process, an idle engine would seem busy.
 #[test]
-fn what_peers_tell_of_a_former_process_does_not_count_for_the_later_one() {
+fn load_reported_at_a_former_process_does_not_count_for_the_later_one() {
     let mut core = core();
     let before = core.endpoints.rows().next().unwrap().life;
     restarted(&mut core, 2);
