--- a/tests/gateway_leaving.rs
+++ b/tests/gateway_leaving.rs
@@ -193,7 +193,7 @@
 /// Guards against the same where each router has a list before, and so knows which endpoints left
 /// when it reads the store.
 #[tokio::test]
-async fn routers_with_a_list_hear_within_the_bound_of_who_leaves_as_all_readers_are_cut_off() {
+async fn routers_with_a_list_apply_a_departure_within_the_bound_as_all_readers_are_cut_off() {
     let all = endpoints("engine", 4);
     let routers: Vec<Arc<SharedState>> = (0..5).map(|_| router()).collect();
     for shared in &routers {
