--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -192,7 +192,7 @@
 /// next three in the order may be among those, and each needs a second to notice; meanwhile revoked
 /// keys still work. Twice as many must therefore try from the start.
 #[test]
-fn when_nobody_is_in_touch_six_try_at_once() {
+fn when_no_router_is_in_contact_six_try_at_once() {
     let wanted = |contact_count: usize| {
         (0..12)
             .filter(|idle_before| {
