--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -147,7 +147,7 @@
 /// The store is down for all routers. Calls that probe it are billed, so a large fleet must not
 /// make more of them than a small one.
 #[test]
-fn an_outage_is_watched_by_a_dozen_at_most() {
+fn at_most_a_dozen_routers_probe_the_store_during_an_outage() {
     let mut fleet = Fleet::of(300);
     fleet.run(50);
     fleet.store_is_up = false;
