--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -122,9 +122,9 @@
         routes_version: shared.routes().map_or(0, |table| table.version),
         endpoints_revision: shared.endpoints_revision().0,
     };
-    let asked = timeout(EXCHANGE_LIMIT, send_state_request(peer, &request)).await;
+    let response = timeout(EXCHANGE_LIMIT, send_state_request(peer, &request)).await;
     shared.set_fetching(false);
-    let state = match asked {
+    let state = match response {
         Ok(Ok(state)) => state,
         Ok(Err(fault)) => {
             spdlog::warn!("peers: router={peer} step=handover fault=\"{fault}\"");
