--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -272,7 +272,7 @@
     fn receivers(&mut self, now: Moment, digest_bytes: usize) -> Vec<IpAddr> {
         let timeout = self.timeout();
         let live: Vec<IpAddr> = self.peers.live(now, timeout).map(|(ip, _)| *ip).collect();
-        let count = if self.has_news() {
+        let count = if self.has_updates() {
             live.len()
         } else if self.round < STARTUP_ROUNDS {
             live.len().min(STARTUP_MESSAGES)
@@ -312,7 +312,7 @@
     /// or has lost the store. Both are sent to all routers in the same round: a change must be in
     /// force everywhere within seconds, and the others don't try to read the store while they
     /// assume that this router does.
-    fn has_news(&mut self) -> bool {
+    fn has_updates(&mut self) -> bool {
         let in_touch = self.shared.is_in_touch();
         let versions = self.versions();
         let is_new = versions != self.sent_versions && in_touch;
@@ -421,8 +421,8 @@
     let (attempts, failures) = row.health.counts_to_report(now);
     let silent = row.health.is_silent_here(now);
     let heard = row.health.is_recently_active(now);
-    let has_news = row.active > 0 || failures > 0 || silent;
-    has_news.then_some(LoadEntry {
+    let has_updates = row.active > 0 || failures > 0 || silent;
+    has_updates.then_some(LoadEntry {
         attempts,
         failures,
         silent,
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -99,10 +99,10 @@
     let list = shared.endpoints();
     let routes = shared.routes();
     let newer = routes.filter(|table| table.version > request.routes_version);
-    let has_news = list.as_of().0 > request.endpoints_revision;
+    let has_updates = list.as_of().0 > request.endpoints_revision;
     let state = StateResponse {
         routes: newer.map(|table| (*table).clone()),
-        endpoints: has_news.then(|| list.to_message(shared.clock.now())),
+        endpoints: has_updates.then(|| list.to_message(shared.clock.now())),
     };
     match serde_json::to_vec(&state) {
         Ok(bytes) => {
