--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -328,9 +328,9 @@
     }
 
     fn update_reader_role(&mut self, now: Moment) {
-        let touch = self.shared.store_contact();
+        let contact = self.shared.store_contact();
         let own = self.plan.listen.ip();
-        let election_input = self.peers.election_input(now, self.timeout(), own, touch);
+        let election_input = self.peers.election_input(now, self.timeout(), own, contact);
         self.shared
             .record_peer_contact(now, election_input.contact_count > 0);
         let reads = self.election.reads(now, election_input);
@@ -340,8 +340,8 @@
             spdlog::info!(
                 "peers: reads_store={reads} in_touch={} failing={} others_in_touch={contact_count} \
                  shortage_ms={shortage}",
-                touch.in_touch,
-                touch.is_failing,
+                contact.in_touch,
+                contact.is_failing,
             );
             self.shared.set_reader(reads);
         }
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -260,13 +260,13 @@
         now: Moment,
         timeout: TimeSpan,
         own: IpAddr,
-        touch: StoreContact,
+        contact: StoreContact,
     ) -> ElectionInput {
         let rank = |address: &IpAddr| xxh3_64(address.to_string().as_bytes());
         let own = rank(&own);
         let mut election_input = ElectionInput {
-            in_touch: touch.in_touch,
-            is_failing: touch.is_failing,
+            in_touch: contact.in_touch,
+            is_failing: contact.is_failing,
             ..ElectionInput::default()
         };
         for (address, row) in self.live(now, timeout) {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -287,15 +287,15 @@
 
     /// Records whether any other router is in contact with the store.
     pub fn record_peer_contact(&self, now: Moment, touched: bool) {
-        let touch = self.peer_contact.lock();
-        let mut touch = touch.unwrap_or_else(PoisonError::into_inner);
+        let contact = self.peer_contact.lock();
+        let mut contact = contact.unwrap_or_else(PoisonError::into_inner);
         if touched {
-            if touch.touched <= touch.untouched {
-                touch.regained = Some(now);
+            if contact.touched <= contact.untouched {
+                contact.regained = Some(now);
             }
-            touch.touched = Some(now);
+            contact.touched = Some(now);
         } else {
-            touch.untouched = Some(now);
+            contact.untouched = Some(now);
         }
     }
 
@@ -303,20 +303,20 @@
     /// store.
     #[must_use]
     pub fn peers_kept_contact(&self, since: Moment) -> bool {
-        let touch = self.peer_contact.lock();
-        let touch = touch.unwrap_or_else(PoisonError::into_inner);
-        let touched = touch.touched.is_some_and(|at| at > since);
-        let untouched = touch.untouched.is_some_and(|at| at > since);
+        let contact = self.peer_contact.lock();
+        let contact = contact.unwrap_or_else(PoisonError::into_inner);
+        let touched = contact.touched.is_some_and(|at| at > since);
+        let untouched = contact.untouched.is_some_and(|at| at > since);
         touched && !untouched
     }
 
     /// Returns when another router regained contact with the store, if that was after `since` and
     /// followed a time in which none had any.
     fn peers_regained_contact(&self, since: Moment) -> Option<Moment> {
-        let touch = self.peer_contact.lock();
-        let touch = touch.unwrap_or_else(PoisonError::into_inner);
-        let is_touched = touch.touched > touch.untouched;
-        touch.regained.filter(|at| is_touched && *at > since)
+        let contact = self.peer_contact.lock();
+        let contact = contact.unwrap_or_else(PoisonError::into_inner);
+        let is_touched = contact.touched > contact.untouched;
+        contact.regained.filter(|at| is_touched && *at > since)
     }
 
     /// Sets whether this router reads the store itself.
