--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -75,8 +75,8 @@
 /// When other routers were last known to be in contact with the store, and when none was.
 #[derive(Debug, Default)]
 struct PeerStoreContact {
-    touched: Option<Moment>,
-    untouched: Option<Moment>,
+    last_in_contact: Option<Moment>,
+    last_out_of_contact: Option<Moment>,
     /// When contact was regained after a time in which no router had any.
     regained: Option<Moment>,
 }
@@ -286,16 +286,16 @@
     }
 
     /// Records whether any other router is in contact with the store.
-    pub fn record_peer_contact(&self, now: Moment, touched: bool) {
+    pub fn record_peer_contact(&self, now: Moment, is_any_in_contact: bool) {
         let contact = self.peer_contact.lock();
         let mut contact = contact.unwrap_or_else(PoisonError::into_inner);
-        if touched {
-            if contact.touched <= contact.untouched {
+        if is_any_in_contact {
+            if contact.last_in_contact <= contact.last_out_of_contact {
                 contact.regained = Some(now);
             }
-            contact.touched = Some(now);
+            contact.last_in_contact = Some(now);
         } else {
-            contact.untouched = Some(now);
+            contact.last_out_of_contact = Some(now);
         }
     }
 
@@ -305,9 +305,9 @@
     pub fn peers_kept_contact(&self, since: Moment) -> bool {
         let contact = self.peer_contact.lock();
         let contact = contact.unwrap_or_else(PoisonError::into_inner);
-        let touched = contact.touched.is_some_and(|at| at > since);
-        let untouched = contact.untouched.is_some_and(|at| at > since);
-        touched && !untouched
+        let was_in_contact = contact.last_in_contact.is_some_and(|at| at > since);
+        let was_out_of_contact = contact.last_out_of_contact.is_some_and(|at| at > since);
+        was_in_contact && !was_out_of_contact
     }
 
     /// Returns when another router regained contact with the store, if that was after `since` and
@@ -315,8 +315,8 @@
     fn peers_regained_contact(&self, since: Moment) -> Option<Moment> {
         let contact = self.peer_contact.lock();
         let contact = contact.unwrap_or_else(PoisonError::into_inner);
-        let is_touched = contact.touched > contact.untouched;
-        contact.regained.filter(|at| is_touched && *at > since)
+        let is_in_contact = contact.last_in_contact > contact.last_out_of_contact;
+        contact.regained.filter(|at| is_in_contact && *at > since)
     }
 
     /// Sets whether this router reads the store itself.
