--- a/src/gateway/config.rs
+++ b/src/gateway/config.rs
@@ -31,11 +31,11 @@
     /// The listener for metrics, on `/metrics`. Default: none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub metrics: Option<ListenSettings>,
-    /// Other routers.
+    /// How other routers are reached.
     pub peers: GatewayPeers,
     /// The store with routes and endpoints.
     pub store: StoreSettings,
-    /// Logs.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
     /// Limits and parameters of decisions.
@@ -52,7 +52,7 @@
     pub listen: SocketAddr,
 }
 
-/// Other routers.
+/// How other routers are reached.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayPeers {
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -59,7 +59,7 @@
 pub struct PeerTable {
     /// Routers that sent a digest.
     pub heard: BTreeMap<IpAddr, PeerRow>,
-    /// Addresses known from digests only; a message is sent to them now and then.
+    /// Addresses known from digests only, to which messages are sent at longer intervals.
     pub unheard_addresses: BTreeSet<IpAddr>,
     /// Those of them to which no message has been sent yet.
     uncontacted: BTreeSet<IpAddr>,
