--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -1,4 +1,4 @@
-//! The published state from router to router, for those that can't reach the store.
+//! Transfers the published state between routers, for those that can't reach the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,36 +16,37 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
-use super::endpoint_list::ToldEndpoints;
+use super::endpoint_list::EndpointListMessage;
 use super::routes::RouteTable;
 use super::shared::SharedState;
 
-/// Time for a whole exchange: connection, question and answer. A state of a few hundred routes is
-/// some 100 KB, which links carry in milliseconds; the rest is room for a loaded peer.
+/// Time limit of a whole exchange: connection, request and response. The state of a few hundred
+/// routes takes some 100 KB, which links transfer in milliseconds; the rest is allowance for a
+/// loaded peer.
 const EXCHANGE_LIMIT: Duration = Duration::from_millis(800);
 
-/// Largest state, in bytes: what the store holds in one value, and as much again for endpoints.
+/// Largest state, in bytes: the store's limit for one value, and as much again for endpoints.
 const MAX_STATE_BYTES: usize = 2_097_152;
 
-/// Exchanges that one router serves at the same time.
-const MOST_EXCHANGES: usize = 8;
+/// Most exchanges that a router serves concurrently.
+const MAX_EXCHANGES: usize = 8;
 
-/// The question: what the asker knows already.
+/// The request: the versions that the requesting router has.
 #[derive(Clone, PartialEq, Message)]
-struct StateQuestion {
+struct StateRequest {
     /// Version of its routes; 0 for none.
     #[prost(uint64, tag = "1")]
     routes_version: u64,
-    /// Revision of its endpoints.
+    /// Revision of its endpoint list.
     #[prost(uint64, tag = "2")]
     endpoints_revision: u64,
 }
 
-/// What the answering router knows newer.
+/// The response: the parts of the state of which the responding router has a newer version.
 #[derive(Debug, Serialize, Deserialize)]
-struct KnownState {
+struct StateResponse {
     routes: Option<RouteTable>,
-    endpoints: Option<ToldEndpoints>,
+    endpoints: Option<EndpointListMessage>,
 }
 
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
@@ -55,9 +56,9 @@
     Framed::new(stream, codec)
 }
 
-/// Serves other routers until the process ends.
+/// Serves the state to other routers until the process ends.
 pub async fn serve_state(shared: Arc<SharedState>, listener: TcpListener) {
-    let places = Arc::new(tokio::sync::Semaphore::new(MOST_EXCHANGES));
+    let places = Arc::new(tokio::sync::Semaphore::new(MAX_EXCHANGES));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -73,35 +74,35 @@
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
             let _place = place;
-            if timeout(EXCHANGE_LIMIT, answer_state(&shared, stream))
+            if timeout(EXCHANGE_LIMIT, send_state_response(&shared, stream))
                 .await
                 .is_err()
             {
-                spdlog::debug!("peers: step=handover a peer took too long");
+                spdlog::debug!("peers: step=handover exchange timed out");
             }
         });
     }
 }
 
-async fn answer_state(shared: &SharedState, stream: TcpStream) {
+async fn send_state_response(shared: &SharedState, stream: TcpStream) {
     let mut frames = framed(stream);
-    let Some(Ok(question)) = frames.next().await else {
+    let Some(Ok(request)) = frames.next().await else {
         return;
     };
-    let question = match StateQuestion::decode(question) {
-        Ok(question) => question,
+    let request = match StateRequest::decode(request) {
+        Ok(request) => request,
         Err(fault) => {
-            spdlog::warn!("peers: step=handover question fault=\"{fault}\"");
+            spdlog::warn!("peers: step=handover request fault=\"{fault}\"");
             return;
         }
     };
     let list = shared.endpoints();
     let routes = shared.routes();
-    let newer = routes.filter(|table| table.version > question.routes_version);
-    let has_news = list.as_of().0 > question.endpoints_revision;
-    let state = KnownState {
+    let newer = routes.filter(|table| table.version > request.routes_version);
+    let has_updates = list.as_of().0 > request.endpoints_revision;
+    let state = StateResponse {
         routes: newer.map(|table| (*table).clone()),
-        endpoints: has_news.then(|| list.telling(shared.clock.now())),
+        endpoints: has_updates.then(|| list.to_message(shared.clock.now())),
     };
     match serde_json::to_vec(&state) {
         Ok(bytes) => {
@@ -113,17 +114,17 @@
     }
 }
 
-/// Fetches the published state of a peer and takes over what is newer.
+/// Fetches the published state of a peer and applies the parts that are newer.
 pub async fn fetch_state(shared: Arc<SharedState>, peer: SocketAddr) {
     shared.set_fetching(true);
     let begun = shared.clock.now();
-    let question = StateQuestion {
+    let request = StateRequest {
         routes_version: shared.routes().map_or(0, |table| table.version),
         endpoints_revision: shared.endpoints_revision().0,
     };
-    let asked = timeout(EXCHANGE_LIMIT, ask_state(peer, &question)).await;
+    let response = timeout(EXCHANGE_LIMIT, send_state_request(peer, &request)).await;
     shared.set_fetching(false);
-    let state = match asked {
+    let state = match response {
         Ok(Ok(state)) => state,
         Ok(Err(fault)) => {
             spdlog::warn!("peers: router={peer} step=handover fault=\"{fault}\"");
@@ -148,9 +149,12 @@
     }
 }
 
-async fn ask_state(peer: SocketAddr, question: &StateQuestion) -> std::io::Result<KnownState> {
+async fn send_state_request(
+    peer: SocketAddr,
+    request: &StateRequest,
+) -> std::io::Result<StateResponse> {
     let mut frames = framed(TcpStream::connect(peer).await?);
-    frames.send(Bytes::from(question.encode_to_vec())).await?;
+    frames.send(Bytes::from(request.encode_to_vec())).await?;
     let Some(answer) = frames.next().await else {
         return Err(std::io::ErrorKind::UnexpectedEof.into());
     };
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -1,4 +1,4 @@
-//! The other routers as this one knows them.
+//! The other routers, as known from their digests.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,37 +15,38 @@
 use super::decide::shares::TeamFlow;
 use super::digest::LoadColumns;
 use super::digest::RouterDigest;
-use super::readers::ReaderStanding;
-use super::shared::OwnTouch;
+use super::readers::ElectionInput;
+use super::shared::StoreContact;
 
-/// Time for which a router that fell silent still counts for the shared retry budget: the budget
-/// must hold while routers can't see each other.
+/// Time for which a silent router still counts as a participant in the shared retry budget. The
+/// budget must also hold while routers can't reach each other.
 const BUDGET_MEMORY: TimeSpan = TimeSpan::from_millis(30_000);
 
-/// Addresses that were only told of and are kept: three fleets of the size to design for. A
-/// stranger's message could name any number of them.
-const MOST_TOLD: usize = 4_096;
+/// Most addresses that are known from digests only: three fleets of the largest intended size. A
+/// message from a stranger could name any number of them.
+const MAX_UNHEARD_ADDRESSES: usize = 4_096;
 
-/// Another router.
+/// The state of another router.
 #[derive(Debug)]
 pub struct PeerRow {
-    /// What it told last.
+    /// Its last digest.
     pub digest: RouterDigest,
-    /// When.
+    /// When that digest was received.
     pub heard: Moment,
-    /// Time between its last two messages; zero after the first.
+    /// Time between its last two messages; zero after the first one.
     interval: TimeSpan,
 }
 
 impl PeerRow {
-    /// For how many routers this one stands in a sum over those that were heard lately; zero if it
-    /// was not.
+    /// Returns the weight of this router in a sum over the routers that were recently heard; zero
+    /// if it was not.
     ///
-    /// In a large fleet a router hears from each other one in turns of seconds. The sum of all that
-    /// they told last is as old as that; the sum of those just heard, each multiplied by how
-    /// seldom it is heard, is right on the average and as old as the last moments.
+    /// In a large fleet the messages from one router are seconds apart. A sum over the last
+    /// messages of all routers would be that old. The sum over the recent messages alone, each
+    /// multiplied by the interval between its sender's messages, is right on average and as recent
+    /// as those messages.
     #[allow(clippy::cast_precision_loss)]
-    fn lately_weight(&self, now: Moment) -> f64 {
+    fn recency_weight(&self, now: Moment) -> f64 {
         if now.since(self.heard) >= RECENT_WINDOW {
             return 0.0;
         }
@@ -53,25 +54,25 @@
     }
 }
 
-/// The other routers as this one knows them.
+/// The other routers, as known from their digests.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     /// Routers that sent a digest.
     pub heard: BTreeMap<IpAddr, PeerRow>,
-    /// Addresses that were only told of; they are asked now and then.
-    pub told: BTreeSet<IpAddr>,
-    /// Those of them that nothing was sent to yet.
-    ungreeted: BTreeSet<IpAddr>,
-    /// Sums of the loads in `heard`, by endpoint. Kept up with each digest: adding up all loads of
-    /// a hundred routers each round takes a tenth of a small host's processor.
+    /// Addresses known from digests only, to which messages are sent at longer intervals.
+    pub unheard_addresses: BTreeSet<IpAddr>,
+    /// Those of them to which no message has been sent yet.
+    uncontacted: BTreeSet<IpAddr>,
+    /// Sums of the loads in `heard` by endpoint, updated with each digest: adding up all loads of a
+    /// hundred routers in each round takes a tenth of a small host's processor time.
     loads: BTreeMap<u32, PeerLoad>,
 }
 
 impl PeerTable {
-    /// Takes a digest; whether it is news.
+    /// Applies a digest. Returns false if it is outdated.
     ///
-    /// Guards against datagrams that were overtaken: within a life the sequence decides, between
-    /// lives the incarnation.
+    /// Guards against reordered datagrams: the sequence orders digests within an incarnation, and
+    /// the incarnation orders restarts.
     pub fn take(&mut self, now: Moment, from: IpAddr, digest: RouterDigest) -> bool {
         if let Some(row) = self.heard.get(&from) {
             let known = (row.digest.incarnation, row.digest.sequence);
@@ -84,12 +85,15 @@
                 continue;
             };
             let is_known = self.heard.contains_key(&address);
-            if !is_known && self.told.len() < MOST_TOLD && self.told.insert(address) {
-                self.ungreeted.insert(address);
+            if !is_known
+                && self.unheard_addresses.len() < MAX_UNHEARD_ADDRESSES
+                && self.unheard_addresses.insert(address)
+            {
+                self.uncontacted.insert(address);
             }
         }
-        self.told.remove(&from);
-        self.ungreeted.remove(&from);
+        self.unheard_addresses.remove(&from);
+        self.uncontacted.remove(&from);
         self.add_loads(&digest.loads);
         let known = self.heard.get(&from);
         let interval = known.map_or(TimeSpan(0), |row| now.since(row.heard));
@@ -135,9 +139,8 @@
         }
     }
 
-    /// Drops the loads of routers that fell silent: what they had at endpoints has ended, or
-    /// nobody can say.
-    pub fn end_silent(&mut self, now: Moment, timeout: TimeSpan) {
+    /// Drops the loads of silent routers: their calls at endpoints have ended or are unknown.
+    pub fn drop_silent_loads(&mut self, now: Moment, timeout: TimeSpan) {
         let silent: Vec<IpAddr> = self
             .heard
             .iter()
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Routers that were heard of within `timeout` and are not on their way out.
+    /// Returns the routers that were heard within `timeout` and are not shutting down.
     pub fn live(
         &self,
         now: Moment,
@@ -164,28 +167,28 @@
             .filter(move |(_, row)| !row.digest.leaving && now.since(row.heard) < timeout)
     }
 
-    /// Sums of the live routers' loads by endpoint.
+    /// Returns the sums of the live routers' loads by endpoint.
     #[must_use]
     pub fn loads(&self) -> &BTreeMap<u32, PeerLoad> {
         &self.loads
     }
 
-    /// Other routers' calls at endpoints.
+    /// Returns the number of other routers' calls at endpoints.
     #[must_use]
     pub fn all_active(&self) -> u64 {
         self.loads.values().map(|load| u64::from(load.active)).sum()
     }
 
-    /// Sums of what teams ask of the live routers and are served by them.
+    /// Returns the teams' demand and served rates, summed over the live routers.
     #[must_use]
     pub fn flows(&self, now: Moment, timeout: TimeSpan) -> BTreeMap<u64, TeamFlow> {
         let mut sums: BTreeMap<u64, TeamFlow> = BTreeMap::new();
         for (_, row) in self.live(now, timeout) {
-            let weight = row.lately_weight(now);
+            let weight = row.recency_weight(now);
             for demand in row.digest.demands.entries() {
                 *sums.entry(demand.team).or_default() += TeamFlow {
                     asked: f64::from(demand.tokens_per_s),
-                    asked_recently: f64::from(demand.lately_per_s) * weight,
+                    asked_recently: f64::from(demand.recent_per_s) * weight,
                     served: f64::from(demand.served_per_s),
                 };
             }
@@ -193,7 +196,8 @@
         sums
     }
 
-    /// Tokens a second that the live routers turn away from full endpoints although within shares.
+    /// Returns the tokens per second that the live routers turn away although they are within
+    /// shares, since endpoints are full.
     #[must_use]
     pub fn turned_away(&self, now: Moment, timeout: TimeSpan) -> f64 {
         let live = self.live(now, timeout);
@@ -201,7 +205,7 @@
             .sum()
     }
 
-    /// Routers that share the retry budget, this one included.
+    /// Returns the number of routers that share the retry budget, including this one.
     #[must_use]
     pub fn budget_routers(&self, now: Moment) -> usize {
         let known = self.heard.values();
@@ -210,8 +214,8 @@
             .count()
     }
 
-    /// A live router that knows newer routes or endpoints; any of them, so that not all ask the
-    /// same one.
+    /// Returns a live router with newer routes or endpoints than `known`. It is drawn at random, so
+    /// that requests spread over all such routers.
     #[must_use]
     pub fn ahead(&self, now: Moment, timeout: TimeSpan, known: (u64, u64)) -> Option<IpAddr> {
         let newer = self.live(now, timeout).filter(|(_, row)| {
@@ -224,7 +228,8 @@
         Some(*newer[rand::rng().random_range(0..newer.len())])
     }
 
-    /// Endpoints that left by the lists of live routers that are newer than the known one.
+    /// Returns the endpoints that left according to live routers whose lists are newer than
+    /// `known_revision`.
     #[must_use]
     pub fn left(&self, now: Moment, timeout: TimeSpan, known_revision: u64) -> BTreeSet<u32> {
         let newer = self
@@ -235,11 +240,11 @@
             .collect()
     }
 
-    /// Up to `most` addresses that were told of and that nothing was sent to yet.
-    pub fn take_ungreeted(&mut self, most: usize) -> Vec<IpAddr> {
+    /// Takes up to `most` addresses to which no message has been sent yet.
+    pub fn take_uncontacted(&mut self, most: usize) -> Vec<IpAddr> {
         let mut taken = Vec::new();
         while taken.len() < most {
-            let Some(address) = self.ungreeted.pop_first() else {
+            let Some(address) = self.uncontacted.pop_first() else {
                 break;
             };
             taken.push(address);
@@ -247,43 +252,44 @@
         taken
     }
 
-    /// How this router stands among the live ones for reading the store.
+    /// Returns this router's position among the live routers in the election of the store's
+    /// readers.
     #[must_use]
-    pub fn standing(
+    pub fn election_input(
         &self,
         now: Moment,
         timeout: TimeSpan,
         own: IpAddr,
-        touch: OwnTouch,
-    ) -> ReaderStanding {
+        contact: StoreContact,
+    ) -> ElectionInput {
         let rank = |address: &IpAddr| xxh3_64(address.to_string().as_bytes());
         let own = rank(&own);
-        let mut standing = ReaderStanding {
-            in_touch: touch.in_touch,
-            is_failing: touch.is_failing,
-            ..ReaderStanding::default()
+        let mut election_input = ElectionInput {
+            in_touch: contact.in_touch,
+            is_failing: contact.is_failing,
+            ..ElectionInput::default()
         };
         for (address, row) in self.live(now, timeout) {
             let is_before = rank(address) < own;
-            standing.touching += usize::from(row.digest.in_touch);
-            standing.touching_before += usize::from(row.digest.in_touch && is_before);
+            election_input.contact_count += usize::from(row.digest.in_touch);
+            election_input.contact_before += usize::from(row.digest.in_touch && is_before);
             let is_failing = row.digest.store_failing && !row.digest.in_touch;
-            standing.failing += usize::from(is_failing);
-            standing.failing_before += usize::from(is_failing && is_before);
+            election_input.failing += usize::from(is_failing);
+            election_input.failing_before += usize::from(is_failing && is_before);
             let is_idle = !row.digest.in_touch && !is_failing;
-            standing.idle_before += usize::from(is_idle && is_before);
+            election_input.idle_before += usize::from(is_idle && is_before);
         }
-        standing
+        election_input
     }
 
-    /// Whether this life of a router was heard of before.
+    /// Returns true if a digest of this incarnation of the router was received before.
     #[must_use]
-    pub fn knows_life(&self, address: &IpAddr, incarnation: u64) -> bool {
+    pub fn knows_incarnation(&self, address: &IpAddr, incarnation: u64) -> bool {
         let row = self.heard.get(address);
         row.is_some_and(|row| row.digest.incarnation == incarnation)
     }
 
-    /// Drops routers that were silent for longer than the retry budget remembers them.
+    /// Drops routers that have been silent for longer than the retry budget counts them.
     pub fn forget(&mut self, now: Moment) {
         self.heard
             .retain(|_, row| now.since(row.heard) < BUDGET_MEMORY);
--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -124,8 +124,12 @@
         let from = "10.200.0.1".parse().unwrap();
         assert!(peers.take(Moment(block), from, digest));
     }
-    assert_eq!(peers.take_ungreeted(40).len(), 40);
-    assert!(peers.told.len() <= 4_096, "{}", peers.told.len());
+    assert_eq!(peers.take_uncontacted(40).len(), 40);
+    assert!(
+        peers.unheard_addresses.len() <= 4_096,
+        "{}",
+        peers.unheard_addresses.len()
+    );
 }
 
 /// Prompts of 12 KB flood a host on a link of 10 Mbit/s. Its processor and descriptors are mostly
@@ -185,7 +189,7 @@
         team: team.wrapping_mul(0x9E37_79B9_7F4A_7C15),
         tokens_per_s: 15_000,
         served_per_s: 9_000,
-        lately_per_s: 15_000,
+        recent_per_s: 15_000,
     };
     RouterDigest {
         incarnation: 1,
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -1,23 +1,23 @@
-//! Which routers read the store, over fleets and faults, without a network.
+//! Election of the routers that read the store, over fleets and faults, without a network.
 
 use std::collections::BTreeSet;
 
+use verbenaturn::gateway::readers::ElectionInput;
 use verbenaturn::gateway::readers::ReaderElection;
-use verbenaturn::gateway::readers::ReaderStanding;
 use verbenaturn::units::Moment;
 use verbenaturn::units::TimeSpan;
 
-/// Pause between two decisions of a router, in ms.
+/// Interval between two decisions of a router, in ms.
 const ROUND_MS: u64 = 100;
-/// Rounds from a router's decision to read until it hears from the store.
+/// Rounds from a router's decision to read until it is in contact with the store.
 const CONNECT_ROUNDS: u64 = 1;
 
 fn ms(millis: u64) -> Moment {
     Moment(millis * 1_000)
 }
 
-/// One router: its election, whether it reads, and since when.
-struct Seat {
+/// One router: its election, since when it reads, and its contact with the store.
+struct SimulatedRouter {
     election: ReaderElection,
     reads_since: Option<u64>,
     in_touch: bool,
@@ -25,20 +25,20 @@
     alive: bool,
 }
 
-/// A fleet in which each router sees the others as they were a round ago.
+/// A fleet in which each router sees the others' state of the previous round.
 struct Fleet {
-    seats: Vec<Seat>,
+    routers: Vec<SimulatedRouter>,
     refused: BTreeSet<usize>,
     store_is_up: bool,
     round: u64,
-    /// Whole readings of the store.
+    /// Number of times that a router read the whole store.
     readings: usize,
 }
 
 impl Fleet {
     fn of(count: usize) -> Self {
-        let seats = (0..count)
-            .map(|index| Seat {
+        let routers = (0..count)
+            .map(|index| SimulatedRouter {
                 election: ReaderElection::new(
                     ms(0),
                     TimeSpan::from_millis(index as u64 * 37 % 250),
@@ -50,7 +50,7 @@
             })
             .collect();
         Self {
-            seats,
+            routers,
             refused: BTreeSet::new(),
             store_is_up: true,
             round: 0,
@@ -58,92 +58,96 @@
         }
     }
 
-    fn touching(&self) -> usize {
-        self.seats
+    fn contact_count(&self) -> usize {
+        self.routers
             .iter()
-            .filter(|seat| seat.alive && seat.in_touch)
+            .filter(|router| router.alive && router.in_touch)
             .count()
     }
 
     fn reading(&self) -> usize {
-        let reads = |seat: &&Seat| seat.alive && seat.reads_since.is_some();
-        self.seats.iter().filter(reads).count()
+        let reads = |router: &&SimulatedRouter| router.alive && router.reads_since.is_some();
+        self.routers.iter().filter(reads).count()
     }
 
-    fn standing(&self, own: usize, touch: &[bool]) -> ReaderStanding {
-        let mut standing = ReaderStanding {
-            in_touch: self.seats[own].in_touch,
-            is_failing: self.seats[own].is_failing,
-            ..ReaderStanding::default()
+    fn election_input(&self, own: usize, touch: &[bool]) -> ElectionInput {
+        let mut election_input = ElectionInput {
+            in_touch: self.routers[own].in_touch,
+            is_failing: self.routers[own].is_failing,
+            ..ElectionInput::default()
         };
-        for (index, seat) in self.seats.iter().enumerate() {
-            if index == own || !seat.alive {
+        for (index, router) in self.routers.iter().enumerate() {
+            if index == own || !router.alive {
                 continue;
             }
-            standing.touching += usize::from(touch[index]);
-            standing.touching_before += usize::from(touch[index] && index < own);
-            let is_failing = seat.is_failing && !touch[index];
-            standing.failing += usize::from(is_failing);
-            standing.failing_before += usize::from(is_failing && index < own);
+            election_input.contact_count += usize::from(touch[index]);
+            election_input.contact_before += usize::from(touch[index] && index < own);
+            let is_failing = router.is_failing && !touch[index];
+            election_input.failing += usize::from(is_failing);
+            election_input.failing_before += usize::from(is_failing && index < own);
             let is_idle = !touch[index] && !is_failing;
-            standing.idle_before += usize::from(is_idle && index < own);
+            election_input.idle_before += usize::from(is_idle && index < own);
         }
-        standing
+        election_input
     }
 
     fn run(&mut self, rounds: u64) {
         for _ in 0..rounds {
             self.round += 1;
             let now = ms(self.round * ROUND_MS);
-            let touch: Vec<bool> = self.seats.iter().map(|seat| seat.in_touch).collect();
-            for index in 0..self.seats.len() {
-                if !self.seats[index].alive {
+            let touch: Vec<bool> = self.routers.iter().map(|router| router.in_touch).collect();
+            for index in 0..self.routers.len() {
+                if !self.routers[index].alive {
                     continue;
                 }
-                let standing = self.standing(index, &touch);
-                let reads = self.seats[index].election.reads(now, standing);
+                let election_input = self.election_input(index, &touch);
+                let reads = self.routers[index].election.reads(now, election_input);
                 let reachable = self.store_is_up && !self.refused.contains(&index);
-                let seat = &mut self.seats[index];
-                seat.reads_since = reads.then(|| seat.reads_since.unwrap_or(self.round));
-                let connected = seat
+                let router = &mut self.routers[index];
+                router.reads_since = reads.then(|| router.reads_since.unwrap_or(self.round));
+                let connected = router
                     .reads_since
                     .is_some_and(|since| self.round >= since + CONNECT_ROUNDS);
                 let touches = connected && reachable;
-                self.readings += usize::from(touches && !seat.in_touch);
-                seat.in_touch = touches;
+                self.readings += usize::from(touches && !router.in_touch);
+                router.in_touch = touches;
                 if connected {
-                    seat.is_failing = !reachable;
+                    router.is_failing = !reachable;
                 }
             }
         }
     }
 }
 
-/// All routers of a fleet start at once and know nothing of each other's reading. If each of them
-/// read the store, its rate limit would refuse the last ones, and each call is paid for.
+/// All routers of a fleet start at once and don't know which of them read the store. If all did,
+/// its rate limit would refuse some, and each call is billed.
 #[test]
 fn a_fleet_that_starts_at_once_settles_on_three_readers() {
     let mut fleet = Fleet::of(100);
     fleet.run(50);
-    assert_eq!((fleet.touching(), fleet.reading()), (3, 3));
+    assert_eq!((fleet.contact_count(), fleet.reading()), (3, 3));
     assert!(fleet.readings <= 12, "{} readings", fleet.readings);
 }
 
-/// The store refuses a third of all routers for seconds, all readers of the moment among them, and
-/// serves the others. Within two seconds others hear from it, or changes would come late.
+/// The store refuses a third of all routers for seconds, including all current readers, and serves
+/// the others. Others must be in contact with it within two seconds, or changes would be late.
 #[test]
 fn readers_that_are_refused_are_replaced() {
     let mut fleet = Fleet::of(30);
     fleet.run(50);
     fleet.refused = (0..10).collect();
     fleet.run(20);
-    assert!(fleet.touching() >= 2, "{} in touch", fleet.touching());
+    assert!(
+        fleet.contact_count() >= 2,
+        "{} in touch",
+        fleet.contact_count()
+    );
 }
 
-/// The store is away for everybody. The calls that find that out are paid for, so that a large
-/// fleet must not try more than a small one.
+/// The store is down for all routers. Calls that probe it are billed, so a large fleet must not
+/// make more of them than a small one.
 #[test]
-fn an_outage_is_watched_by_a_dozen_at_most() {
+fn at_most_a_dozen_routers_probe_the_store_during_an_outage() {
     let mut fleet = Fleet::of(300);
     fleet.run(50);
     fleet.store_is_up = false;
@@ -151,52 +155,56 @@
     assert!(fleet.reading() <= 12, "{} try", fleet.reading());
     fleet.store_is_up = true;
     fleet.run(10);
-    assert_eq!(fleet.touching(), 3);
+    assert_eq!(fleet.contact_count(), 3);
     assert_eq!(fleet.reading(), 3);
 }
 
-/// A reader is killed. One other takes its place; the two that are left keep theirs, since each
+/// A reader is killed. One other router replaces it; the two remaining readers stay, since each
 /// change of readers reads the whole store again.
 #[test]
 fn one_reader_less_costs_one_reading() {
     let mut fleet = Fleet::of(30);
     fleet.run(50);
     let before = fleet.readings;
-    let lost = fleet.seats.iter().position(|seat| seat.in_touch).unwrap();
-    fleet.seats[lost].alive = false;
-    fleet.seats[lost].in_touch = false;
+    let lost = fleet
+        .routers
+        .iter()
+        .position(|router| router.in_touch)
+        .unwrap();
+    fleet.routers[lost].alive = false;
+    fleet.routers[lost].in_touch = false;
     fleet.run(30);
-    assert_eq!(fleet.touching(), 3);
+    assert_eq!(fleet.contact_count(), 3);
     assert_eq!(fleet.readings, before + 1);
 }
 
-/// A router alone, or one whose peers are all gone, must not wait for others.
+/// A single router, or one whose peers are all gone, must not wait for others.
 #[test]
-fn a_router_alone_reads_the_store_after_its_welcome() {
+fn a_router_alone_reads_the_store_after_the_startup_wait() {
     let mut fleet = Fleet::of(1);
     fleet.run(1);
     assert_eq!(fleet.reading(), 0);
     fleet.run(3);
-    assert_eq!(fleet.touching(), 1);
+    assert_eq!(fleet.contact_count(), 1);
 }
 
-/// The store falls silent to all three readers at the same moment and to a third of the others. The
-/// next three in the order may be among those, and each needs a second to know it; meanwhile keys
-/// that were taken away go on working. Twice as many have to try from the first.
+/// The store stops responding to all three readers at once and to a third of the other routers. The
+/// next three in the order may be among those, and each needs a second to notice; meanwhile revoked
+/// keys still work. Twice as many must therefore try from the start.
 #[test]
-fn when_nobody_is_in_touch_six_try_at_once() {
-    let wanted = |touching: usize| {
+fn when_no_router_is_in_contact_six_try_at_once() {
+    let wanted = |contact_count: usize| {
         (0..12)
             .filter(|idle_before| {
                 let mut election = ReaderElection::new(ms(0), TimeSpan(0));
-                let standing = |touching| ReaderStanding {
-                    touching,
+                let election_input = |contact_count| ElectionInput {
+                    contact_count,
                     idle_before: *idle_before,
-                    ..ReaderStanding::default()
+                    ..ElectionInput::default()
                 };
-                // Enough are in touch until now.
-                election.reads(ms(1_000), standing(3));
-                election.reads(ms(1_100), standing(touching))
+                // Enough routers have been in contact until now.
+                election.reads(ms(1_000), election_input(3));
+                election.reads(ms(1_100), election_input(contact_count))
             })
             .count()
     };
