--- a/src/ctl/client.rs
+++ b/src/ctl/client.rs
@@ -1,4 +1,4 @@
-//! Asking routers' admin listeners.
+//! Client for the admin listeners of routers.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -24,29 +24,29 @@
 use super::exit::CtlError;
 use super::exit::ExitKind;
 
-/// A router that takes longer than this counts as one that does not answer.
+/// Timeout of a whole request, after which a router is reported as not answering.
 const ANSWER_WITHIN: Duration = Duration::from_secs(5);
 
-/// One router's admin listener.
+/// Client for the admin listener of one router.
 #[derive(Debug, Clone)]
 pub struct AdminClient {
-    /// Its address.
+    /// Address of the admin listener.
     pub address: SocketAddr,
     credential: String,
     client: Client<HttpConnector, Empty<Bytes>>,
 }
 
-/// What the routers that were asked answered, by their address in the order of the arguments.
+/// Answers of all queried routers.
 #[derive(Debug)]
 pub struct FleetAnswers<T> {
-    /// Answers.
+    /// Answers, in the order of the routers in the arguments.
     pub answers: Vec<T>,
-    /// Why there is none, by address.
+    /// Errors of the routers that did not answer, by address.
     pub missing: BTreeMap<String, String>,
 }
 
 impl AdminClient {
-    /// A client that shows this credential.
+    /// Creates a client that authenticates with this credential.
     #[must_use]
     pub fn new(address: SocketAddr, credential: &str) -> Self {
         Self {
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Sends a request and returns its answer's body.
+    /// Sends a request without a body and returns the body of the answer.
     ///
     /// # Errors
-    /// If the router can't be reached or does not answer with success.
+    /// If the router can't be reached or answers with a status other than 2xx.
     pub async fn send(&self, method: Method, path: &str) -> Result<Bytes, CtlError> {
         let request = Request::builder()
             .method(method)
@@ -84,10 +84,10 @@
         }
     }
 
-    /// Reads a value.
+    /// Requests `path` and parses the answer as JSON.
     ///
     /// # Errors
-    /// As [`Self::send`], and if the answer is something else.
+    /// As [`Self::send`], and if the answer is not a JSON value of type `T`.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         let body = self.send(Method::GET, path).await?;
         serde_json::from_slice(&body)
@@ -115,7 +115,7 @@
     }
 }
 
-/// The routers that the arguments name.
+/// Returns clients for the routers that the arguments name.
 ///
 /// # Errors
 /// If none is named or the credential can't be read.
@@ -137,7 +137,7 @@
     Ok(addresses.into_iter().map(client).collect())
 }
 
-/// The one router that the arguments name.
+/// Returns a client for the only router that the arguments name.
 ///
 /// # Errors
 /// As [`clients`], and if more than one is named.
@@ -152,10 +152,10 @@
     }
 }
 
-/// Reads a value of all routers.
+/// Requests `path` from all routers and parses the answers as JSON.
 ///
 /// # Errors
-/// If none of them answers.
+/// If no router answers: the error of the last one.
 pub async fn ask_all<T: DeserializeOwned>(
     clients: &[AdminClient],
     path: &str,
@@ -185,7 +185,7 @@
     }
 }
 
-/// A line for each router that did not answer.
+/// Formats one line for each router that did not answer.
 #[must_use]
 pub fn missing_text(missing: &BTreeMap<String, String>) -> String {
     missing.values().fold(String::new(), |mut text, why| {
--- a/src/ctl/command.rs
+++ b/src/ctl/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `verbenactl`, except for the subcommands in [`remote_command`].
 
 use clap::Arg;
 use clap::ArgAction;
@@ -19,11 +19,11 @@
 const DIFF_AFTER: &str = "The publication after; without it the first file is compared with what \
                           the router at --admin has in force";
 
-/// All subcommands and options.
+/// Builds the command line with all subcommands and options.
 #[must_use]
 pub fn command() -> Command {
     Command::new("verbenactl")
-        .about("Checks and compares publications, and asks routers what they do")
+        .about("Checks and compares publications, and queries and controls routers")
         .version(env!("CARGO_PKG_VERSION"))
         .after_help(exit_help())
         .subcommand_required(true)
@@ -63,7 +63,7 @@
             .global(true)
             .value_parser(["auto", "table", "plain", "json"])
             .default_value("auto")
-            .help("auto: aligned tables at a terminal, columns parted by tabs in a pipe"),
+            .help("auto: aligned tables at a terminal, columns separated by tabs in a pipe"),
         Arg::new("color")
             .long("color")
             .global(true)
@@ -146,12 +146,12 @@
         .value_parser(value_parser!(std::path::PathBuf))
         .num_args(1..)
         .required(true)
-        .help("Logs of gateways, a file a router; - reads standard input")
+        .help("Logs of gateways, one file per router; - reads standard input")
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tells a call's story from gateways' logs")
+        .about("Explains a call from gateways' logs: its log lines and why it ended as it did")
         .arg(
             Arg::new("id")
                 .value_name("ID")
@@ -176,7 +176,7 @@
 
 fn margins() -> Command {
     Command::new("margins")
-        .about("Tells from gateways' logs how near teams came to less than half of what they were owed")
+        .about("Shows from logs how close teams came to less than half of what they were owed")
         .arg(log_files())
         .arg(
             Arg::new("span")
@@ -197,7 +197,7 @@
         )
 }
 
-/// Prints completions.
+/// Prints the completions for a shell.
 ///
 /// # Errors
 /// If standard output is closed.
--- a/src/ctl/exit.rs
+++ b/src/ctl/exit.rs
@@ -3,12 +3,12 @@
 use std::fmt;
 use std::process::ExitCode;
 
-/// How the tool ends.
+/// Outcome of a run of the tool, which decides the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitKind {
     /// Done, and nothing to report.
     Good,
-    /// Done, and there is something: faults, differences, alerts, a refused request.
+    /// Done, with something to report: faults, differences, alerts or a refused request.
     Finding,
     /// The arguments are wrong.
     Usage,
@@ -21,7 +21,7 @@
 }
 
 impl ExitKind {
-    /// All of them.
+    /// All variants, in the order of their exit codes.
     pub const ALL: [Self; 6] = [
         Self::Good,
         Self::Finding,
@@ -31,7 +31,7 @@
         Self::Unknown,
     ];
 
-    /// The code.
+    /// Returns the exit code.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What the code says, for help and the reference.
+    /// Returns the description of the code for the help and the reference page.
     #[must_use]
     pub fn meaning(self) -> &'static str {
         match self {
@@ -66,16 +66,16 @@
     }
 }
 
-/// Why a subcommand could not do its work.
+/// Error that ends a subcommand.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CtlError {
-    /// How the tool ends.
+    /// Outcome that decides the exit code.
     pub kind: ExitKind,
     message: String,
 }
 
 impl CtlError {
-    /// An error with what to tell.
+    /// Creates an error with the message to print.
     #[must_use]
     pub fn new(kind: ExitKind, message: impl Into<String>) -> Self {
         Self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A file that can't be read or written.
+    /// Creates an error for a file that can't be read or written.
     #[must_use]
     pub fn file(path: &std::path::Path, error: &std::io::Error) -> Self {
         Self::new(ExitKind::File, format!("{}: {error}", path.display()))
--- a/src/ctl/local.rs
+++ b/src/ctl/local.rs
@@ -1,4 +1,5 @@
-//! Subcommands that need no router: check, render, diff, key.
+//! Subcommands that work without a router: check, render, diff and key. With only one file, diff
+//! compares it with a router's publication.
 
 use std::fmt::Write;
 use std::io::Read;
@@ -32,10 +33,10 @@
 use super::output::TableCell;
 use super::output::TextTable;
 
-/// Bytes of a new key.
+/// Length of a new key in bytes.
 const KEY_BYTES: usize = 32;
 
-/// What a check found.
+/// Result of a check.
 #[derive(Debug, Serialize)]
 struct CheckResult {
     file: String,
@@ -44,7 +45,7 @@
     faults: Vec<DocumentFault>,
 }
 
-/// Checks a file.
+/// Checks a document and prints its faults.
 ///
 /// # Errors
 /// If it can't be read.
@@ -109,7 +110,7 @@
     text
 }
 
-/// Shows a publication with everything filled in.
+/// Shows a publication with all templates and defaults filled in.
 ///
 /// # Errors
 /// If it can't be read, has faults or lacks the team.
@@ -135,7 +136,7 @@
     Ok(ExitKind::Good)
 }
 
-/// Shows what a publication would change.
+/// Shows the changes between two publications.
 ///
 /// # Errors
 /// If one can't be read or has faults.
@@ -145,7 +146,7 @@
     show_changes(&changes(&before, &after), writer)
 }
 
-/// Shows what a publication would change in the one that a router has in force.
+/// Shows the changes between the publication that a router has in force and a new one.
 ///
 /// # Errors
 /// If the router does not answer, or a publication can't be read or has faults.
@@ -199,7 +200,7 @@
     hash: String,
 }
 
-/// Makes a key.
+/// Generates a key and prints it with its hash.
 ///
 /// # Errors
 /// If standard output is closed.
--- a/src/ctl/logs.rs
+++ b/src/ctl/logs.rs
@@ -23,10 +23,10 @@
 use super::output::OutputWriter;
 use super::output::TextTable;
 
-/// Prints what all routers' logs say of one call.
+/// Prints the log lines about one call and explains its outcome.
 ///
 /// # Errors
-/// If a log can't be read.
+/// If a log can't be read or no log has the call's id.
 pub fn explain(matches: &ArgMatches, writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
     let id = matches.get_one::<String>("id").cloned().unwrap_or_default();
     let story = call_story(&lines(matches)?, &id);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Prints a table of calls by what they have in common.
+/// Prints a table of call counts by group.
 ///
 /// # Errors
 /// If a log can't be read.
@@ -103,7 +103,7 @@
     table.text(format)
 }
 
-/// Prints how near each team came to less than half of what it was owed.
+/// Prints how close each team came to less than half of what it was owed.
 ///
 /// # Errors
 /// If a log can't be read.
@@ -140,7 +140,7 @@
     table.text(format)
 }
 
-/// A second of the day as a clock shows it.
+/// Formats seconds since midnight as `HH:MM:SS`.
 fn clock_text(second: i64) -> String {
     let (hours, minutes) = (second / 3_600, second / 60 % 60);
     format!("{hours:02}:{minutes:02}:{:02}", second % 60)
@@ -158,7 +158,7 @@
     Ok(lines)
 }
 
-/// A log is named by its file, without folder and ending.
+/// Returns the name of a log: its file name without directory and extension.
 fn source_of(file: &Path) -> SmolStr {
     let name = file.file_stem().unwrap_or(file.as_os_str());
     SmolStr::new(name.to_string_lossy())
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -1,7 +1,7 @@
 //! The command-line tool `verbenactl`.
 //!
-//! One file a group of subcommands. Each returns an [`exit::ExitKind`]; text goes through
-//! [`output::OutputWriter`], which knows whether a person, a pipe or a program reads it.
+//! Each file holds a group of related subcommands. A subcommand returns an [`exit::ExitKind`] and
+//! prints through [`output::OutputWriter`], which formats for a terminal, a pipe or JSON.
 
 pub mod client;
 pub mod command;
@@ -26,7 +26,7 @@
 use self::exit::ExitKind;
 use self::output::OutputWriter;
 
-/// Runs the tool with the arguments of the process.
+/// Runs the tool with these arguments, the first of which is the program's name.
 #[must_use]
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = match command::command().try_get_matches_from(arguments) {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Runs a subcommand that speaks with routers.
+/// Runs a subcommand that connects to routers.
 fn run_remote(matches: &ArgMatches, writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
     let runtime = Builder::new_current_thread()
         .enable_all()
--- a/src/ctl/output.rs
+++ b/src/ctl/output.rs
@@ -1,5 +1,5 @@
-//! What the tool prints: aligned tables with colour at a terminal, plain text in a pipe, JSON
-//! for programs.
+//! Output of the tool: aligned tables with colour at a terminal, columns separated by tabs in a
+//! pipe, JSON for programs.
 
 use std::io;
 use std::io::IsTerminal;
@@ -11,31 +11,31 @@
 use super::exit::CtlError;
 use super::exit::ExitKind;
 
-/// Who reads the output.
+/// Format of the output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// A person: aligned columns, colour if `color`.
+    /// Aligned columns, for people.
     Table {
-        /// Whether to use colour.
+        /// Enables colour.
         color: bool,
     },
-    /// Another command: columns parted by tabs.
+    /// Columns separated by tabs, for other commands.
     Plain,
-    /// A program.
+    /// JSON, for programs.
     Json,
 }
 
-/// The weight of a cell, shown as colour.
+/// Severity of a cell's value, shown as colour.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CellTone {
-    /// As usual.
+    /// No colour.
     #[default]
     Normal,
-    /// All is well.
+    /// Green: as it should be.
     Good,
-    /// To be looked at.
+    /// Yellow: needs attention.
     Warning,
-    /// To be looked at now.
+    /// Red: needs attention now.
     Bad,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl TableCell {
-    /// A cell with a tone.
+    /// Creates a cell with a tone.
     #[must_use]
     pub fn toned(text: impl Into<String>, tone: CellTone) -> Self {
         Self {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A table.
+/// A table with a header row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TextTable {
     header: Vec<&'static str>,
@@ -71,7 +71,7 @@
 }
 
 impl TextTable {
-    /// A table without rows.
+    /// Creates a table without rows.
     #[must_use]
     pub fn new(header: &[&'static str]) -> Self {
         Self {
@@ -85,7 +85,7 @@
         self.rows.push(cells);
     }
 
-    /// The table in a format.
+    /// Formats the table; [`OutputFormat::Json`] is treated as [`OutputFormat::Plain`].
     #[must_use]
     pub fn text(&self, format: OutputFormat) -> String {
         let widths = self.widths();
@@ -142,14 +142,14 @@
     }
 }
 
-/// Standard output in the format that its reader wants.
+/// Writes to standard output in the chosen format.
 #[derive(Debug)]
 pub struct OutputWriter {
     format: OutputFormat,
 }
 
 impl OutputWriter {
-    /// The format from the arguments, the terminal and `NO_COLOR`.
+    /// Chooses the format by the arguments, the terminal and `NO_COLOR`.
     #[must_use]
     pub fn from_matches(matches: &ArgMatches) -> Self {
         let terminal = io::stdout().is_terminal();
@@ -169,13 +169,13 @@
         Self { format }
     }
 
-    /// True if a program reads.
+    /// Returns true if the format is JSON.
     #[must_use]
     pub fn is_json(&self) -> bool {
         self.format == OutputFormat::Json
     }
 
-    /// Prints a value as JSON, or what `text` makes of it.
+    /// Prints a value as JSON, or as the text that `text` formats.
     ///
     /// # Errors
     /// If standard output is closed.
@@ -195,7 +195,7 @@
         self.print(&text)
     }
 
-    /// Prints text as it is.
+    /// Prints text unchanged.
     ///
     /// # Errors
     /// If standard output is closed.
--- a/src/ctl/reference.rs
+++ b/src/ctl/reference.rs
@@ -1,4 +1,4 @@
-//! Reference tables of settings and publications, made from their schemas.
+//! Reference pages of the documents that operators write, generated from their JSON schemas.
 
 use std::fmt::Write;
 
@@ -20,7 +20,7 @@
     effect: String,
 }
 
-/// The reference page of a document as Markdown.
+/// Returns the reference page of a document as Markdown; `None` for an unknown document.
 #[must_use]
 pub fn reference_text(document: &str) -> Option<String> {
     let schema = schema_named(document)?;
@@ -74,7 +74,7 @@
     }
 }
 
-/// The schema of a map's entries.
+/// Returns the schema of a map's values.
 fn entries(schema: &Value) -> Option<&Value> {
     let patterns = schema.get("patternProperties").and_then(Value::as_object);
     patterns.and_then(|patterns| patterns.values().next())
@@ -145,7 +145,7 @@
     }
 }
 
-/// Units stand at the end of a setting's name.
+/// Returns the unit of a setting, which is the suffix of its name.
 fn unit(path: &str) -> &'static str {
     let ends = [
         ("_bytes_per_s", "bytes/s"),
@@ -169,5 +169,5 @@
         .replace('|', "\\|")
 }
 
-/// Names of the documents that have a reference page.
+/// Names of the documents with a schema and a reference page.
 pub const REFERENCED: [&str; 4] = ["publication", "settings", "hosts", "gateway"];
--- a/src/ctl/remote.rs
+++ b/src/ctl/remote.rs
@@ -1,4 +1,4 @@
-//! Subcommands that ask or tell routers: status, team, drain, log-level.
+//! Subcommands that query or control routers: status, team, drain and log-level.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -29,10 +29,10 @@
 use super::output::TableCell;
 use super::output::TextTable;
 
-/// Time between two looks at a router that drains.
+/// Interval at which the status of a draining router is polled.
 const DRAIN_LOOK: Duration = Duration::from_millis(500);
 
-/// What routers said, as JSON.
+/// Answers of all queried routers, as printed in JSON.
 #[derive(Debug, Serialize)]
 struct FleetReport<T> {
     routers: Vec<T>,
@@ -268,7 +268,7 @@
     table
 }
 
-/// Shows one team and why it waits.
+/// Shows one team and the reasons why its requests wait.
 ///
 /// # Errors
 /// If no router answers or the team is not published.
@@ -326,7 +326,7 @@
     shares + &kinds.text(format) + "\n" + &table.text(format) + &missing_text(&report.missing)
 }
 
-/// Tells one router to drain.
+/// Drains one router, and waits until it is idle if `--wait` is given.
 ///
 /// # Errors
 /// If it does not answer.
@@ -346,7 +346,7 @@
     Ok(ExitKind::Good)
 }
 
-/// Changes what routers log.
+/// Changes the log level of routers.
 ///
 /// # Errors
 /// If one does not answer.
--- a/src/ctl/remote_command.rs
+++ b/src/ctl/remote_command.rs
@@ -1,4 +1,4 @@
-//! Subcommands that speak with routers, on the command line.
+//! Command line of the subcommands that connect to routers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,13 +8,13 @@
 use clap::Command;
 use clap::value_parser;
 
-/// All of them.
+/// Builds all subcommands that connect to routers.
 #[must_use]
 pub fn subcommands() -> [Command; 6] {
     [status(), team(), drain(), log_level(), send(), report()]
 }
 
-/// How to reach routers.
+/// Builds the arguments that name routers and the credential for their admin listeners.
 #[must_use]
 pub fn router_arguments() -> Vec<Arg> {
     vec![
@@ -25,7 +25,7 @@
             .value_delimiter(',')
             .action(ArgAction::Append)
             .value_parser(value_parser!(SocketAddr))
-            .help("Admin listener of a router; give it for each router, or parted by commas"),
+            .help("Admin listener of a router; repeat it, or separate addresses by commas"),
         Arg::new("credential-file")
             .long("credential-file")
             .value_name("FILE")
@@ -59,7 +59,7 @@
 
 fn drain() -> Command {
     Command::new("drain")
-        .about("Tells a router to take no new work and to end what is in flight")
+        .about("Drains a router: it takes no new work and finishes what is in flight")
         .arg(
             Arg::new("wait")
                 .long("wait")
@@ -71,7 +71,7 @@
 
 fn log_level() -> Command {
     Command::new("log-level")
-        .about("Changes what routers log, until they end")
+        .about("Changes the log level of routers until they exit")
         .arg(
             Arg::new("level")
                 .required(true)
--- a/src/ctl/reports.rs
+++ b/src/ctl/reports.rs
@@ -1,4 +1,4 @@
-//! The reports: service-level burn and fairness.
+//! Subcommands for reports over time: service-level burn rates and fairness.
 
 use std::path::PathBuf;
 
@@ -28,7 +28,7 @@
 use super::output::TableCell;
 use super::output::TextTable;
 
-/// Shows how fast teams use up their allowance of bad answers.
+/// Shows how fast teams use up their error budgets.
 ///
 /// # Errors
 /// If no router answers or the page can't be written.
@@ -86,7 +86,7 @@
     table.text(format) + &covered + &missing_text(&report.missing)
 }
 
-/// Shows the fairness gap, utilisation and control traffic.
+/// Shows fairness gap, utilisation and control traffic of the last hour.
 ///
 /// # Errors
 /// If no router answers or the page can't be written.
--- a/src/ctl/schemas.rs
+++ b/src/ctl/schemas.rs
@@ -1,4 +1,4 @@
-//! JSON schemas of the documents that people write.
+//! JSON schemas of the documents that operators write.
 
 use clap::ArgMatches;
 use serde_json::Value;
@@ -14,7 +14,7 @@
 use super::output::OutputWriter;
 use super::reference::reference_text;
 
-/// The schema of a document: `publication`, `settings`, `hosts` or `gateway`.
+/// Returns the schema of a document: `publication`, `settings`, `hosts` or `gateway`.
 #[must_use]
 pub fn schema_named(document: &str) -> Option<Value> {
     match document {
@@ -26,7 +26,7 @@
     }
 }
 
-/// A schema as it is printed and committed.
+/// Returns a schema as formatted text, as it is printed and committed to the repository.
 #[must_use]
 pub fn schema_text(document: &str) -> Option<String> {
     let schema = schema_named(document)?;
@@ -35,7 +35,7 @@
         .map(|text| text + "\n")
 }
 
-/// Prints a schema.
+/// Prints the schema or the reference page of a document.
 ///
 /// # Errors
 /// If standard output is closed.
--- a/src/ctl/send.rs
+++ b/src/ctl/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request as a caller would, tickets included.
+//! Sends a request as a caller would, including the exchange of tickets.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,10 +26,11 @@
 use super::exit::ExitKind;
 use super::output::OutputWriter;
 
-/// Sends of one request in all: without a ticket, with it, and again if the answer was lost.
+/// Maximum number of sends of a request: first without a ticket, then with it, and again if the
+/// answer was lost.
 const MOST_SENDS: u32 = 4;
 
-/// What became of a request.
+/// Result of a request.
 #[derive(Debug, Serialize)]
 struct SendResult {
     status: Option<u16>,
@@ -39,7 +40,7 @@
     body: String,
 }
 
-/// A request to be sent.
+/// A request to send.
 #[derive(Debug, Clone)]
 struct OutgoingCall {
     to: SocketAddr,
@@ -51,8 +52,9 @@
     within: Duration,
 }
 
-/// Sends a request; with a ticket if the router asks for one. A request with a ticket whose
-/// answer was lost is sent again with the same ticket, which can't make it run twice.
+/// Sends a request, and sends it again with a ticket if the router requires one. If the answer to a
+/// request with a ticket was lost, the request is retried with the same ticket, which prevents it
+/// from running twice.
 ///
 /// # Errors
 /// If the arguments are wrong, a file can't be read or the router can't be reached.
@@ -123,7 +125,7 @@
     )
 }
 
-/// Status, ticket offered, outcome and body of an answer.
+/// Status, offered ticket, outcome and body of an answer.
 type CallAnswer = (StatusCode, Option<String>, Option<String>, Bytes);
 
 impl OutgoingCall {
@@ -149,7 +151,9 @@
             to: *matches
                 .get_one::<SocketAddr>("to")
                 .ok_or_else(|| usage("--to is missing"))?,
-            method: method.parse().map_err(|_| usage("--method is no method"))?,
+            method: method
+                .parse()
+                .map_err(|_| usage("--method is not an HTTP method"))?,
             path: text("path").ok_or_else(|| usage("the path is missing"))?,
             key: key.trim().to_owned(),
             kind: text("kind"),
--- a/src/report/answers.rs
+++ b/src/report/answers.rs
@@ -12,48 +12,49 @@
 use crate::units::KindName;
 use crate::units::TeamId;
 
-/// Rows of one resolution kept at most, one row a bucket, team and kind.
+/// Maximum number of rows per resolution. A row is one team and kind in one bucket.
 const MOST_ROWS: usize = 200_000;
 
-/// The resolutions: width and number of buckets. Ten seconds for an hour, five minutes for
-/// three days.
+/// Bucket width in seconds and number of buckets: ten seconds each, for one hour.
 const FINE: (u64, u64) = (10, 360);
+
+/// Bucket width in seconds and number of buckets: five minutes each, for three days.
 const COARSE: (u64, u64) = (300, 864);
 
-/// What an answer was to its caller.
+/// Classification of an answer against the latency goal of its kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerVerdict {
-    /// Whole and within the goal.
+    /// Complete and within the goal.
     Good,
-    /// Whole, but after the goal.
+    /// Complete, but later than the goal.
     Late,
-    /// Not whole, or not known to have run.
+    /// Incomplete, or it is unknown whether the request ran.
     Failed,
-    /// Refused, and not run.
+    /// Refused; the request did not run.
     Refused,
 }
 
-/// Counts by verdict.
+/// Number of answers for each [`AnswerVerdict`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerCounts {
-    /// Whole and within the goal.
+    /// Complete and within the goal.
     pub good: u64,
-    /// Whole, but after the goal.
+    /// Complete, but later than the goal.
     pub late: u64,
-    /// Not whole, or not known to have run.
+    /// Incomplete, or it is unknown whether the request ran.
     pub failed: u64,
-    /// Refused, and not run.
+    /// Refused; the request did not run.
     pub refused: u64,
 }
 
 impl AnswerCounts {
-    /// Answers that were not good.
+    /// Number of answers that were not good.
     #[must_use]
     pub fn bad(&self) -> u64 {
         self.late + self.failed + self.refused
     }
 
-    /// All answers.
+    /// Number of all answers.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.good + self.bad()
@@ -79,7 +80,7 @@
     }
 }
 
-/// Whose answers are counted.
+/// Team and kind under which answers are counted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AnswerKey {
     /// The team.
@@ -88,7 +89,7 @@
     pub kind: KindName,
 }
 
-/// Counts in buckets of one width, the oldest forgotten first.
+/// Counts in time buckets of one width. The oldest buckets are removed first.
 #[derive(Debug)]
 struct BucketRing {
     width_s: u64,
@@ -119,8 +120,9 @@
         self.forget(index);
     }
 
-    /// Many teams at once would fill the memory long before the time is up; then the oldest
-    /// buckets go, and a report over a longer time covers less than it says, see `since_s`.
+    /// Removes buckets that are too old, and the oldest ones while there are more than `MOST_ROWS`
+    /// rows: many active teams would otherwise use too much memory long before their buckets are
+    /// too old. A report may then cover less time than its span, see `since_s`.
     fn forget(&mut self, newest: u64) {
         let oldest = newest.saturating_sub(self.most_buckets);
         while let Some(entry) = self.buckets.first_entry()
@@ -148,7 +150,7 @@
     coarse: BucketRing,
 }
 
-/// Answers of this router over the last three days at most.
+/// Counts of this router's answers over at most the last three days.
 #[derive(Debug)]
 pub struct AnswerHistory {
     state: Mutex<HistoryState>,
@@ -156,7 +158,7 @@
 }
 
 impl AnswerHistory {
-    /// A history that begins at `start_s`, in seconds since 1970.
+    /// Creates an empty history that begins at `start_s`, in seconds since 1970.
     #[must_use]
     pub fn new(start_s: u64) -> Self {
         Self {
@@ -175,7 +177,7 @@
         state.coarse.record(key, verdict, at_s);
     }
 
-    /// Counts of the last `span_s` seconds, to the width of a bucket.
+    /// Returns the counts of the last `span_s` seconds, rounded to whole buckets.
     #[must_use]
     pub fn totals(&self, span_s: u64, now_s: u64) -> BTreeMap<AnswerKey, AnswerCounts> {
         let mut sums = BTreeMap::new();
@@ -186,7 +188,8 @@
         sums
     }
 
-    /// Counts of the last `span_s` seconds in `points` steps, by the start of the step.
+    /// Returns the counts of the last `span_s` seconds in about `points` steps, by the start of the
+    /// step in seconds since 1970.
     #[must_use]
     pub fn series(
         &self,
@@ -211,8 +214,9 @@
         series
     }
 
-    /// From when on the counts of the last `span_s` seconds are whole, in seconds since 1970:
-    /// the start of the process, or later if buckets had to be forgotten.
+    /// Returns the time from which the counts of the last `span_s` seconds are complete, in seconds
+    /// since 1970. Earlier counts are missing if the process started later or if buckets were
+    /// removed to save memory.
     #[must_use]
     pub fn since_s(&self, span_s: u64, now_s: u64) -> u64 {
         let state = self.lock();
--- a/src/report/burn.rs
+++ b/src/report/burn.rs
@@ -1,7 +1,8 @@
-//! Service-level burn: how fast a team's allowance of bad answers is used up.
+//! Burn rates of the service-level objectives: how fast a team uses up its error budget.
 //!
-//! A burn rate of 1 uses up exactly the allowance of the objective; an alert needs a high rate
-//! over a long window, so that it matters, and over a short one, so that it still goes on.
+//! A burn rate of 1 uses up exactly the error budget of the objective. An alert needs a high rate
+//! over two windows: the long one shows that the loss is significant, the short one that it is
+//! still going on.
 
 use std::collections::BTreeMap;
 
@@ -13,31 +14,31 @@
 
 use super::answers::AnswerCounts;
 
-/// A pair of windows with the rate at which both together raise an alert.
+/// A pair of windows. An alert is raised if the burn rates of both reach the threshold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BurnWindow {
     /// The long window, in seconds.
     pub long_s: u64,
     /// The short window, in seconds.
     pub short_s: u64,
-    /// The rate.
+    /// The burn rate from which on both windows raise the alert.
     pub threshold: f64,
-    /// What the alert asks for.
+    /// The alert to raise.
     pub alert: BurnAlert,
 }
 
-/// What a burn asks of operators.
+/// How urgently operators have to react to a burn rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BurnAlert {
-    /// Look into it in working hours.
+    /// Investigate during working hours.
     Ticket,
-    /// Look into it now.
+    /// Investigate now.
     Page,
 }
 
-/// The windows, from the workbook on site reliability: 2% of a month's allowance in an hour,
-/// 5% in six hours, 10% in three days.
+/// The windows recommended by the Site Reliability Workbook: 2% of a month's error budget in one
+/// hour, 5% in six hours, 10% in three days.
 pub const BURN_WINDOWS: [BurnWindow; 3] = [
     BurnWindow {
         long_s: 3_600,
@@ -59,7 +60,7 @@
     },
 ];
 
-/// All spans that the windows need, in seconds, each once.
+/// Returns the lengths of all windows in seconds, sorted and without duplicates.
 #[must_use]
 pub fn spans() -> Vec<u64> {
     let mut spans: Vec<u64> = BURN_WINDOWS
@@ -71,67 +72,68 @@
     spans
 }
 
-/// Answers of one team and kind as one router counted them.
+/// Answers of one team and kind, as counted by one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerRow {
     /// The team.
     pub team: TeamName,
     /// The kind.
     pub kind: KindName,
-    /// Answers in a thousand that shall be good.
+    /// Objective: the required number of good answers per thousand.
     pub objective_per_mille: u16,
-    /// Counts by span, in seconds.
+    /// Counts by length of the window in seconds.
     pub spans: BTreeMap<u64, AnswerCounts>,
-    /// Counts by step over the last hour, by the step's start in seconds since 1970.
+    /// Counts of the last hour, by the start of the step in seconds since 1970.
     pub series: BTreeMap<u64, AnswerCounts>,
 }
 
-/// What one router counted.
+/// Answers counted by one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerReport {
     /// The router's host.
     pub host: String,
-    /// When it was asked, in seconds since 1970.
+    /// Time of the report, in seconds since 1970.
     pub now_s: u64,
-    /// From when on its counts are whole, by span, in seconds since 1970.
+    /// Time from which the counts are complete, in seconds since 1970, by length of the window in
+    /// seconds.
     pub since_s: BTreeMap<u64, u64>,
-    /// Its teams and kinds.
+    /// One row per team and kind.
     pub rows: Vec<AnswerRow>,
 }
 
-/// The burn of one team and kind.
+/// Burn rates of one team and kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BurnRow {
     /// The team.
     pub team: TeamName,
     /// The kind.
     pub kind: KindName,
-    /// Answers in a thousand that shall be good.
+    /// Objective: the required number of good answers per thousand.
     pub objective_per_mille: u16,
-    /// Burn rates by span in seconds; none where nothing was answered.
+    /// Burn rates by length of the window in seconds; `None` for windows without answers.
     pub rates: BTreeMap<u64, Option<f64>>,
-    /// Counts by span in seconds.
+    /// Counts by length of the window in seconds.
     pub spans: BTreeMap<u64, AnswerCounts>,
-    /// The strongest alert.
+    /// The most urgent alert that is raised.
     pub alert: Option<BurnAlert>,
-    /// Counts by step over the last hour, by the step's start in seconds since 1970.
+    /// Counts of the last hour, by the start of the step in seconds since 1970.
     pub series: BTreeMap<u64, AnswerCounts>,
 }
 
-/// The burn over the routers that were asked.
+/// Burn rates over all queried routers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BurnReport {
     /// Routers that answered.
     pub hosts: Vec<String>,
-    /// Routers that did not, with the reason.
+    /// Routers that did not answer, with the reason.
     pub missing: BTreeMap<String, String>,
-    /// The shortest time that any of the routers has counted, in seconds.
+    /// The shortest time that any of the routers covers, in seconds.
     pub covered_s: u64,
-    /// Teams and kinds, worst first.
+    /// One row per team and kind: the most urgent alert first, then the highest burn rate.
     pub rows: Vec<BurnRow>,
 }
 
-/// The rate at which the allowance is used up; nothing if nothing was answered.
+/// Returns the burn rate of the error budget, or `None` without answers.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn burn_rate(counts: &AnswerCounts, objective_per_mille: u16) -> Option<f64> {
@@ -143,7 +145,7 @@
     Some(bad / allowance)
 }
 
-/// Adds up what the routers counted.
+/// Sums the counts of all routers and computes the burn rates.
 #[must_use]
 pub fn burn_report(reports: &[AnswerReport], missing: BTreeMap<String, String>) -> BurnReport {
     let mut rows: BTreeMap<(TeamName, KindName), BurnRow> = BTreeMap::new();
--- a/src/report/calls.rs
+++ b/src/report/calls.rs
@@ -1,34 +1,37 @@
-//! What gateways' logs say of calls: one call's story, and where calls are lost.
+//! Analysis of calls in gateways' logs: everything logged about one call, and counts of failed and
+//! late calls.
 //!
-//! Only the lines themselves are read, so that it works on logs of routers that are gone.
+//! Needs only the log lines and no running router, so that it also works for routers that no
+//! longer exist.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Length of the time that begins a line, `2026-08-06T07:06:08.101+00:00`.
+/// Length in bytes of the timestamp of a line, such as `2026-08-06T07:06:08.101+00:00`.
 const TIME_LENGTH: usize = 29;
 
-/// Lines of a router's own state within so many ms of a call's belong to its story.
+/// Log lines about the state of the router or endpoint are shown with a call if they were written
+/// at most this many milliseconds before or after the call's last line.
 const NEAR_MS: i64 = 2_000;
 
-/// One line of a log.
+/// One log line of a router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LogLine {
-    /// The file that it stands in.
+    /// Name of the log file.
     pub source: SmolStr,
-    /// Its time, as written.
+    /// Timestamp, as written in the log.
     pub time: SmolStr,
-    /// The part of the router that wrote it.
+    /// Part of the router that wrote the line: the prefix of the message.
     pub part: SmolStr,
-    /// What it says.
+    /// The message after the prefix.
     pub text: String,
 }
 
 impl LogLine {
-    /// Reads a line; nothing if no router wrote it. What stands before its time is passed over:
-    /// collectors of logs put their own words there.
+    /// Parses a line; `None` if it was not written by a router. Text before the timestamp is
+    /// skipped, because log collectors add their own fields there.
     #[must_use]
     pub fn read(source: &SmolStr, line: &str) -> Option<Self> {
         let time = line.split_whitespace().find(|word| is_time(word))?;
@@ -44,7 +47,7 @@
         })
     }
 
-    /// The value of a field.
+    /// Returns the value of the field `name`.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
         let mut rest = self.text.as_str();
@@ -62,12 +65,12 @@
         }
     }
 
-    /// The value of a field that is a number.
+    /// Returns the value of the field `name` as a number.
     pub(super) fn number(&self, name: &str) -> Option<f64> {
         self.field(name)?.parse().ok()
     }
 
-    /// Milliseconds of the day, to put lines side by side.
+    /// Returns the time of day in milliseconds, to sort and compare lines.
     pub(super) fn day_ms(&self) -> i64 {
         let digits = |from: usize, to: usize| -> i64 {
             let text = self.time.get(from..to).unwrap_or_default();
@@ -83,18 +86,19 @@
     bytes.len() == TIME_LENGTH && bytes[10] == b'T' && bytes[4] == b'-' && bytes[19] == b'.'
 }
 
-/// A call's lines in order of time, and what they mean.
+/// Log lines of a call and its surroundings, in order of time, with an explanation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct CallStory {
-    /// The lines that name the call.
+    /// The lines with the call's id.
     pub lines: Vec<LogLine>,
-    /// Lines of the same routers and of its endpoint from about the same time.
+    /// Other lines of the same router, and lines about the call's endpoint, from about the same
+    /// time.
     pub nearby: Vec<LogLine>,
-    /// What its end means, in a sentence.
+    /// Explanation of the call's cause in a sentence.
     pub meaning: Option<&'static str>,
 }
 
-/// Finds what is said of a call in the lines of all routers.
+/// Finds the lines about a call in the logs of all routers.
 #[must_use]
 pub fn call_story(lines: &[LogLine], id: &str) -> CallStory {
     let named = lines
@@ -118,7 +122,7 @@
     }
 }
 
-/// Whether a line tells what the call's router or endpoint went through when the call ended.
+/// Checks whether a line is about the call's router or endpoint at about the time of the call.
 fn is_near(line: &LogLine, call: &LogLine) -> bool {
     if (line.day_ms() - call.day_ms()).abs() > NEAR_MS || line.part == "calls" {
         return false;
@@ -129,7 +133,7 @@
     is_endpoints || is_routers
 }
 
-/// What a cause says to somebody who has to act on it.
+/// Explains the `cause` field of a call to an operator.
 fn meaning(cause: &str) -> Option<&'static str> {
     Some(match cause {
         "answered" => "The caller has an endpoint's answer.",
@@ -157,28 +161,28 @@
     })
 }
 
-/// What calls have in common in a row of a table.
+/// The field by which calls are grouped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LossGroup {
-    /// How they ended.
+    /// The logged cause of the outcome.
     Cause,
-    /// Their team.
+    /// The team.
     Team,
-    /// Their route.
+    /// The route.
     Route,
     /// The last endpoint tried.
     Endpoint,
     /// The router.
     Router,
-    /// The second in which they ended.
+    /// The second in which the call was logged, as `HH:MM:SS`.
     Second,
 }
 
 impl LossGroup {
-    /// The names by which one is chosen.
+    /// All names that [`Self::named`] accepts.
     pub const NAMES: [&str; 6] = ["cause", "team", "route", "endpoint", "router", "second"];
 
-    /// The group of that name.
+    /// Returns the group with this name.
     #[must_use]
     pub fn named(name: &str) -> Option<Self> {
         Some(match name {
@@ -205,30 +209,31 @@
     }
 }
 
-/// Calls of one group.
+/// Counts of the calls of one group.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct LossRow {
-    /// What they have in common.
+    /// The value that all calls of the group share.
     pub group: SmolStr,
-    /// All of them.
+    /// Number of all calls.
     pub calls: u64,
-    /// Answered with the first output within the objective.
+    /// Answered, with the first output within the objective.
     pub in_time: u64,
-    /// Answered later.
+    /// Answered, with the first output later than the objective.
     pub late: u64,
-    /// Refused as not run, within the team's share.
+    /// Refused without running, while the team was within its share.
     pub refused: u64,
-    /// Refused as not run, beyond it.
+    /// Refused without running, while the team was beyond its share.
     pub refused_beyond: u64,
-    /// Ended in any other way.
+    /// Ended in another way.
     pub failed: u64,
-    /// Prompt tokens that were asked for.
+    /// Prompt tokens of all calls.
     pub prompt_tokens: u64,
-    /// Prompt tokens of shared parts that endpoints were expected to read again.
+    /// Prompt tokens in shared prompt parts that endpoints were expected to prefill again.
     pub reread_tokens: u64,
 }
 
-/// Counts calls by what they have in common, the group that lost most first.
+/// Counts calls by group. The group with the most calls that were not answered in time comes
+/// first.
 #[must_use]
 pub fn losses(lines: &[LogLine], group: LossGroup) -> Vec<LossRow> {
     let mut rows: BTreeMap<SmolStr, LossRow> = BTreeMap::new();
--- a/src/report/fairness.rs
+++ b/src/report/fairness.rs
@@ -1,4 +1,4 @@
-//! Fairness gap, utilisation and control traffic over time, over the routers that were asked.
+//! Fairness gap, utilisation and control traffic over time, over all queried routers.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use super::samples::RouterSample;
 use super::samples::SAMPLE_EVERY_S;
 
-/// What one router sampled.
+/// Samples of one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleReport {
     /// The router's host.
@@ -27,12 +27,12 @@
     pub pool: PoolName,
     /// Its samples, by their time in seconds since 1970.
     pub series: BTreeMap<u64, PoolSample>,
-    /// The largest gap, in service units per unit of share.
+    /// The largest fairness gap of all samples, in service units per unit of share.
     pub worst_gap_units: u64,
-    /// Part of the slots that ran a request, over all samples; none without slots.
+    /// Fraction of the slots that ran a request, over all samples; `None` without slots.
     pub utilisation: Option<f64>,
-    /// Part of the slots that ran nothing while requests waited, over samples with waiting
-    /// requests; none without such.
+    /// Fraction of the slots that were idle although a request waited, over all samples with
+    /// waiting requests; `None` if no sample has any.
     pub idle_while_waiting: Option<f64>,
 }
 
@@ -41,24 +41,24 @@
 pub struct RouterTraffic {
     /// The router's host.
     pub host: String,
-    /// Bytes a second sent since the sample before, by time in seconds since 1970.
+    /// Bytes per second sent since the previous sample, by time in seconds since 1970.
     pub series: BTreeMap<u64, f64>,
-    /// Mean over all samples, in bytes a second; none with fewer than two samples.
+    /// Mean over all samples, in bytes per second; `None` with fewer than two samples.
     pub mean_bytes_per_s: Option<f64>,
 }
 
-/// Fairness over the routers that were asked.
+/// Fairness over all queried routers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FairnessReport {
-    /// Routers that did not answer, with the reason. Pools that one of them owns are missing.
+    /// Routers that did not answer, with the reason. Pools owned by them are missing from `pools`.
     pub missing: BTreeMap<String, String>,
-    /// Pools.
+    /// Pools, by name.
     pub pools: Vec<PoolFairness>,
-    /// Routers.
+    /// Control traffic of the routers that answered.
     pub routers: Vec<RouterTraffic>,
 }
 
-/// Puts the routers' samples together.
+/// Merges the samples of all routers.
 #[must_use]
 pub fn fairness_report(
     reports: &[SampleReport],
@@ -70,8 +70,8 @@
         for (pool, seen) in &sample.pools {
             let series = pools.entry(pool).or_default();
             let known = series.entry(step).or_insert(*seen);
-            // Two routers may both take themselves for the owner for a moment. The one that
-            // knows of more work has heard from more of the fleet.
+            // Two routers may both consider themselves the owner for a short time. The one that
+            // counts more work has received reports from more of the fleet.
             if seen.running + seen.waiting > known.running + known.waiting {
                 *known = *seen;
             }
--- a/src/report/html.rs
+++ b/src/report/html.rs
@@ -1,4 +1,4 @@
-//! Reports as HTML pages that stand alone: no script, no other file, plots as inline SVG.
+//! Reports as self-contained HTML pages without scripts or external files; plots are inline SVG.
 
 use std::fmt::Write;
 
@@ -15,13 +15,15 @@
 .page{color:#b00020;font-weight:bold}.ticket{color:#8a5a00;font-weight:bold}\
 svg{background:#fafafa;border:1px solid #ddd}h3{margin-bottom:.3em}";
 
+/// Width of a plot in pixels.
 const PLOT_WIDTH: f64 = 640.0;
+/// Height of a plot in pixels.
 const PLOT_HEIGHT: f64 = 120.0;
 
-/// A line of a plot: points of time in seconds and value.
+/// Points of a plot: time in seconds and value.
 type PlotPoints = Vec<(u64, f64)>;
 
-/// The burn report as a page.
+/// Renders the burn report as a page.
 #[must_use]
 pub fn burn_page(report: &BurnReport) -> String {
     let mut body = String::new();
@@ -57,7 +59,7 @@
     page("Service-level burn", &body)
 }
 
-/// The fairness report as a page.
+/// Renders the fairness report as a page.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn fairness_page(report: &FairnessReport) -> String {
@@ -90,13 +92,13 @@
     page("Fairness", &body)
 }
 
-/// A part of one as a percentage; a dash if there is none.
+/// Formats a fraction as a percentage; `None` as a dash.
 #[must_use]
 pub fn percent_text(part: Option<f64>) -> String {
     part.map_or_else(|| "-".to_owned(), |part| format!("{:.1}%", 100.0 * part))
 }
 
-/// A span of seconds as people say it, such as `5m`.
+/// Formats a span in seconds in the largest unit that divides it, such as `5m`.
 #[must_use]
 pub fn span_text(span_s: u64) -> String {
     match span_s {
@@ -107,7 +109,7 @@
     }
 }
 
-/// A burn rate; a dash if nothing was answered.
+/// Formats a burn rate; `None` as a dash.
 #[must_use]
 pub fn rate_text(rate: Option<f64>) -> String {
     rate.map_or_else(|| "-".to_owned(), |rate| format!("{rate:.2}"))
@@ -143,7 +145,7 @@
     }
 }
 
-/// One line over time, with its largest value and a dashed line at `mark`.
+/// Draws a line plot over time that names its upper limit, with a dashed line at `mark`.
 #[allow(clippy::cast_precision_loss)]
 fn plot(label: &str, points: &PlotPoints, mark: Option<f64>) -> String {
     let (Some(first), Some(last)) = (points.first(), points.last()) else {
--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -1,9 +1,8 @@
-//! What operators read: service-level burn, and fairness, utilisation and control traffic over
-//! time.
+//! Reports for operators: service-level burn rates, and fairness, utilisation and control traffic
+//! over time.
 //!
-//! A router counts what it saw itself, in bounded memory, and forgets it when it ends. The
-//! reports add up the counts of the routers that were asked; nothing of this is sent between
-//! routers.
+//! Each router counts its own requests in bounded memory and loses the counts when it exits. The
+//! reports sum the counts of all queried routers; routers don't exchange them with each other.
 
 pub mod answers;
 pub mod burn;
@@ -16,7 +15,7 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Seconds since 1970, to put the counts of several routers side by side.
+/// Returns the current time in seconds since 1970, by which counts of several routers are aligned.
 #[must_use]
 pub fn unix_seconds() -> u64 {
     SystemTime::now()
--- a/src/report/samples.rs
+++ b/src/report/samples.rs
@@ -1,4 +1,4 @@
-//! What a router looks like at one moment, kept over time.
+//! Periodic samples of a router's state, kept for an hour.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,37 +16,37 @@
 /// Seconds between two samples.
 pub const SAMPLE_EVERY_S: u64 = 10;
 
-/// Samples kept: an hour's.
+/// Maximum number of samples kept: one hour.
 const MOST_SAMPLES: usize = 360;
 
-/// A pool as its owner sees it over the whole fleet.
+/// State of a pool over the whole fleet, as known to the pool's owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSample {
-    /// Teams that wait somewhere.
+    /// Number of teams with waiting requests at any router.
     pub backlogged: u32,
-    /// Between any two of them, the largest difference of service received per unit of share,
-    /// in service units.
+    /// Largest difference between any two backlogged teams in the service received per unit of
+    /// share, in service units.
     pub gap_units: u64,
-    /// Slots of all endpoints that get new work.
+    /// Slots of all endpoints that accept new work.
     pub slots: u32,
     /// Slots leased to entry routers.
     pub leased: u32,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
 }
 
-/// One moment of one router.
+/// State of one router at one time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterSample {
-    /// When, in seconds since 1970.
+    /// Time of the sample, in seconds since 1970.
     pub at_s: u64,
-    /// Pools that the router owned then.
+    /// Pools that the router owned.
     pub pools: BTreeMap<PoolName, PoolSample>,
-    /// Bytes of control traffic that it has sent since its start.
+    /// Bytes of control traffic that the router has sent since its start.
     pub control_bytes: u64,
-    /// Requests that came in at it and have not ended.
+    /// Requests that arrived at the router and are not finished.
     pub requests: u64,
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// The owner's view of a pool.
+/// Computes a pool's sample from the state kept by its owner.
 #[must_use]
 pub fn pool_sample(pool: &OwnedPool) -> PoolSample {
     let times = || {
@@ -100,14 +100,14 @@
     }
 }
 
-/// The samples of the last hour.
+/// Samples of the last hour.
 #[derive(Debug, Default)]
 pub struct SampleHistory {
     samples: Mutex<VecDeque<RouterSample>>,
 }
 
 impl SampleHistory {
-    /// Adds a sample and forgets the oldest if there are too many.
+    /// Adds a sample and removes the oldest one if there are too many.
     pub fn push(&self, sample: RouterSample) {
         let mut samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
         samples.push_back(sample);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// All samples, oldest first.
+    /// Returns all samples, oldest first.
     #[must_use]
     pub fn all(&self) -> Vec<RouterSample> {
         let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/report/shares.rs
+++ b/src/report/shares.rs
@@ -1,8 +1,10 @@
-//! How near teams came to less than half of what they were owed, from the routers' accounts.
+//! How close each team came to less than half of the tokens it was owed, from the per-second counts
+//! in the routers' logs.
 //!
-//! A team that waits all through a span is owed half of what it asked or of what another team got,
-//! whichever is less, second by second. Three of the largest requests are allowed for: what a
-//! comparison of whole requests may be off by.
+//! A team with unserved requests in every second of a span is compared with each other team. It is
+//! owed half of the sum over these seconds of what it asked for or what the other team got,
+//! whichever is less. Three of the largest requests are subtracted, because only whole requests can
+//! be served and the comparison may be off by that much.
 
 use std::collections::BTreeMap;
 
@@ -11,30 +13,30 @@
 
 use super::calls::LogLine;
 
-/// Requests of the largest size by which a comparison may be off.
+/// Tolerance of a comparison, in requests of the largest size.
 const SLACK_REQUESTS: f64 = 3.0;
 
-/// Part of the lesser of two amounts that is owed.
+/// Fraction of the lesser of the two amounts that a team is owed.
 const OWED_PART: f64 = 0.5;
 
-/// The span of a team in which it got least of what it was owed.
+/// The span and other team for which a team got least compared with what it was owed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ShareMargin {
     /// The team.
     pub team: SmolStr,
-    /// The team that it is compared with.
+    /// The team with which it is compared.
     pub against: SmolStr,
-    /// Second of the day in which the span begins.
+    /// Start of the span, in seconds since midnight.
     pub from_s: i64,
-    /// Tokens that the team asked.
+    /// Tokens of the team's requests.
     pub asked: f64,
-    /// Tokens that it got.
+    /// Tokens of its requests that were sent to endpoints.
     pub got: f64,
-    /// Tokens that the other team got.
+    /// Tokens of the other team's requests that were sent to endpoints.
     pub other_got: f64,
-    /// Tokens that it was owed.
+    /// Tokens that the team was owed.
     pub owed: f64,
-    /// What it got against what it was owed. Below 1 it got too little.
+    /// Ratio of `got` to `owed`. Below 1 the team got too little.
     pub margin: f64,
 }
 
@@ -45,7 +47,7 @@
     short: u64,
 }
 
-/// All routers' accounts, by team and second of the day.
+/// Sums of all routers' counts, by team and second since midnight.
 #[derive(Debug, Default)]
 struct AccountTable {
     teams: BTreeMap<SmolStr, BTreeMap<i64, TeamSecond>>,
@@ -122,7 +124,7 @@
         })
     }
 
-    /// The least margin of a team over all spans and other teams.
+    /// Returns the smallest margin of a team over all spans and other teams.
     fn least(&self, team: &SmolStr, span_s: i64) -> Option<ShareMargin> {
         let (first, last) = self.seconds?;
         let starts = (first..=last - span_s + 1).filter(|from| self.waited(team, *from, span_s));
@@ -134,7 +136,7 @@
     }
 }
 
-/// Reads `TEAM:ASKED:SENT:SHORT`. The team's name may hold colons itself.
+/// Parses `TEAM:ASKED:SENT:SHORT`. The name of the team may contain colons.
 fn read_flow(flow: &str) -> Option<(SmolStr, TeamSecond)> {
     let mut fields = flow.rsplitn(4, ':');
     let short = fields.next()?.parse().ok()?;
@@ -144,7 +146,8 @@
     Some((team, TeamSecond { asked, sent, short }))
 }
 
-/// The least margin of each team that waited all through some span of so many seconds, least first.
+/// Returns the smallest margin of each team that had unserved requests in every second of a span of
+/// `span_s` seconds. The smallest margin comes first.
 #[must_use]
 pub fn share_margins(lines: &[LogLine], span_s: u32) -> Vec<ShareMargin> {
     let mut table = AccountTable::default();
--- a/tests/call_reports.rs
+++ b/tests/call_reports.rs
@@ -1,4 +1,4 @@
-//! `verbenactl explain` and `losses` on logs of two gateways, as an operator runs them.
+//! Runs `verbenactl explain` and `verbenactl losses` on the logs of two gateways.
 
 use std::fs;
 use std::path::PathBuf;
--- a/tests/ctl.rs
+++ b/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! `verbenactl` as operators run it, against two routers with stand-ins.
+//! Runs `verbenactl` as an operator does, against two routers with stand-in endpoints.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -20,7 +20,7 @@
 
 const CREDENTIAL: &str = "what operators show";
 
-/// A fleet with its admin listeners and a directory of its own.
+/// A fleet with admin listeners, and a directory with the keys and the publication.
 struct OperatorDesk {
     fleet: LocalFleet,
     admins: Vec<SocketAddr>,
@@ -29,7 +29,7 @@
     _portal: StandinEndpoint,
 }
 
-/// What the tool did.
+/// Result of a run of the tool.
 #[derive(Debug)]
 struct ToolRun {
     code: Option<i32>,
@@ -99,7 +99,7 @@
         self.directory.join(file).display().to_string()
     }
 
-    /// Runs the tool towards all routers, or one.
+    /// Runs the tool with the admin listener of one router, or those of all routers.
     async fn ask(&self, admin: Option<usize>, arguments: &[&str]) -> ToolRun {
         let admins: Vec<String> = match admin {
             Some(index) => vec![self.admins[index].to_string()],
@@ -161,8 +161,8 @@
     desk.fleet.stop().await;
 }
 
-// A publication with a fault reaches the sources. The routers keep the last good one, and the
-// operator who wonders why nothing changed sees the fault and its path in `status`.
+// A publication with a fault is published. The routers must keep the last valid publication, and
+// `status` must show the fault and its path, so that operators see why nothing changed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_refused_publication_is_shown_and_the_last_good_one_stays() {
     let desk = OperatorDesk::start("refused").await;
@@ -216,8 +216,9 @@
     desk.fleet.stop().await;
 }
 
-// The configuration service has some two thousand reads a second for all readers. A router that
-// read it for each request, or in a loop, would use them up for the whole fleet.
+// The configuration service allows about two thousand reads a second for all readers together.
+// Routers that read it for each request, or in a loop, would exhaust this limit for the whole
+// fleet.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_publication_costs_at_most_two_reads_a_router() {
     let desk = OperatorDesk::start("reads").await;
@@ -234,7 +235,7 @@
         let sent = desk.send(&["/portal/night"]).await;
         assert_eq!(sent.code, Some(0), "{sent:?}");
     }
-    // A watch that ends with the publication, and the one that follows it.
+    // One watch ends with the publication, and the next one begins.
     let calls = desk.fleet.sources.config_calls() - before;
     assert!(calls <= 2 * routers, "{calls} calls");
     desk.fleet.stop().await;
--- a/tests/share_margins.rs
+++ b/tests/share_margins.rs
@@ -1,4 +1,4 @@
-//! How near teams came to less than they were owed, from the routers' accounts.
+//! Margins by which teams got what they were owed, from the per-second counts in routers' logs.
 
 use smol_str::SmolStr;
 
@@ -8,7 +8,7 @@
 use verbenaturn::report::shares::ShareMargin;
 use verbenaturn::report::shares::share_margins;
 
-/// A line of a router a second, from ten past on.
+/// Log lines of one router, one per second; the first line counts a second that begins at 07:06:10.
 fn lines(router: &str, flows: &[&str]) -> Vec<LogLine> {
     let source = SmolStr::new(router);
     let lines = flows.iter().enumerate().map(|(index, flows)| {
@@ -29,7 +29,8 @@
     margins.iter().find(|margin| margin.team == team)
 }
 
-/// Guards against a report that sees one router's part only: the loser's calls come to two of them.
+/// Guards against a margin computed from one router's counts only: the calls of the team that gets
+/// too little arrive at two routers.
 #[test]
 fn accounts_of_all_routers_are_added_up() {
     let mut all = lines("entry-1", &["hule:1000:300:4,nadi:2000:2000:0"; 6]);
@@ -38,13 +39,14 @@
     let hule = margin_of(&margins, "hule").unwrap();
     assert!((hule.asked - 12_000.0).abs() < 1.0, "{hule:?}");
     assert!((hule.got - 2_400.0).abs() < 1.0, "{hule:?}");
-    // Half of twelve thousand less three requests of a hundred.
+    // Owed: half of 12000 tokens, minus three requests of 100 tokens.
     assert!((hule.margin - 2_400.0 / 5_700.0).abs() < 1e-6, "{hule:?}");
     assert_eq!(hule.against, "nadi");
     assert!(margin_of(&margins, "nadi").is_none(), "it never waited");
 }
 
-/// Guards against a team that counts as short although it waited for nothing in one of the seconds.
+/// Guards against a margin for a span although the team had no unserved request in one of its
+/// seconds.
 #[test]
 fn a_second_without_waiting_ends_a_span() {
     let mut flows = vec!["hule:2000:100:4,nadi:2000:2000:0"; 7];
@@ -53,7 +55,7 @@
     assert_eq!(share_margins(&lines("entry-1", &flows), 4).len(), 1);
 }
 
-/// Guards against a line that the report can't read.
+/// Guards against a format of the log line that the report can't parse.
 #[test]
 fn a_routers_account_is_read_back() {
     let mut accounts = TeamAccounts::default();
