--- a/src/ctl/logs.rs
+++ b/src/ctl/logs.rs
@@ -7,7 +7,7 @@
 use clap::ArgMatches;
 use smol_str::SmolStr;
 
-use crate::report::calls::CallStory;
+use crate::report::calls::CallExplanation;
 use crate::report::calls::LogLine;
 use crate::report::calls::LossGroup;
 use crate::report::calls::LossRow;
@@ -38,7 +38,7 @@
     Ok(ExitKind::Good)
 }
 
-fn story_text(story: &CallStory) -> String {
+fn story_text(story: &CallExplanation) -> String {
     let mut text = String::new();
     push_lines(&mut text, "the call:", &story.lines);
     if !story.nearby.is_empty() {
--- a/src/report/calls.rs
+++ b/src/report/calls.rs
@@ -88,7 +88,7 @@
 
 /// Log lines of a call and its surroundings, in order of time, with an explanation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct CallStory {
+pub struct CallExplanation {
     /// The lines with the call's id.
     pub lines: Vec<LogLine>,
     /// Other lines of the same router, and lines about the call's endpoint, from about the same
@@ -100,14 +100,14 @@
 
 /// Finds the lines about a call in the logs of all routers.
 #[must_use]
-pub fn call_story(lines: &[LogLine], id: &str) -> CallStory {
+pub fn call_story(lines: &[LogLine], id: &str) -> CallExplanation {
     let named = lines
         .iter()
         .filter(|line| line.field("id") == Some(id) || line.field("call") == Some(id));
     let mut named: Vec<LogLine> = named.cloned().collect();
     named.sort_by_key(LogLine::day_ms);
     let Some(last) = named.last() else {
-        return CallStory::default();
+        return CallExplanation::default();
     };
     let mut nearby: Vec<LogLine> = lines
         .iter()
@@ -115,7 +115,7 @@
         .cloned()
         .collect();
     nearby.sort_by_key(LogLine::day_ms);
-    CallStory {
+    CallExplanation {
         meaning: last.field("cause").and_then(meaning),
         nearby,
         lines: named,
