--- a/src/ctl/logs.rs
+++ b/src/ctl/logs.rs
@@ -11,7 +11,7 @@
 use crate::report::calls::LogLine;
 use crate::report::calls::LossGroup;
 use crate::report::calls::LossRow;
-use crate::report::calls::call_story;
+use crate::report::calls::explain_call;
 use crate::report::calls::losses as count_losses;
 use crate::report::shares::ShareMargin;
 use crate::report::shares::share_margins;
@@ -29,7 +29,7 @@
 /// If a log can't be read or no log has the call's id.
 pub fn explain(matches: &ArgMatches, writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
     let id = matches.get_one::<String>("id").cloned().unwrap_or_default();
-    let story = call_story(&lines(matches)?, &id);
+    let story = explain_call(&lines(matches)?, &id);
     if story.lines.is_empty() {
         let message = format!("no line names {id}; it came to another router, or was left out");
         return Err(CtlError::new(ExitKind::Finding, message));
--- a/src/report/calls.rs
+++ b/src/report/calls.rs
@@ -100,7 +100,7 @@
 
 /// Finds the lines about a call in the logs of all routers.
 #[must_use]
-pub fn call_story(lines: &[LogLine], id: &str) -> CallExplanation {
+pub fn explain_call(lines: &[LogLine], id: &str) -> CallExplanation {
     let named = lines
         .iter()
         .filter(|line| line.field("id") == Some(id) || line.field("call") == Some(id));
