--- a/src/ctl/logs.rs
+++ b/src/ctl/logs.rs
@@ -34,11 +34,11 @@
         let message = format!("no line names {id}; it came to another router, or was left out");
         return Err(CtlError::new(ExitKind::Finding, message));
     }
-    writer.value(&story, |story, _| story_text(story))?;
+    writer.value(&story, |story, _| explanation_text(story))?;
     Ok(ExitKind::Good)
 }
 
-fn story_text(story: &CallExplanation) -> String {
+fn explanation_text(story: &CallExplanation) -> String {
     let mut text = String::new();
     push_lines(&mut text, "the call:", &story.lines);
     if !story.nearby.is_empty() {
