--- a/src/ctl/logs.rs
+++ b/src/ctl/logs.rs
@@ -29,22 +29,26 @@
 /// If a log can't be read or no log has the call's id.
 pub fn explain(matches: &ArgMatches, writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
     let id = matches.get_one::<String>("id").cloned().unwrap_or_default();
-    let story = explain_call(&lines(matches)?, &id);
-    if story.lines.is_empty() {
+    let explanation = explain_call(&lines(matches)?, &id);
+    if explanation.lines.is_empty() {
         let message = format!("no line names {id}; it came to another router, or was left out");
         return Err(CtlError::new(ExitKind::Finding, message));
     }
-    writer.value(&story, |story, _| explanation_text(story))?;
+    writer.value(&explanation, |explanation, _| explanation_text(explanation))?;
     Ok(ExitKind::Good)
 }
 
-fn explanation_text(story: &CallExplanation) -> String {
+fn explanation_text(explanation: &CallExplanation) -> String {
     let mut text = String::new();
-    push_lines(&mut text, "the call:", &story.lines);
-    if !story.nearby.is_empty() {
-        push_lines(&mut text, "its router and endpoint then:", &story.nearby);
+    push_lines(&mut text, "the call:", &explanation.lines);
+    if !explanation.nearby.is_empty() {
+        push_lines(
+            &mut text,
+            "its router and endpoint then:",
+            &explanation.nearby,
+        );
     }
-    if let Some(meaning) = story.meaning {
+    if let Some(meaning) = explanation.meaning {
         let _ = writeln!(text, "{meaning}");
     }
     text
