--- a/src/report/calls.rs
+++ b/src/report/calls.rs
@@ -14,7 +14,7 @@
 
 /// Log lines about the state of the router or endpoint are shown with a call if they were written
 /// at most this many milliseconds before or after the call's last line.
-const NEAR_MS: i64 = 2_000;
+const NEARBY_WINDOW_MS: i64 = 2_000;
 
 /// One log line of a router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -124,7 +124,7 @@
 
 /// Checks whether a line is about the call's router or endpoint at about the time of the call.
 fn is_near(line: &LogLine, call: &LogLine) -> bool {
-    if (line.day_ms() - call.day_ms()).abs() > NEAR_MS || line.part == "calls" {
+    if (line.day_ms() - call.day_ms()).abs() > NEARBY_WINDOW_MS || line.part == "calls" {
         return false;
     }
     let endpoint = call.field("endpoint");
