--- a/src/ctl/local.rs
+++ b/src/ctl/local.rs
@@ -28,7 +28,7 @@
 use super::client::one_client;
 use super::exit::CtlError;
 use super::exit::ExitKind;
-use super::output::CellTone;
+use super::output::CellStyle;
 use super::output::OutputWriter;
 use super::output::TableCell;
 use super::output::TextTable;
@@ -176,8 +176,8 @@
         for change in changes {
             table.row(vec![
                 change.path.as_str().into(),
-                TableCell::toned(side(change.before.as_ref()), CellTone::Bad),
-                TableCell::toned(side(change.after.as_ref()), CellTone::Good),
+                TableCell::toned(side(change.before.as_ref()), CellStyle::Bad),
+                TableCell::toned(side(change.after.as_ref()), CellStyle::Good),
             ]);
         }
         table.text(format)
--- a/src/ctl/output.rs
+++ b/src/ctl/output.rs
@@ -27,7 +27,7 @@
 
 /// Severity of a cell's value, shown as colour.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum CellTone {
+pub enum CellStyle {
     /// No colour.
     #[default]
     Normal,
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TableCell {
     text: String,
-    tone: CellTone,
+    tone: CellStyle,
 }
 
 impl TableCell {
     /// Creates a cell with a tone.
     #[must_use]
-    pub fn toned(text: impl Into<String>, tone: CellTone) -> Self {
+    pub fn toned(text: impl Into<String>, tone: CellStyle) -> Self {
         Self {
             text: text.into(),
             tone,
@@ -59,7 +59,7 @@
 
 impl<T: ToString> From<T> for TableCell {
     fn from(value: T) -> Self {
-        Self::toned(value.to_string(), CellTone::Normal)
+        Self::toned(value.to_string(), CellStyle::Normal)
     }
 }
 
@@ -128,12 +128,12 @@
     text.push('\n');
 }
 
-fn painted(text: &str, tone: CellTone, color: bool) -> String {
+fn painted(text: &str, tone: CellStyle, color: bool) -> String {
     let code = match tone {
-        CellTone::Normal => return text.to_owned(),
-        CellTone::Good => 32,
-        CellTone::Warning => 33,
-        CellTone::Bad => 31,
+        CellStyle::Normal => return text.to_owned(),
+        CellStyle::Good => 32,
+        CellStyle::Warning => 33,
+        CellStyle::Bad => 31,
     };
     if color {
         format!("\u{1b}[{code}m{text}\u{1b}[0m")
@@ -213,7 +213,7 @@
     #[test]
     fn columns_line_up_for_people_and_part_by_tabs_for_pipes() {
         let mut table = TextTable::new(&["team", "waiting"]);
-        table.row(vec!["nadi".into(), TableCell::toned("12", CellTone::Bad)]);
+        table.row(vec!["nadi".into(), TableCell::toned("12", CellStyle::Bad)]);
         let aligned = table.text(OutputFormat::Table { color: false });
         assert_eq!(aligned, "team  waiting\nnadi  12\n");
         assert_eq!(table.text(OutputFormat::Plain), "team\twaiting\nnadi\t12\n");
--- a/src/ctl/remote.rs
+++ b/src/ctl/remote.rs
@@ -23,7 +23,7 @@
 use super::client::one_client;
 use super::exit::CtlError;
 use super::exit::ExitKind;
-use super::output::CellTone;
+use super::output::CellStyle;
 use super::output::OutputFormat;
 use super::output::OutputWriter;
 use super::output::TableCell;
@@ -129,11 +129,11 @@
 
 fn ready_cell(router: &RouterStatus) -> TableCell {
     if router.readiness.ready {
-        return TableCell::toned("yes", CellTone::Good);
+        return TableCell::toned("yes", CellStyle::Good);
     }
     let reasons = router.readiness.reasons.iter();
     let reasons: Vec<&str> = reasons.map(|reason| reason.label()).collect();
-    TableCell::toned(format!("no: {}", reasons.join(", ")), CellTone::Bad)
+    TableCell::toned(format!("no: {}", reasons.join(", ")), CellStyle::Bad)
 }
 
 fn fault_lines(router: &RouterStatus) -> String {
@@ -240,12 +240,12 @@
 
 fn endpoint_state(endpoint: &EndpointStatus) -> TableCell {
     if endpoint.leaving {
-        TableCell::toned("leaving", CellTone::Warning)
+        TableCell::toned("leaving", CellStyle::Warning)
     } else if endpoint.failures > 0 {
         let failures = endpoint.failures;
-        TableCell::toned(format!("{failures} failures to connect"), CellTone::Bad)
+        TableCell::toned(format!("{failures} failures to connect"), CellStyle::Bad)
     } else {
-        TableCell::toned("open", CellTone::Good)
+        TableCell::toned("open", CellStyle::Good)
     }
 }
 
@@ -253,9 +253,9 @@
     let mut table = TextTable::new(&["member", "state", "domain", "address", "connected"]);
     for member in routers.iter().flatten() {
         let tone = match member.state.as_str() {
-            "alive" => CellTone::Good,
-            "dead" => CellTone::Bad,
-            _ => CellTone::Warning,
+            "alive" => CellStyle::Good,
+            "dead" => CellStyle::Bad,
+            _ => CellStyle::Warning,
         };
         table.row(vec![
             member.host.to_string().into(),
@@ -316,7 +316,7 @@
             pool.lead_units.into(),
             pool.ahead.into(),
             format!("{}/{} busy", pool.busy, pool.held).into(),
-            TableCell::toned(why.join(" "), CellTone::Warning),
+            TableCell::toned(why.join(" "), CellStyle::Warning),
         ]);
     }
     let shares = report.routers.first().map_or_else(String::new, |team| {
--- a/src/ctl/reports.rs
+++ b/src/ctl/reports.rs
@@ -22,7 +22,7 @@
 use super::client::missing_text;
 use super::exit::CtlError;
 use super::exit::ExitKind;
-use super::output::CellTone;
+use super::output::CellStyle;
 use super::output::OutputFormat;
 use super::output::OutputWriter;
 use super::output::TableCell;
@@ -77,8 +77,8 @@
         cells.push(longest.refused.into());
         cells.push(match row.alert {
             None => "-".into(),
-            Some(BurnAlert::Ticket) => TableCell::toned("ticket", CellTone::Warning),
-            Some(BurnAlert::Page) => TableCell::toned("page", CellTone::Bad),
+            Some(BurnAlert::Ticket) => TableCell::toned("ticket", CellStyle::Warning),
+            Some(BurnAlert::Page) => TableCell::toned("page", CellStyle::Bad),
         });
         table.row(cells);
     }
