--- a/src/ctl/local.rs
+++ b/src/ctl/local.rs
@@ -176,8 +176,8 @@
         for change in changes {
             table.row(vec![
                 change.path.as_str().into(),
-                TableCell::toned(side(change.before.as_ref()), CellStyle::Bad),
-                TableCell::toned(side(change.after.as_ref()), CellStyle::Good),
+                TableCell::styled(side(change.before.as_ref()), CellStyle::Bad),
+                TableCell::styled(side(change.after.as_ref()), CellStyle::Good),
             ]);
         }
         table.text(format)
--- a/src/ctl/output.rs
+++ b/src/ctl/output.rs
@@ -49,7 +49,7 @@
 impl TableCell {
     /// Creates a cell with a tone.
     #[must_use]
-    pub fn toned(text: impl Into<String>, tone: CellStyle) -> Self {
+    pub fn styled(text: impl Into<String>, tone: CellStyle) -> Self {
         Self {
             text: text.into(),
             tone,
@@ -59,7 +59,7 @@
 
 impl<T: ToString> From<T> for TableCell {
     fn from(value: T) -> Self {
-        Self::toned(value.to_string(), CellStyle::Normal)
+        Self::styled(value.to_string(), CellStyle::Normal)
     }
 }
 
@@ -213,7 +213,7 @@
     #[test]
     fn columns_line_up_for_people_and_part_by_tabs_for_pipes() {
         let mut table = TextTable::new(&["team", "waiting"]);
-        table.row(vec!["nadi".into(), TableCell::toned("12", CellStyle::Bad)]);
+        table.row(vec!["nadi".into(), TableCell::styled("12", CellStyle::Bad)]);
         let aligned = table.text(OutputFormat::Table { color: false });
         assert_eq!(aligned, "team  waiting\nnadi  12\n");
         assert_eq!(table.text(OutputFormat::Plain), "team\twaiting\nnadi\t12\n");
--- a/src/ctl/remote.rs
+++ b/src/ctl/remote.rs
@@ -129,11 +129,11 @@
 
 fn ready_cell(router: &RouterStatus) -> TableCell {
     if router.readiness.ready {
-        return TableCell::toned("yes", CellStyle::Good);
+        return TableCell::styled("yes", CellStyle::Good);
     }
     let reasons = router.readiness.reasons.iter();
     let reasons: Vec<&str> = reasons.map(|reason| reason.label()).collect();
-    TableCell::toned(format!("no: {}", reasons.join(", ")), CellStyle::Bad)
+    TableCell::styled(format!("no: {}", reasons.join(", ")), CellStyle::Bad)
 }
 
 fn fault_lines(router: &RouterStatus) -> String {
@@ -240,12 +240,12 @@
 
 fn endpoint_state(endpoint: &EndpointStatus) -> TableCell {
     if endpoint.leaving {
-        TableCell::toned("leaving", CellStyle::Warning)
+        TableCell::styled("leaving", CellStyle::Warning)
     } else if endpoint.failures > 0 {
         let failures = endpoint.failures;
-        TableCell::toned(format!("{failures} failures to connect"), CellStyle::Bad)
+        TableCell::styled(format!("{failures} failures to connect"), CellStyle::Bad)
     } else {
-        TableCell::toned("open", CellStyle::Good)
+        TableCell::styled("open", CellStyle::Good)
     }
 }
 
@@ -259,7 +259,7 @@
         };
         table.row(vec![
             member.host.to_string().into(),
-            TableCell::toned(member.state.as_str(), tone),
+            TableCell::styled(member.state.as_str(), tone),
             member.domain.to_string().into(),
             member.address.to_string().into(),
             if member.connected { "yes" } else { "no" }.into(),
@@ -316,7 +316,7 @@
             pool.lead_units.into(),
             pool.ahead.into(),
             format!("{}/{} busy", pool.busy, pool.held).into(),
-            TableCell::toned(why.join(" "), CellStyle::Warning),
+            TableCell::styled(why.join(" "), CellStyle::Warning),
         ]);
     }
     let shares = report.routers.first().map_or_else(String::new, |team| {
--- a/src/ctl/reports.rs
+++ b/src/ctl/reports.rs
@@ -77,8 +77,8 @@
         cells.push(longest.refused.into());
         cells.push(match row.alert {
             None => "-".into(),
-            Some(BurnAlert::Ticket) => TableCell::toned("ticket", CellStyle::Warning),
-            Some(BurnAlert::Page) => TableCell::toned("page", CellStyle::Bad),
+            Some(BurnAlert::Ticket) => TableCell::styled("ticket", CellStyle::Warning),
+            Some(BurnAlert::Page) => TableCell::styled("page", CellStyle::Bad),
         });
         table.row(cells);
     }
