--- a/src/ctl/output.rs
+++ b/src/ctl/output.rs
@@ -43,16 +43,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TableCell {
     text: String,
-    tone: CellStyle,
+    style: CellStyle,
 }
 
 impl TableCell {
-    /// Creates a cell with a tone.
+    /// Creates a cell with a style.
     #[must_use]
-    pub fn styled(text: impl Into<String>, tone: CellStyle) -> Self {
+    pub fn styled(text: impl Into<String>, style: CellStyle) -> Self {
         Self {
             text: text.into(),
-            tone,
+            style,
         }
     }
 }
@@ -115,7 +115,7 @@
     let mut line = String::new();
     for (cell, width) in row.iter().zip(widths) {
         let gap = " ".repeat(width.saturating_sub(cell.text.chars().count()) + 2);
-        line.push_str(&painted(&cell.text, cell.tone, color));
+        line.push_str(&painted(&cell.text, cell.style, color));
         line.push_str(&gap);
     }
     text.push_str(line.trim_end());
@@ -128,8 +128,8 @@
     text.push('\n');
 }
 
-fn painted(text: &str, tone: CellStyle, color: bool) -> String {
-    let code = match tone {
+fn painted(text: &str, style: CellStyle, color: bool) -> String {
+    let code = match style {
         CellStyle::Normal => return text.to_owned(),
         CellStyle::Good => 32,
         CellStyle::Warning => 33,
--- a/src/ctl/remote.rs
+++ b/src/ctl/remote.rs
@@ -252,14 +252,14 @@
 fn members_table(routers: &[Vec<MemberStatus>]) -> TextTable {
     let mut table = TextTable::new(&["member", "state", "domain", "address", "connected"]);
     for member in routers.iter().flatten() {
-        let tone = match member.state.as_str() {
+        let style = match member.state.as_str() {
             "alive" => CellStyle::Good,
             "dead" => CellStyle::Bad,
             _ => CellStyle::Warning,
         };
         table.row(vec![
             member.host.to_string().into(),
-            TableCell::styled(member.state.as_str(), tone),
+            TableCell::styled(member.state.as_str(), style),
             member.domain.to_string().into(),
             member.address.to_string().into(),
             if member.connected { "yes" } else { "no" }.into(),
