--- a/src/ctl/output.rs
+++ b/src/ctl/output.rs
@@ -115,7 +115,7 @@
     let mut line = String::new();
     for (cell, width) in row.iter().zip(widths) {
         let gap = " ".repeat(width.saturating_sub(cell.text.chars().count()) + 2);
-        line.push_str(&painted(&cell.text, cell.style, color));
+        line.push_str(&colorize(&cell.text, cell.style, color));
         line.push_str(&gap);
     }
     text.push_str(line.trim_end());
@@ -128,7 +128,7 @@
     text.push('\n');
 }
 
-fn painted(text: &str, style: CellStyle, color: bool) -> String {
+fn colorize(text: &str, style: CellStyle, color: bool) -> String {
     let code = match style {
         CellStyle::Normal => return text.to_owned(),
         CellStyle::Good => 32,
