--- a/src/ctl/remote.rs
+++ b/src/ctl/remote.rs
@@ -30,7 +30,7 @@
 use super::output::TextTable;
 
 /// Interval at which the status of a draining router is polled.
-const DRAIN_LOOK: Duration = Duration::from_millis(500);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Answers of all queried routers, as printed in JSON.
 #[derive(Debug, Serialize)]
@@ -335,7 +335,7 @@
     client.send(Method::POST, "/drain").await?;
     let mut status: RouterStatus = client.get("/status").await?;
     while matches.get_flag("wait") && status.waiting + status.running > 0 {
-        sleep(DRAIN_LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
         status = client.get("/status").await?;
     }
     let left = (status.waiting, status.running);
