--- a/src/admin/sampler.rs
+++ b/src/admin/sampler.rs
@@ -10,7 +10,7 @@
 use crate::daemon::control::ControlLink;
 use crate::peers::mesh::PeerMesh;
 use crate::report::samples::RouterSample;
-use crate::report::samples::SAMPLE_EVERY_S;
+use crate::report::samples::SAMPLE_INTERVAL_S;
 use crate::report::unix_seconds;
 
 use super::records::RouterRecords;
@@ -23,7 +23,7 @@
     closing: CancellationToken,
 ) {
     loop {
-        let pause = SAMPLE_EVERY_S - unix_seconds() % SAMPLE_EVERY_S;
+        let pause = SAMPLE_INTERVAL_S - unix_seconds() % SAMPLE_INTERVAL_S;
         tokio::select! {
             () = closing.cancelled() => return,
             () = sleep(Duration::from_secs(pause)) => {}
--- a/src/report/fairness.rs
+++ b/src/report/fairness.rs
@@ -9,7 +9,7 @@
 
 use super::samples::PoolSample;
 use super::samples::RouterSample;
-use super::samples::SAMPLE_EVERY_S;
+use super::samples::SAMPLE_INTERVAL_S;
 
 /// Samples of one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
 ) -> FairnessReport {
     let mut pools: BTreeMap<&PoolName, BTreeMap<u64, PoolSample>> = BTreeMap::new();
     for sample in reports.iter().flat_map(|report| &report.samples) {
-        let step = sample.at_s / SAMPLE_EVERY_S * SAMPLE_EVERY_S;
+        let step = sample.at_s / SAMPLE_INTERVAL_S * SAMPLE_INTERVAL_S;
         for (pool, seen) in &sample.pools {
             let series = pools.entry(pool).or_default();
             let known = series.entry(step).or_insert(*seen);
--- a/src/report/samples.rs
+++ b/src/report/samples.rs
@@ -14,7 +14,7 @@
 use crate::units::PoolName;
 
 /// Seconds between two samples.
-pub const SAMPLE_EVERY_S: u64 = 10;
+pub const SAMPLE_INTERVAL_S: u64 = 10;
 
 /// Maximum number of samples kept: one hour.
 const MOST_SAMPLES: usize = 360;
