--- a/src/ctl/client.rs
+++ b/src/ctl/client.rs
@@ -25,7 +25,7 @@
 use super::exit::ExitKind;
 
 /// Timeout of a whole request, after which a router is reported as not answering.
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Client for the admin listener of one router.
 #[derive(Debug, Clone)]
@@ -75,7 +75,7 @@
             let body = body.map_err(|_| self.error("the answer broke off"))?;
             Ok((status, body.to_bytes()))
         };
-        let answered = timeout(ANSWER_WITHIN, exchange).await;
+        let answered = timeout(ADMIN_TIMEOUT, exchange).await;
         let (status, body) = answered.map_err(|_| self.error("no answer in time"))??;
         if status.is_success() {
             Ok(body)
