--- a/src/report/answers.rs
+++ b/src/report/answers.rs
@@ -13,7 +13,7 @@
 use crate::units::TeamId;
 
 /// Maximum number of rows per resolution. A row is one team and kind in one bucket.
-const MOST_ROWS: usize = 200_000;
+const MAX_ROWS: usize = 200_000;
 
 /// Bucket width in seconds and number of buckets: ten seconds each, for one hour.
 const FINE: (u64, u64) = (10, 360);
@@ -120,13 +120,13 @@
         self.forget(index);
     }
 
-    /// Removes buckets that are too old, and the oldest ones while there are more than `MOST_ROWS`
+    /// Removes buckets that are too old, and the oldest ones while there are more than `MAX_ROWS`
     /// rows: many active teams would otherwise use too much memory long before their buckets are
     /// too old. A report may then cover less time than its span, see `since_s`.
     fn forget(&mut self, newest: u64) {
         let oldest = newest.saturating_sub(self.most_buckets);
         while let Some(entry) = self.buckets.first_entry()
-            && (*entry.key() < oldest || (self.rows > MOST_ROWS && *entry.key() < newest))
+            && (*entry.key() < oldest || (self.rows > MAX_ROWS && *entry.key() < newest))
         {
             self.rows -= entry.remove().len();
         }
@@ -221,7 +221,7 @@
     pub fn since_s(&self, span_s: u64, now_s: u64) -> u64 {
         let state = self.lock();
         let ring = state.ring(span_s);
-        let full = ring.rows >= MOST_ROWS;
+        let full = ring.rows >= MAX_ROWS;
         let first = ring.buckets.first_key_value();
         let kept = first.map_or(0, |(index, _)| if full { index * ring.width_s } else { 0 });
         kept.max(self.start_s).max(now_s.saturating_sub(span_s))
@@ -279,13 +279,13 @@
         assert!(ring.buckets.len() <= 361);
         let rows: usize = ring.buckets.values().map(BTreeMap::len).sum();
         assert_eq!(rows, ring.rows);
-        for team in 0..2 * u32::try_from(MOST_ROWS).unwrap() {
+        for team in 0..2 * u32::try_from(MAX_ROWS).unwrap() {
             ring.record(
                 &key(team),
                 AnswerVerdict::Good,
                 40_000 + u64::from(team) / 1_000,
             );
         }
-        assert!(ring.rows <= MOST_ROWS);
+        assert!(ring.rows <= MAX_ROWS);
     }
 }
