--- a/src/report/samples.rs
+++ b/src/report/samples.rs
@@ -17,7 +17,7 @@
 pub const SAMPLE_INTERVAL_S: u64 = 10;
 
 /// Maximum number of samples kept: one hour.
-const MOST_SAMPLES: usize = 360;
+const MAX_SAMPLES: usize = 360;
 
 /// State of a pool over the whole fleet, as known to the pool's owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -111,7 +111,7 @@
     pub fn push(&self, sample: RouterSample) {
         let mut samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
         samples.push_back(sample);
-        if samples.len() > MOST_SAMPLES {
+        if samples.len() > MAX_SAMPLES {
             samples.pop_front();
         }
     }
