--- a/src/ctl/send.rs
+++ b/src/ctl/send.rs
@@ -28,7 +28,7 @@
 
 /// Maximum number of sends of a request: first without a ticket, then with it, and again if the
 /// answer was lost.
-const MOST_SENDS: u32 = 4;
+const MAX_SENDS: u32 = 4;
 
 /// Result of a request.
 #[derive(Debug, Serialize)]
@@ -67,7 +67,7 @@
         let answer = call.exchange(ticket.as_deref()).await;
         match answer {
             Ok((StatusCode::PRECONDITION_REQUIRED, offered, _, _))
-                if offered.is_some() && ticket.is_none() && sends < MOST_SENDS =>
+                if offered.is_some() && ticket.is_none() && sends < MAX_SENDS =>
             {
                 ticket = offered;
             }
@@ -80,7 +80,7 @@
                     body: String::from_utf8_lossy(&body).into_owned(),
                 };
             }
-            Err(_) if ticket.is_some() && sends < MOST_SENDS => {}
+            Err(_) if ticket.is_some() && sends < MAX_SENDS => {}
             Err(error) if sends == 1 && ticket.is_none() => return Err(error),
             Err(error) => {
                 break SendResult {
