--- a/src/report/shares.rs
+++ b/src/report/shares.rs
@@ -17,7 +17,7 @@
 const SLACK_REQUESTS: f64 = 3.0;
 
 /// Fraction of the lesser of the two amounts that a team is owed.
-const OWED_PART: f64 = 0.5;
+const OWED_FRACTION: f64 = 0.5;
 
 /// The span and other team for which a team got least compared with what it was owed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -111,7 +111,7 @@
             got += own.sent;
             other_got += other.sent;
         }
-        let owed = OWED_PART * lesser - SLACK_REQUESTS * self.largest;
+        let owed = OWED_FRACTION * lesser - SLACK_REQUESTS * self.largest;
         (owed > 0.0).then(|| ShareMargin {
             team: team.clone(),
             against: against.clone(),
