--- a/src/report/shares.rs
+++ b/src/report/shares.rs
@@ -89,7 +89,7 @@
         counts.copied().unwrap_or_default()
     }
 
-    fn waited(&self, team: &SmolStr, from: i64, span_s: i64) -> bool {
+    fn always_unserved(&self, team: &SmolStr, from: i64, span_s: i64) -> bool {
         (from..from + span_s).all(|second| self.at(team, second).short > 0)
     }
 
@@ -127,7 +127,8 @@
     /// Returns the smallest margin of a team over all spans and other teams.
     fn least(&self, team: &SmolStr, span_s: i64) -> Option<ShareMargin> {
         let (first, last) = self.seconds?;
-        let starts = (first..=last - span_s + 1).filter(|from| self.waited(team, *from, span_s));
+        let starts =
+            (first..=last - span_s + 1).filter(|from| self.always_unserved(team, *from, span_s));
         let margins = starts.flat_map(|from| {
             let others = self.teams.keys().filter(move |other| *other != team);
             others.filter_map(move |other| self.margin(team, other, from, span_s))
