--- a/src/report/burn.rs
+++ b/src/report/burn.rs
@@ -153,7 +153,7 @@
         let key = (row.team.clone(), row.kind.clone());
         add(rows.entry(key).or_insert_with(|| empty(row)), row);
     }
-    let mut rows: Vec<BurnRow> = rows.into_values().map(rated).collect();
+    let mut rows: Vec<BurnRow> = rows.into_values().map(with_rates).collect();
     rows.sort_by(|one, other| {
         let rate = |row: &BurnRow| row.rates.values().flatten().copied().fold(0.0, f64::max);
         let by_rate = rate(other).total_cmp(&rate(one));
@@ -192,7 +192,7 @@
     }
 }
 
-fn rated(mut row: BurnRow) -> BurnRow {
+fn with_rates(mut row: BurnRow) -> BurnRow {
     row.rates = row
         .spans
         .iter()
