--- a/src/ctl/local.rs
+++ b/src/ctl/local.rs
@@ -176,8 +176,8 @@
         for change in changes {
             table.row(vec![
                 change.path.as_str().into(),
-                TableCell::styled(side(change.before.as_ref()), CellStyle::Bad),
-                TableCell::styled(side(change.after.as_ref()), CellStyle::Good),
+                TableCell::styled(json_cell(change.before.as_ref()), CellStyle::Bad),
+                TableCell::styled(json_cell(change.after.as_ref()), CellStyle::Good),
             ]);
         }
         table.text(format)
@@ -189,7 +189,7 @@
     })
 }
 
-fn side(value: Option<&Value>) -> String {
+fn json_cell(value: Option<&Value>) -> String {
     value.map_or_else(|| "-".to_owned(), Value::to_string)
 }
 
