--- a/src/report/answers.rs
+++ b/src/report/answers.rs
@@ -117,13 +117,13 @@
             bucket.entry(key.clone()).or_default().count(verdict);
             self.rows += 1;
         }
-        self.forget(index);
+        self.evict(index);
     }
 
     /// Removes buckets that are too old, and the oldest ones while there are more than `MAX_ROWS`
     /// rows: many active teams would otherwise use too much memory long before their buckets are
     /// too old. A report may then cover less time than its span, see `since_s`.
-    fn forget(&mut self, newest: u64) {
+    fn evict(&mut self, newest: u64) {
         let oldest = newest.saturating_sub(self.most_buckets);
         while let Some(entry) = self.buckets.first_entry()
             && (*entry.key() < oldest || (self.rows > MAX_ROWS && *entry.key() < newest))
