--- a/src/ctl/command.rs
+++ b/src/ctl/command.rs
@@ -13,7 +13,7 @@
 use super::exit::CtlError;
 use super::exit::ExitKind;
 use super::output::OutputWriter;
-use super::reference::REFERENCED;
+use super::reference::REFERENCE_DOCUMENTS;
 use super::remote_command;
 
 const DIFF_AFTER: &str = "The publication after; without it the first file is compared with what \
@@ -125,7 +125,7 @@
         .arg(
             Arg::new("document")
                 .required(true)
-                .value_parser(REFERENCED)
+                .value_parser(REFERENCE_DOCUMENTS)
                 .help("Which document"),
         )
         .arg(
--- a/src/ctl/reference.rs
+++ b/src/ctl/reference.rs
@@ -170,4 +170,4 @@
 }
 
 /// Names of the documents with a schema and a reference page.
-pub const REFERENCED: [&str; 4] = ["publication", "settings", "hosts", "gateway"];
+pub const REFERENCE_DOCUMENTS: [&str; 4] = ["publication", "settings", "hosts", "gateway"];
--- a/tests/reference.rs
+++ b/tests/reference.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use verbenaturn::ctl::exit::ExitKind;
-use verbenaturn::ctl::reference::REFERENCED;
+use verbenaturn::ctl::reference::REFERENCE_DOCUMENTS;
 use verbenaturn::ctl::reference::reference_text;
 use verbenaturn::ctl::schemas::schema_named;
 use verbenaturn::ctl::schemas::schema_text;
@@ -57,7 +57,7 @@
 
 #[test]
 fn schemas_and_pages_are_those_of_the_code() {
-    for document in REFERENCED {
+    for document in REFERENCE_DOCUMENTS {
         let schema = schema_text(document).unwrap();
         assert_fresh(&format!("reference/{document}.schema.json"), &schema);
         let page = reference_text(document).unwrap();
@@ -67,7 +67,7 @@
 
 #[test]
 fn every_setting_has_an_effect() {
-    for document in REFERENCED {
+    for document in REFERENCE_DOCUMENTS {
         let page = reference_text(document).unwrap();
         let bare: Vec<&str> = page.lines().filter(|line| line.ends_with("|  |")).collect();
         assert!(bare.is_empty(), "without effect: {bare:#?}");
@@ -78,7 +78,7 @@
 // The rule would stand in the schema and hold nowhere.
 #[test]
 fn the_shape_check_knows_every_keyword() {
-    for document in REFERENCED {
+    for document in REFERENCE_DOCUMENTS {
         let mut found = Vec::new();
         collect_keywords(&schema_named(document).unwrap(), &mut found);
         assert!(found.is_empty(), "{document}: {found:?}");
