--- a/src/ctl/logs.rs
+++ b/src/ctl/logs.rs
@@ -61,9 +61,9 @@
             source,
             time,
             part,
-            text: said,
+            text: line_text,
         } = line;
-        let _ = writeln!(text, "  {time} {source} {part}: {said}");
+        let _ = writeln!(text, "  {time} {source} {part}: {line_text}");
     }
 }
 
