--- a/src/ctl/remote.rs
+++ b/src/ctl/remote.rs
@@ -88,13 +88,13 @@
 async fn fleet(clients: &[AdminClient], writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
     let report = FleetReport::from(ask_all::<RouterStatus>(clients, "/status").await?);
     writer.value(&report, fleet_text)?;
-    let well = |router: &RouterStatus| {
+    let healthy = |router: &RouterStatus| {
         router.readiness.ready
             && router.publication.refused.is_none()
             && router.publication.source_fault.is_none()
             && router.publication.hosts_fault.is_none()
     };
-    Ok(report.exit(report.routers.iter().all(well)))
+    Ok(report.exit(report.routers.iter().all(healthy)))
 }
 
 fn fleet_text(report: &FleetReport<RouterStatus>, format: OutputFormat) -> String {
