--- a/src/ctl/client.rs
+++ b/src/ctl/client.rs
@@ -156,7 +156,7 @@
 ///
 /// # Errors
 /// If no router answers: the error of the last one.
-pub async fn ask_all<T: DeserializeOwned>(
+pub async fn query_all<T: DeserializeOwned>(
     clients: &[AdminClient],
     path: &str,
 ) -> Result<FleetAnswers<T>, CtlError> {
--- a/src/ctl/remote.rs
+++ b/src/ctl/remote.rs
@@ -17,10 +17,10 @@
 
 use super::client::AdminClient;
 use super::client::FleetAnswers;
-use super::client::ask_all;
 use super::client::clients;
 use super::client::missing_text;
 use super::client::one_client;
+use super::client::query_all;
 use super::exit::CtlError;
 use super::exit::ExitKind;
 use super::output::CellStyle;
@@ -78,7 +78,7 @@
     writer: &mut OutputWriter,
     table: fn(&[Vec<T>]) -> TextTable,
 ) -> Result<ExitKind, CtlError> {
-    let report = FleetReport::from(ask_all::<Vec<T>>(clients, path).await?);
+    let report = FleetReport::from(query_all::<Vec<T>>(clients, path).await?);
     writer.value(&report, |report, format| {
         table(&report.routers).text(format) + &missing_text(&report.missing)
     })?;
@@ -86,7 +86,7 @@
 }
 
 async fn fleet(clients: &[AdminClient], writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
-    let report = FleetReport::from(ask_all::<RouterStatus>(clients, "/status").await?);
+    let report = FleetReport::from(query_all::<RouterStatus>(clients, "/status").await?);
     writer.value(&report, fleet_text)?;
     let healthy = |router: &RouterStatus| {
         router.readiness.ready
@@ -276,7 +276,7 @@
     let clients = clients(matches)?;
     let name = matches.get_one::<String>("name").cloned();
     let path = format!("/teams/{}", name.unwrap_or_default());
-    let report = FleetReport::from(ask_all::<TeamStatus>(&clients, &path).await?);
+    let report = FleetReport::from(query_all::<TeamStatus>(&clients, &path).await?);
     writer.value(&report, team_text)?;
     let waits = |team: &TeamStatus| team.pools.iter().any(|pool| pool.waiting > 0);
     Ok(report.exit(!report.routers.iter().any(waits)))
--- a/src/ctl/reports.rs
+++ b/src/ctl/reports.rs
@@ -17,9 +17,9 @@
 use crate::report::html::percent_text;
 use crate::report::html::rate_text;
 
-use super::client::ask_all;
 use super::client::clients;
 use super::client::missing_text;
+use super::client::query_all;
 use super::exit::CtlError;
 use super::exit::ExitKind;
 use super::output::CellStyle;
@@ -33,7 +33,7 @@
 /// # Errors
 /// If no router answers or the page can't be written.
 pub async fn burn(matches: &ArgMatches, writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
-    let asked = ask_all::<AnswerReport>(&clients(matches)?, "/history/answers").await?;
+    let asked = query_all::<AnswerReport>(&clients(matches)?, "/history/answers").await?;
     let report = burn_report(&asked.answers, asked.missing);
     write_page(matches, || burn_page(&report))?;
     writer.value(&report, burn_text)?;
@@ -94,7 +94,7 @@
     matches: &ArgMatches,
     writer: &mut OutputWriter,
 ) -> Result<ExitKind, CtlError> {
-    let asked = ask_all::<SampleReport>(&clients(matches)?, "/history/samples").await?;
+    let asked = query_all::<SampleReport>(&clients(matches)?, "/history/samples").await?;
     let report = fairness_report(&asked.answers, asked.missing);
     write_page(matches, || fairness_page(&report))?;
     writer.value(&report, fairness_text)?;
