--- a/tests/ctl.rs
+++ b/tests/ctl.rs
@@ -21,7 +21,7 @@
 const CREDENTIAL: &str = "what operators show";
 
 /// A fleet with admin listeners, and a directory with the keys and the publication.
-struct OperatorDesk {
+struct OperatorFixture {
     fleet: LocalFleet,
     admins: Vec<SocketAddr>,
     directory: PathBuf,
@@ -56,7 +56,7 @@
     }
 }
 
-impl OperatorDesk {
+impl OperatorFixture {
     async fn start(name: &str) -> Self {
         let listen = "127.0.0.1:0".parse().unwrap();
         let engine = EndpointRole::Engine {
@@ -122,7 +122,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_operator_sees_the_fleet_and_a_caller_its_answers() {
-    let desk = OperatorDesk::start("fleet").await;
+    let desk = OperatorFixture::start("fleet").await;
     let prompt = json!({"model": "luma", "prompt": "a night", "max_tokens": 3}).to_string();
     let sent = desk.send(&["/v1/completions", "--data", &prompt]).await;
     assert_eq!(sent.code, Some(0), "{sent:?}");
@@ -165,7 +165,7 @@
 // `status` must show the fault and its path, so that operators see why nothing changed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_refused_publication_is_shown_and_the_last_good_one_stays() {
-    let desk = OperatorDesk::start("refused").await;
+    let desk = OperatorFixture::start("refused").await;
     let text = std::fs::read_to_string(desk.path("publication.json")).unwrap();
     let next = text.replace("\"share\":1,\"template\"", "\"share\":0,\"template\"");
     assert_ne!(next, text);
@@ -196,7 +196,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_drained_router_says_so_and_strangers_learn_nothing() {
-    let desk = OperatorDesk::start("drain").await;
+    let desk = OperatorFixture::start("drain").await;
     let level = desk.ask(Some(0), &["log-level", "warn"]).await;
     assert_eq!(level.code, Some(0), "{level:?}");
     let drained = desk.ask(Some(0), &["drain", "--wait", "--json"]).await;
@@ -221,7 +221,7 @@
 // fleet.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_publication_costs_at_most_two_reads_a_router() {
-    let desk = OperatorDesk::start("reads").await;
+    let desk = OperatorFixture::start("reads").await;
     let routers = u64::try_from(desk.fleet.routers.len()).unwrap();
     let before = desk.fleet.sources.config_calls();
     let text = std::fs::read_to_string(desk.path("publication.json")).unwrap();
