--- a/tests/ctl.rs
+++ b/tests/ctl.rs
@@ -122,21 +122,24 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_operator_sees_the_fleet_and_a_caller_its_answers() {
-    let desk = OperatorFixture::start("fleet").await;
+    let fixture = OperatorFixture::start("fleet").await;
     let prompt = json!({"model": "luma", "prompt": "a night", "max_tokens": 3}).to_string();
-    let sent = desk.send(&["/v1/completions", "--data", &prompt]).await;
+    let sent = fixture.send(&["/v1/completions", "--data", &prompt]).await;
     assert_eq!(sent.code, Some(0), "{sent:?}");
-    let logged = desk.send(&["/portal/log", "--data", "{}"]).await;
+    let logged = fixture.send(&["/portal/log", "--data", "{}"]).await;
     assert_eq!(logged.code, Some(0), "{logged:?}");
     assert_eq!(logged.json()["sends"], 2);
     assert!(logged.json()["ticket"].is_string());
-    let status = desk.ask(None, &["status", "--json"]).await;
+    let status = fixture.ask(None, &["status", "--json"]).await;
     assert_eq!(status.code, Some(0), "{status:?}");
     let routers = status.json()["routers"].as_array().unwrap().clone();
     assert_eq!(routers.len(), 2);
     assert_eq!(routers[0]["publication"]["revision"], 1);
     assert_eq!(routers[0]["members"].as_array().unwrap().len(), 2);
-    let burn = desk.ask(None, &["report", "burn", "--json"]).await.json();
+    let burn = fixture
+        .ask(None, &["report", "burn", "--json"])
+        .await
+        .json();
     let good: u64 = burn["rows"]
         .as_array()
         .unwrap()
@@ -144,38 +147,42 @@
         .map(|row| row["spans"]["300"]["good"].as_u64().unwrap())
         .sum();
     assert_eq!(good, 2, "{burn}");
-    let page = desk.path("burn.html");
-    let plain = desk.ask(None, &["report", "burn", "--html", &page]).await;
+    let page = fixture.path("burn.html");
+    let plain = fixture
+        .ask(None, &["report", "burn", "--html", &page])
+        .await;
     assert!(plain.out.starts_with("team\tkind\t"), "{plain:?}");
     assert!(std::fs::read_to_string(&page).unwrap().contains("nadi"));
-    let fairness = desk.ask(None, &["report", "fairness", "--json"]).await;
+    let fairness = fixture.ask(None, &["report", "fairness", "--json"]).await;
     assert_eq!(fairness.json()["routers"].as_array().unwrap().len(), 2);
-    let team = desk.ask(None, &["team", "nadi", "--json"]).await;
+    let team = fixture.ask(None, &["team", "nadi", "--json"]).await;
     assert_eq!(team.json()["routers"][0]["pools"][0]["waiting"], 0);
-    assert_eq!(desk.ask(None, &["team", "nobody"]).await.code, Some(1));
+    assert_eq!(fixture.ask(None, &["team", "nobody"]).await.code, Some(1));
     for part in ["teams", "endpoints", "members"] {
-        let shown = desk.ask(None, &["status", part, "--format", "table"]).await;
+        let shown = fixture
+            .ask(None, &["status", part, "--format", "table"])
+            .await;
         assert_eq!(shown.code, Some(0), "{shown:?}");
         assert!(shown.out.lines().count() > 1, "{shown:?}");
     }
-    desk.fleet.stop().await;
+    fixture.fleet.stop().await;
 }
 
 // A publication with a fault is published. The routers must keep the last valid publication, and
 // `status` must show the fault and its path, so that operators see why nothing changed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_refused_publication_is_shown_and_the_last_good_one_stays() {
-    let desk = OperatorFixture::start("refused").await;
-    let text = std::fs::read_to_string(desk.path("publication.json")).unwrap();
+    let fixture = OperatorFixture::start("refused").await;
+    let text = std::fs::read_to_string(fixture.path("publication.json")).unwrap();
     let next = text.replace("\"share\":1,\"template\"", "\"share\":0,\"template\"");
     assert_ne!(next, text);
-    std::fs::write(desk.path("next.json"), &next).unwrap();
-    let checked = tool(&["check", &desk.path("next.json")]).await;
+    std::fs::write(fixture.path("next.json"), &next).unwrap();
+    let checked = tool(&["check", &fixture.path("next.json")]).await;
     assert_eq!(checked.code, Some(1));
     assert!(checked.out.contains("teams.nadi.share"), "{checked:?}");
-    desk.fleet.sources.publish(next);
+    fixture.fleet.sources.publish(next);
     let status = loop {
-        let status = desk.ask(None, &["status"]).await;
+        let status = fixture.ask(None, &["status"]).await;
         if status.code == Some(1) {
             break status;
         }
@@ -185,35 +192,35 @@
         "{status:?}"
     );
     let mended = text.replace("\"share\":1,\"template\"", "\"share\":5,\"template\"");
-    std::fs::write(desk.path("mended.json"), mended).unwrap();
-    let diff = desk
-        .ask(Some(0), &["diff", &desk.path("mended.json")])
+    std::fs::write(fixture.path("mended.json"), mended).unwrap();
+    let diff = fixture
+        .ask(Some(0), &["diff", &fixture.path("mended.json")])
         .await;
     assert_eq!(diff.code, Some(1), "{diff:?}");
     assert_eq!(diff.out, "path\tbefore\tafter\nteams.nadi.share\t1\t5\n");
-    desk.fleet.stop().await;
+    fixture.fleet.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_drained_router_says_so_and_strangers_learn_nothing() {
-    let desk = OperatorFixture::start("drain").await;
-    let level = desk.ask(Some(0), &["log-level", "warn"]).await;
+    let fixture = OperatorFixture::start("drain").await;
+    let level = fixture.ask(Some(0), &["log-level", "warn"]).await;
     assert_eq!(level.code, Some(0), "{level:?}");
-    let drained = desk.ask(Some(0), &["drain", "--wait", "--json"]).await;
+    let drained = fixture.ask(Some(0), &["drain", "--wait", "--json"]).await;
     assert_eq!(drained.json()["readiness"]["ready"], false);
-    let status = desk.ask(None, &["status"]).await;
+    let status = fixture.ask(None, &["status"]).await;
     assert_eq!(status.code, Some(1));
     assert!(status.out.contains("no: draining"), "{status:?}");
-    assert_eq!(desk.ask(None, &["drain"]).await.code, Some(2));
-    let wrong = desk.path("wrong.key");
+    assert_eq!(fixture.ask(None, &["drain"]).await.code, Some(2));
+    let wrong = fixture.path("wrong.key");
     std::fs::write(Path::new(&wrong), "a guess").unwrap();
-    let admin = desk.admins[1].to_string();
+    let admin = fixture.admins[1].to_string();
     let arguments = ["status", "--admin", &admin, "--credential-file", &wrong];
     let refused = tool(&arguments).await;
     assert_eq!(refused.code, Some(4));
     assert!(refused.err.contains("401"), "{refused:?}");
     assert!(refused.out.is_empty(), "{refused:?}");
-    desk.fleet.stop().await;
+    fixture.fleet.stop().await;
 }
 
 // The configuration service allows about two thousand reads a second for all readers together.
@@ -221,22 +228,22 @@
 // fleet.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_publication_costs_at_most_two_reads_a_router() {
-    let desk = OperatorFixture::start("reads").await;
-    let routers = u64::try_from(desk.fleet.routers.len()).unwrap();
-    let before = desk.fleet.sources.config_calls();
-    let text = std::fs::read_to_string(desk.path("publication.json")).unwrap();
-    desk.fleet.sources.publish(text);
-    for router in &desk.fleet.routers {
+    let fixture = OperatorFixture::start("reads").await;
+    let routers = u64::try_from(fixture.fleet.routers.len()).unwrap();
+    let before = fixture.fleet.sources.config_calls();
+    let text = std::fs::read_to_string(fixture.path("publication.json")).unwrap();
+    fixture.fleet.sources.publish(text);
+    for router in &fixture.fleet.routers {
         let mut catalog = router.control().catalog.clone();
         let newest = catalog.wait_for(|catalog| catalog.revision().0 == 2);
         newest.await.unwrap();
     }
     for _ in 0..5 {
-        let sent = desk.send(&["/portal/night"]).await;
+        let sent = fixture.send(&["/portal/night"]).await;
         assert_eq!(sent.code, Some(0), "{sent:?}");
     }
     // One watch ends with the publication, and the next one begins.
-    let calls = desk.fleet.sources.config_calls() - before;
+    let calls = fixture.fleet.sources.config_calls() - before;
     assert!(calls <= 2 * routers, "{calls} calls");
-    desk.fleet.stop().await;
+    fixture.fleet.stop().await;
 }
