--- a/tests/ctl.rs
+++ b/tests/ctl.rs
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_operator_sees_the_fleet_and_a_caller_its_answers() {
+async fn status_reports_and_send_work_against_a_running_fleet() {
     let fixture = OperatorFixture::start("fleet").await;
     let prompt = json!({"model": "luma", "prompt": "a night", "max_tokens": 3}).to_string();
     let sent = fixture.send(&["/v1/completions", "--data", &prompt]).await;
