--- a/tests/ctl.rs
+++ b/tests/ctl.rs
@@ -202,7 +202,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_drained_router_says_so_and_strangers_learn_nothing() {
+async fn a_drained_router_is_reported_and_a_wrong_credential_is_refused() {
     let fixture = OperatorFixture::start("drain").await;
     let level = fixture.ask(Some(0), &["log-level", "warn"]).await;
     assert_eq!(level.code, Some(0), "{level:?}");
