--- a/tests/ctl.rs
+++ b/tests/ctl.rs
@@ -227,7 +227,7 @@
 // Routers that read it for each request, or in a loop, would exhaust this limit for the whole
 // fleet.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_publication_costs_at_most_two_reads_a_router() {
+async fn a_publication_costs_at_most_two_reads_per_router() {
     let fixture = OperatorFixture::start("reads").await;
     let routers = u64::try_from(fixture.fleet.routers.len()).unwrap();
     let before = fixture.fleet.sources.config_calls();
