--- a/src/report/html.rs
+++ b/src/report/html.rs
@@ -197,7 +197,7 @@
     use super::*;
 
     #[test]
-    fn a_page_runs_nothing_that_a_host_says() {
+    fn hosts_and_errors_are_escaped_in_html() {
         let report = BurnReport {
             hosts: vec!["<script>alert(1)</script>".to_owned()],
             missing: std::iter::once(("a".to_owned(), "<b>".to_owned())).collect(),
