--- a/src/report/html.rs
+++ b/src/report/html.rs
@@ -210,7 +210,7 @@
     }
 
     #[test]
-    fn spans_read_as_people_say_them() {
+    fn spans_are_formatted_in_their_largest_unit() {
         let texts: Vec<String> = spans().into_iter().map(span_text).collect();
         assert_eq!(texts, ["5m", "30m", "1h", "6h", "3d"]);
     }
