--- a/src/ctl/output.rs
+++ b/src/ctl/output.rs
@@ -211,7 +211,7 @@
     use super::*;
 
     #[test]
-    fn columns_line_up_for_people_and_part_by_tabs_for_pipes() {
+    fn columns_are_aligned_in_tables_and_separated_by_tabs_in_plain_output() {
         let mut table = TextTable::new(&["team", "waiting"]);
         table.row(vec!["nadi".into(), TableCell::styled("12", CellStyle::Bad)]);
         let aligned = table.text(OutputFormat::Table { color: false });
