--- a/src/report/burn.rs
+++ b/src/report/burn.rs
@@ -244,7 +244,7 @@
     }
 
     #[test]
-    fn no_answers_burn_nothing() {
+    fn no_answers_give_no_burn_rate() {
         let all = burn_report(&[report("a", 0, 0)], BTreeMap::new());
         assert_eq!(all.rows[0].rates[&300], None);
         assert_eq!(all.rows[0].alert, None);
