--- a/src/report/burn.rs
+++ b/src/report/burn.rs
@@ -234,7 +234,7 @@
     }
 
     #[test]
-    fn routers_are_added_up() {
+    fn answers_of_all_routers_are_added_up() {
         let all = burn_report(&[report("a", 90, 0), report("b", 0, 10)], BTreeMap::new());
         assert_eq!(all.rows.len(), 1);
         let rate = all.rows[0].rates[&300].unwrap();
