--- a/tests/share_margins.rs
+++ b/tests/share_margins.rs
@@ -32,7 +32,7 @@
 /// Guards against a margin computed from one router's counts only: the calls of the team that gets
 /// too little arrive at two routers.
 #[test]
-fn accounts_of_all_routers_are_added_up() {
+fn counts_of_all_routers_are_added_up() {
     let mut all = lines("entry-1", &["hule:1000:300:4,nadi:2000:2000:0"; 6]);
     all.extend(lines("entry-2", &["hule:1000:100:4"; 6]));
     let margins = share_margins(&all, 6);
