--- a/tests/share_margins.rs
+++ b/tests/share_margins.rs
@@ -48,7 +48,7 @@
 /// Guards against a margin for a span although the team had no unserved request in one of its
 /// seconds.
 #[test]
-fn a_second_without_waiting_ends_a_span() {
+fn a_second_without_unserved_requests_ends_a_span() {
     let mut flows = vec!["hule:2000:100:4,nadi:2000:2000:0"; 7];
     flows[4] = "hule:2000:100:0,nadi:2000:2000:0";
     assert!(share_margins(&lines("entry-1", &flows), 6).is_empty());
