--- a/tests/share_margins.rs
+++ b/tests/share_margins.rs
@@ -57,7 +57,7 @@
 
 /// Guards against a format of the log line that the report can't parse.
 #[test]
-fn a_routers_account_is_read_back() {
+fn a_logged_account_line_is_parsed() {
     let mut accounts = TeamAccounts::default();
     let team = TeamKey(SmolStr::new("hule:a"));
     accounts.ask(&team, 900.0);
