--- a/tests/call_reports.rs
+++ b/tests/call_reports.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_call_that_no_log_names_is_a_finding() {
+fn a_call_without_log_lines_exits_with_finding() {
     let output = LogFolder::new("unknown").run(&["explain", "0000"]);
     assert_eq!(output.status.code(), Some(1));
 }
