--- a/src/ctl/logs.rs
+++ b/src/ctl/logs.rs
@@ -7,11 +7,11 @@
 use clap::ArgMatches;
 use smol_str::SmolStr;
 
-use crate::report::calls::CallStory;
+use crate::report::calls::CallExplanation;
 use crate::report::calls::LogLine;
 use crate::report::calls::LossGroup;
 use crate::report::calls::LossRow;
-use crate::report::calls::call_story;
+use crate::report::calls::explain_call;
 use crate::report::calls::losses as count_losses;
 use crate::report::shares::ShareMargin;
 use crate::report::shares::share_margins;
@@ -23,28 +23,32 @@
 use super::output::OutputWriter;
 use super::output::TextTable;
 
-/// Prints what all routers' logs say of one call.
+/// Prints the log lines about one call and explains its outcome.
 ///
 /// # Errors
-/// If a log can't be read.
+/// If a log can't be read or no log has the call's id.
 pub fn explain(matches: &ArgMatches, writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
     let id = matches.get_one::<String>("id").cloned().unwrap_or_default();
-    let story = call_story(&lines(matches)?, &id);
-    if story.lines.is_empty() {
+    let explanation = explain_call(&lines(matches)?, &id);
+    if explanation.lines.is_empty() {
         let message = format!("no line names {id}; it came to another router, or was left out");
         return Err(CtlError::new(ExitKind::Finding, message));
     }
-    writer.value(&story, |story, _| story_text(story))?;
+    writer.value(&explanation, |explanation, _| explanation_text(explanation))?;
     Ok(ExitKind::Good)
 }
 
-fn story_text(story: &CallStory) -> String {
+fn explanation_text(explanation: &CallExplanation) -> String {
     let mut text = String::new();
-    push_lines(&mut text, "the call:", &story.lines);
-    if !story.nearby.is_empty() {
-        push_lines(&mut text, "its router and endpoint then:", &story.nearby);
+    push_lines(&mut text, "the call:", &explanation.lines);
+    if !explanation.nearby.is_empty() {
+        push_lines(
+            &mut text,
+            "its router and endpoint then:",
+            &explanation.nearby,
+        );
     }
-    if let Some(meaning) = story.meaning {
+    if let Some(meaning) = explanation.meaning {
         let _ = writeln!(text, "{meaning}");
     }
     text
@@ -57,13 +61,13 @@
             source,
             time,
             part,
-            text: said,
+            text: line_text,
         } = line;
-        let _ = writeln!(text, "  {time} {source} {part}: {said}");
+        let _ = writeln!(text, "  {time} {source} {part}: {line_text}");
     }
 }
 
-/// Prints a table of calls by what they have in common.
+/// Prints a table of call counts by group.
 ///
 /// # Errors
 /// If a log can't be read.
@@ -103,7 +107,7 @@
     table.text(format)
 }
 
-/// Prints how near each team came to less than half of what it was owed.
+/// Prints how close each team came to less than half of what it was owed.
 ///
 /// # Errors
 /// If a log can't be read.
@@ -140,7 +144,7 @@
     table.text(format)
 }
 
-/// A second of the day as a clock shows it.
+/// Formats seconds since midnight as `HH:MM:SS`.
 fn clock_text(second: i64) -> String {
     let (hours, minutes) = (second / 3_600, second / 60 % 60);
     format!("{hours:02}:{minutes:02}:{:02}", second % 60)
@@ -158,7 +162,7 @@
     Ok(lines)
 }
 
-/// A log is named by its file, without folder and ending.
+/// Returns the name of a log: its file name without directory and extension.
 fn source_of(file: &Path) -> SmolStr {
     let name = file.file_stem().unwrap_or(file.as_os_str());
     SmolStr::new(name.to_string_lossy())
--- a/src/ctl/remote.rs
+++ b/src/ctl/remote.rs
@@ -1,4 +1,4 @@
-//! Subcommands that ask or tell routers: status, team, drain, log-level.
+//! Subcommands that query or control routers: status, team, drain and log-level.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -17,22 +17,22 @@
 
 use super::client::AdminClient;
 use super::client::FleetAnswers;
-use super::client::ask_all;
 use super::client::clients;
 use super::client::missing_text;
 use super::client::one_client;
+use super::client::query_all;
 use super::exit::CtlError;
 use super::exit::ExitKind;
-use super::output::CellTone;
+use super::output::CellStyle;
 use super::output::OutputFormat;
 use super::output::OutputWriter;
 use super::output::TableCell;
 use super::output::TextTable;
 
-/// Time between two looks at a router that drains.
-const DRAIN_LOOK: Duration = Duration::from_millis(500);
+/// Interval at which the status of a draining router is polled.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What routers said, as JSON.
+/// Answers of all queried routers, as printed in JSON.
 #[derive(Debug, Serialize)]
 struct FleetReport<T> {
     routers: Vec<T>,
@@ -78,7 +78,7 @@
     writer: &mut OutputWriter,
     table: fn(&[Vec<T>]) -> TextTable,
 ) -> Result<ExitKind, CtlError> {
-    let report = FleetReport::from(ask_all::<Vec<T>>(clients, path).await?);
+    let report = FleetReport::from(query_all::<Vec<T>>(clients, path).await?);
     writer.value(&report, |report, format| {
         table(&report.routers).text(format) + &missing_text(&report.missing)
     })?;
@@ -86,15 +86,15 @@
 }
 
 async fn fleet(clients: &[AdminClient], writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
-    let report = FleetReport::from(ask_all::<RouterStatus>(clients, "/status").await?);
+    let report = FleetReport::from(query_all::<RouterStatus>(clients, "/status").await?);
     writer.value(&report, fleet_text)?;
-    let well = |router: &RouterStatus| {
+    let healthy = |router: &RouterStatus| {
         router.readiness.ready
             && router.publication.refused.is_none()
             && router.publication.source_fault.is_none()
             && router.publication.hosts_fault.is_none()
     };
-    Ok(report.exit(report.routers.iter().all(well)))
+    Ok(report.exit(report.routers.iter().all(healthy)))
 }
 
 fn fleet_text(report: &FleetReport<RouterStatus>, format: OutputFormat) -> String {
@@ -129,11 +129,11 @@
 
 fn ready_cell(router: &RouterStatus) -> TableCell {
     if router.readiness.ready {
-        return TableCell::toned("yes", CellTone::Good);
+        return TableCell::styled("yes", CellStyle::Good);
     }
     let reasons = router.readiness.reasons.iter();
     let reasons: Vec<&str> = reasons.map(|reason| reason.label()).collect();
-    TableCell::toned(format!("no: {}", reasons.join(", ")), CellTone::Bad)
+    TableCell::styled(format!("no: {}", reasons.join(", ")), CellStyle::Bad)
 }
 
 fn fault_lines(router: &RouterStatus) -> String {
@@ -240,26 +240,26 @@
 
 fn endpoint_state(endpoint: &EndpointStatus) -> TableCell {
     if endpoint.leaving {
-        TableCell::toned("leaving", CellTone::Warning)
+        TableCell::styled("leaving", CellStyle::Warning)
     } else if endpoint.failures > 0 {
         let failures = endpoint.failures;
-        TableCell::toned(format!("{failures} failures to connect"), CellTone::Bad)
+        TableCell::styled(format!("{failures} failures to connect"), CellStyle::Bad)
     } else {
-        TableCell::toned("open", CellTone::Good)
+        TableCell::styled("open", CellStyle::Good)
     }
 }
 
 fn members_table(routers: &[Vec<MemberStatus>]) -> TextTable {
     let mut table = TextTable::new(&["member", "state", "domain", "address", "connected"]);
     for member in routers.iter().flatten() {
-        let tone = match member.state.as_str() {
-            "alive" => CellTone::Good,
-            "dead" => CellTone::Bad,
-            _ => CellTone::Warning,
+        let style = match member.state.as_str() {
+            "alive" => CellStyle::Good,
+            "dead" => CellStyle::Bad,
+            _ => CellStyle::Warning,
         };
         table.row(vec![
             member.host.to_string().into(),
-            TableCell::toned(member.state.as_str(), tone),
+            TableCell::styled(member.state.as_str(), style),
             member.domain.to_string().into(),
             member.address.to_string().into(),
             if member.connected { "yes" } else { "no" }.into(),
@@ -268,7 +268,7 @@
     table
 }
 
-/// Shows one team and why it waits.
+/// Shows one team and the reasons why its requests wait.
 ///
 /// # Errors
 /// If no router answers or the team is not published.
@@ -276,7 +276,7 @@
     let clients = clients(matches)?;
     let name = matches.get_one::<String>("name").cloned();
     let path = format!("/teams/{}", name.unwrap_or_default());
-    let report = FleetReport::from(ask_all::<TeamStatus>(&clients, &path).await?);
+    let report = FleetReport::from(query_all::<TeamStatus>(&clients, &path).await?);
     writer.value(&report, team_text)?;
     let waits = |team: &TeamStatus| team.pools.iter().any(|pool| pool.waiting > 0);
     Ok(report.exit(!report.routers.iter().any(waits)))
@@ -316,7 +316,7 @@
             pool.lead_units.into(),
             pool.ahead.into(),
             format!("{}/{} busy", pool.busy, pool.held).into(),
-            TableCell::toned(why.join(" "), CellTone::Warning),
+            TableCell::styled(why.join(" "), CellStyle::Warning),
         ]);
     }
     let shares = report.routers.first().map_or_else(String::new, |team| {
@@ -326,7 +326,7 @@
     shares + &kinds.text(format) + "\n" + &table.text(format) + &missing_text(&report.missing)
 }
 
-/// Tells one router to drain.
+/// Drains one router, and waits until it is idle if `--wait` is given.
 ///
 /// # Errors
 /// If it does not answer.
@@ -335,7 +335,7 @@
     client.send(Method::POST, "/drain").await?;
     let mut status: RouterStatus = client.get("/status").await?;
     while matches.get_flag("wait") && status.waiting + status.running > 0 {
-        sleep(DRAIN_LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
         status = client.get("/status").await?;
     }
     let left = (status.waiting, status.running);
@@ -346,7 +346,7 @@
     Ok(ExitKind::Good)
 }
 
-/// Changes what routers log.
+/// Changes the log level of routers.
 ///
 /// # Errors
 /// If one does not answer.
--- a/src/ctl/reports.rs
+++ b/src/ctl/reports.rs
@@ -1,4 +1,4 @@
-//! The reports: service-level burn and fairness.
+//! Subcommands for reports over time: service-level burn rates and fairness.
 
 use std::path::PathBuf;
 
@@ -17,23 +17,23 @@
 use crate::report::html::percent_text;
 use crate::report::html::rate_text;
 
-use super::client::ask_all;
 use super::client::clients;
 use super::client::missing_text;
+use super::client::query_all;
 use super::exit::CtlError;
 use super::exit::ExitKind;
-use super::output::CellTone;
+use super::output::CellStyle;
 use super::output::OutputFormat;
 use super::output::OutputWriter;
 use super::output::TableCell;
 use super::output::TextTable;
 
-/// Shows how fast teams use up their allowance of bad answers.
+/// Shows how fast teams use up their error budgets.
 ///
 /// # Errors
 /// If no router answers or the page can't be written.
 pub async fn burn(matches: &ArgMatches, writer: &mut OutputWriter) -> Result<ExitKind, CtlError> {
-    let asked = ask_all::<AnswerReport>(&clients(matches)?, "/history/answers").await?;
+    let asked = query_all::<AnswerReport>(&clients(matches)?, "/history/answers").await?;
     let report = burn_report(&asked.answers, asked.missing);
     write_page(matches, || burn_page(&report))?;
     writer.value(&report, burn_text)?;
@@ -77,8 +77,8 @@
         cells.push(longest.refused.into());
         cells.push(match row.alert {
             None => "-".into(),
-            Some(BurnAlert::Ticket) => TableCell::toned("ticket", CellTone::Warning),
-            Some(BurnAlert::Page) => TableCell::toned("page", CellTone::Bad),
+            Some(BurnAlert::Ticket) => TableCell::styled("ticket", CellStyle::Warning),
+            Some(BurnAlert::Page) => TableCell::styled("page", CellStyle::Bad),
         });
         table.row(cells);
     }
@@ -86,7 +86,7 @@
     table.text(format) + &covered + &missing_text(&report.missing)
 }
 
-/// Shows the fairness gap, utilisation and control traffic.
+/// Shows fairness gap, utilisation and control traffic of the last hour.
 ///
 /// # Errors
 /// If no router answers or the page can't be written.
@@ -94,7 +94,7 @@
     matches: &ArgMatches,
     writer: &mut OutputWriter,
 ) -> Result<ExitKind, CtlError> {
-    let asked = ask_all::<SampleReport>(&clients(matches)?, "/history/samples").await?;
+    let asked = query_all::<SampleReport>(&clients(matches)?, "/history/samples").await?;
     let report = fairness_report(&asked.answers, asked.missing);
     write_page(matches, || fairness_page(&report))?;
     writer.value(&report, fairness_text)?;
--- a/tests/call_reports.rs
+++ b/tests/call_reports.rs
@@ -1,4 +1,4 @@
-//! `verbenactl explain` and `losses` on logs of two gateways, as an operator runs them.
+//! Runs `verbenactl explain` and `verbenactl losses` on the logs of two gateways.
 
 use std::fs;
 use std::path::PathBuf;
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_call_that_no_log_names_is_a_finding() {
+fn a_call_without_log_lines_exits_with_finding() {
     let output = LogFolder::new("unknown").run(&["explain", "0000"]);
     assert_eq!(output.status.code(), Some(1));
 }
