--- a/src/admin/board.rs
+++ b/src/admin/board.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads know and the decision core does not: refused publications and
+//! Status that only the traffic threads know, not the decision core: refused publications and
 //! failures of the sources.
 
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 use super::status::PublicationStatus;
 use super::status::RefusedPublication;
 
-/// The newest of these, for status and metrics.
+/// Latest refused publication and source failures, for status and metrics.
 #[derive(Debug, Default)]
 pub struct StatusBoard {
     publication: Mutex<PublicationStatus>,
@@ -23,7 +23,7 @@
         publication.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A publication was refused.
+    /// Records a refused publication, unless a newer refused one is recorded.
     pub fn refused(&self, revision: ConfigRevision, faults: &FaultList) {
         let mut status = self.lock();
         let known = status
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether this router watches the configuration service.
+    /// Records whether this router watches the configuration service. Its fault is cleared if not.
     pub fn watches(&self, on: bool) {
         let mut status = self.lock();
         status.watching = on;
@@ -47,18 +47,18 @@
         }
     }
 
-    /// The configuration service answered, or failed with this.
+    /// Records that the configuration service answered (`None`) or failed with `fault`.
     pub fn sources(&self, fault: Option<String>) {
         self.lock().source_fault = fault;
     }
 
-    /// The host list was read, or failed with this.
+    /// Records that the host list was read (`None`) or failed with `fault`.
     pub fn hosts(&self, fault: Option<String>) {
         self.lock().hosts_fault = fault;
     }
 
-    /// All of it, with the revision in force; a refused publication that is not newer is left
-    /// out, for the operators have mended it.
+    /// Returns the status with the revision in force. A refused publication that is not newer is
+    /// left out, because the operators have corrected it.
     #[must_use]
     pub fn publication(&self, in_force: ConfigRevision) -> PublicationStatus {
         let mut status = self.lock().clone();
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, as Prometheus text from `opentelemetry`.
+//! Metrics, exported by `opentelemetry` as Prometheus text.
 
 use std::fmt;
 use std::sync::Arc;
@@ -26,8 +26,8 @@
 
 /// The metrics of one router.
 ///
-/// Teams and kinds are labels of the answers alone. Beyond 2,000 pairs the library counts the
-/// rest under `otel_metric_overflow`, so a large site does not fill the memory.
+/// Only the metrics of answers have teams and kinds as labels. Beyond 2,000 pairs the library
+/// counts the rest under `otel_metric_overflow`, which bounds the memory on a large site.
 pub struct RouterMetrics {
     registry: Registry,
     status: SharedStatus,
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Counts an answer.
+    /// Counts an answer that took `seconds` from the request's arrival.
     pub fn answer(&self, team: &TeamName, kind: &KindName, verdict: AnswerVerdict, seconds: f64) {
         let verdict = match verdict {
             AnswerVerdict::Good => "good",
@@ -94,10 +94,10 @@
         self.answers.add(1, &[team, kind, verdict]);
     }
 
-    /// All metrics as text, with `status` as the present state of the router.
+    /// Returns all metrics as text, with `status` as the current state of the router.
     ///
     /// # Errors
-    /// If a metric can't be put into words.
+    /// If a metric can't be encoded as text.
     pub fn text(&self, status: RouterStatus) -> Result<String, prometheus::Error> {
         *self.status.lock().unwrap_or_else(PoisonError::into_inner) = Some(status);
         let mut text = Vec::new();
@@ -113,7 +113,7 @@
     }
 }
 
-/// Registers a gauge of one value of the router.
+/// Registers a gauge of one value of the router's status.
 fn gauge(
     meter: &Meter,
     status: &SharedStatus,
@@ -189,7 +189,7 @@
     );
 }
 
-/// Registers a gauge of each pool; pools without a value are left out.
+/// Registers a gauge with one value per pool; pools without a value are left out.
 fn pool_gauge(
     meter: &Meter,
     status: &SharedStatus,
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' side of a router: status, metrics, history, drain and log level.
+//! Admin API of a router: status, metrics, history, drain and log level.
 //!
-//! The views are functions over the decision core's state, run on the control thread; what they
-//! return is the JSON that the admin API answers and `verbenactl` reads.
+//! The views are functions of the decision core's state, run on the control thread; they return
+//! the JSON that the admin API sends and `verbenactl` reads.
 
 pub mod board;
 pub mod metrics;
--- a/src/admin/records.rs
+++ b/src/admin/records.rs
@@ -1,4 +1,4 @@
-//! What a router remembers for operators: answers, samples, metrics and the status board.
+//! Records that a router keeps for operators: answers, samples, metrics and the status board.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,11 +19,13 @@
 use super::board::StatusBoard;
 use super::metrics::RouterMetrics;
 
-/// Seconds and points of the series in a burn report.
+/// Time that the series in a burn report covers, in seconds.
 const SERIES_SPAN_S: u64 = 3_600;
+
+/// Number of points of the series in a burn report.
 const SERIES_POINTS: u64 = 60;
 
-/// All records of one router life, shared by its traffic threads.
+/// All records since the router's start, shared by its traffic threads.
 #[derive(Debug)]
 pub struct RouterRecords {
     /// Counts of answers.
@@ -38,7 +40,7 @@
 }
 
 impl RouterRecords {
-    /// Empty records.
+    /// Creates empty records.
     ///
     /// # Errors
     /// If the metrics can't be registered.
@@ -58,7 +60,7 @@
         self.start.elapsed().as_secs()
     }
 
-    /// Counts a whole answer that took `elapsed` from the request's arrival.
+    /// Counts a complete answer that took `elapsed` from the request's arrival.
     pub fn answered(&self, catalog: &FleetCatalog, facts: &RequestFacts, elapsed: Duration) {
         let goal = catalog
             .teams
@@ -73,7 +75,7 @@
         self.count(catalog, facts, verdict, elapsed);
     }
 
-    /// Counts a request that was given up.
+    /// Counts a request that was given up: as refused if it did not run, else as failed.
     pub fn refused(
         &self,
         catalog: &FleetCatalog,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The counts that a burn report needs, of published teams and kinds.
+    /// Returns the counts for a burn report, of published teams and kinds.
     #[must_use]
     pub fn answer_report(&self, host: &HostName, catalog: &FleetCatalog) -> AnswerReport {
         let now_s = unix_seconds();
--- a/src/admin/route.rs
+++ b/src/admin/route.rs
@@ -5,12 +5,12 @@
 use crate::settings::LogLevel;
 use crate::units::TeamName;
 
-/// What an operator asks for.
+/// A route of the admin API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminRoute {
-    /// `GET /health`: whether the process works at all. No credential.
+    /// `GET /health`: whether the control thread answers. No credential.
     Health,
-    /// `GET /ready`: whether the balancer shall send requests. No credential.
+    /// `GET /ready`: whether the balancer should send requests. No credential.
     Ready,
     /// `GET /metrics`: Prometheus text.
     Metrics,
@@ -30,26 +30,26 @@
     AnswerHistory,
     /// `GET /history/samples`: samples, for the fairness report.
     SampleHistory,
-    /// `POST /drain`: take no new work, and end what is in flight.
+    /// `POST /drain`: accept no new work and finish the requests in flight.
     Drain,
-    /// `PUT /log-level/LEVEL`: change what is logged.
+    /// `PUT /log-level/LEVEL`: set the least severe level that is logged.
     LogLevel(LogLevel),
 }
 
-/// Why a request is no route.
+/// Why a request matches no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteFault {
-    /// Nothing is there.
+    /// The path does not exist.
     NoPath,
-    /// The path takes another method.
+    /// The path exists, but needs another method.
     OtherMethod,
 }
 
 impl AdminRoute {
-    /// The route of a method and a path.
+    /// Returns the route of a method and a path.
     ///
     /// # Errors
-    /// If there is none.
+    /// If no route matches.
     pub fn of(method: &Method, path: &str) -> Result<Self, RouteFault> {
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         let (wanted, route) = match parts.as_slice() {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// True if anybody may ask: balancers have no credential.
+    /// True if the route needs no credential, because balancers have none.
     #[must_use]
     pub fn is_open(&self) -> bool {
         matches!(self, Self::Health | Self::Ready)
--- a/src/admin/sampler.rs
+++ b/src/admin/sampler.rs
@@ -1,5 +1,5 @@
 //! Takes a sample of the core at each full interval of the wall clock, so that the samples of
-//! several routers lie side by side.
+//! several routers have the same times.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 use super::records::RouterRecords;
 
-/// Samples until `closing` is cancelled or the control thread ends.
+/// Takes samples until `closing` is cancelled or the control thread ends.
 pub async fn sample(
     control: ControlLink,
     records: Arc<RouterRecords>,
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,7 +1,7 @@
 //! The admin listener.
 //!
-//! `GET /health` and `GET /ready` are open, for balancers; everything else needs the bearer
-//! credential. Requests have no bodies; none is read.
+//! `GET /health` and `GET /ready` are open, for balancers; all other routes need the bearer
+//! credential. Request bodies are not read, because no route has one.
 
 use std::io;
 use std::net::SocketAddr;
@@ -42,12 +42,12 @@
 use super::team_view::team_status;
 use super::views;
 
-/// The control thread answers within microseconds unless it is stuck.
+/// Timeout for the control thread, which answers within microseconds unless it is stuck.
 const CONTROL_WITHIN: Duration = Duration::from_secs(2);
 
-/// What the admin API answers from.
+/// State shared by all requests to the admin API.
 pub struct AdminContext {
-    /// The way to the control thread.
+    /// Handle of the control thread.
     pub control: ControlLink,
     /// The router's records.
     pub records: Arc<RouterRecords>,
@@ -56,10 +56,10 @@
     credential: [u8; 32],
 }
 
-/// An answer, or the problem in its place.
+/// An answer, or the problem that is reported instead.
 type AdminResult = Result<Response<Bytes>, AdminProblem>;
 
-/// Why a request gets no answer.
+/// Why a request can't be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AdminProblem {
     NoCredential,
@@ -71,7 +71,7 @@
 }
 
 impl AdminContext {
-    /// A context that lets in whoever shows `credential`.
+    /// Creates a context that admits requests with this bearer credential.
     #[must_use]
     pub fn new(
         control: ControlLink,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Hashes are compared, in constant time, so that how long a refusal takes says nothing of
+    /// Compares hashes in constant time, so that the duration of a refusal reveals nothing about
     /// the credential.
     fn admits(&self, authorization: Option<&str>) -> bool {
         let shown = authorization.and_then(|value| value.strip_prefix("Bearer "));
@@ -144,7 +144,7 @@
                 json_answer(&SampleReport { host, samples })
             }
             AdminRoute::Drain => {
-                spdlog::info!("admin: drain asked.");
+                spdlog::info!("admin: drain requested.");
                 self.control.tell(CoreEvent::DrainAsked);
                 with_status(
                     json_answer(&json!({"draining": true})),
@@ -243,7 +243,7 @@
     })
 }
 
-/// The admin listener, bound and not yet serving.
+/// The admin listener, bound but not serving yet.
 #[derive(Debug)]
 pub struct AdminServer {
     listener: TcpListener,
@@ -253,16 +253,16 @@
     /// Binds the listener.
     ///
     /// # Errors
-    /// If the address can't be had.
+    /// If the address can't be bound.
     pub async fn bind(listen: SocketAddr) -> Result<Self, io::Error> {
         let listener = TcpListener::bind(listen).await?;
         Ok(Self { listener })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     ///
     /// # Errors
-    /// If the system does not say.
+    /// If the system can't report it.
     pub fn address(&self) -> Result<SocketAddr, io::Error> {
         self.listener.local_addr()
     }
--- a/src/admin/status.rs
+++ b/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! The JSON of the admin API.
+//! Types of the admin API's JSON.
 
 use std::collections::BTreeMap;
 
@@ -22,32 +22,32 @@
     pub host: HostName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// This life of it, in hexadecimal digits.
+    /// Its incarnation, in hexadecimal digits.
     pub incarnation: SmolStr,
     /// Seconds since its start.
     pub uptime_s: u64,
-    /// Whether the balancer shall send it requests.
+    /// Whether the balancer should send it requests.
     pub readiness: ReadinessStatus,
-    /// Publications.
+    /// State of its publications.
     pub publication: PublicationStatus,
-    /// Requests that came in here and wait.
+    /// Requests that arrived at this router and wait.
     pub waiting: u64,
-    /// Requests that came in here and run.
+    /// Requests that arrived at this router and run.
     pub running: u64,
-    /// Routers.
+    /// Routers that this one knows.
     pub members: Vec<MemberStatus>,
-    /// Pools.
+    /// All published pools.
     pub pools: Vec<PoolStatus>,
-    /// Bytes between routers since the start, by what they were for.
+    /// Bytes between routers since the start, by purpose.
     pub traffic: BTreeMap<SmolStr, TrafficStatus>,
 }
 
-/// Whether the balancer shall send a router requests.
+/// Whether the balancer should send a router requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadinessStatus {
-    /// True if it shall.
+    /// True if it should.
     pub ready: bool,
-    /// Why not.
+    /// Reasons why it should not; empty if it should.
     pub reasons: Vec<NotReadyReason>,
 }
 
@@ -55,16 +55,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotReadyReason {
-    /// It drains.
+    /// It is draining.
     Draining,
     /// It has no publication yet.
     NoPublication,
-    /// It asks its peers for the newest publication.
+    /// It is asking its peers for the newest publication.
     AskingPeers,
 }
 
 impl NotReadyReason {
-    /// The reason in a word or two, for tables.
+    /// Short label of the reason, for tables.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -82,19 +82,19 @@
     pub revision: u64,
     /// The last publication that was refused, if it is newer than the one in force.
     pub refused: Option<RefusedPublication>,
-    /// What the router knows of the newest: `nothing`, `behind` (a peer has a newer one),
-    /// `uncertain` (the service has answered nobody lately) or `current`.
+    /// What the router knows of the newest publication: `nothing`, `behind` (a peer has a newer
+    /// one), `uncertain` (the service has answered no router recently) or `current`.
     #[serde(default)]
     pub knowledge: SmolStr,
-    /// Whether this router watches the configuration service; the others are told by peers.
+    /// True if this router watches the configuration service; the others get updates from peers.
     pub watching: bool,
-    /// What went wrong with the configuration service last, if its last answer was a failure.
+    /// Fault of the configuration service, if its last answer was a failure.
     pub source_fault: Option<String>,
-    /// What went wrong with the host list last, if its last read was a failure.
+    /// Fault of the host list, if its last read was a failure.
     pub hosts_fault: Option<String>,
 }
 
-/// A publication that was refused whole.
+/// A publication that was refused as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedPublication {
     /// Its revision.
@@ -108,13 +108,13 @@
 pub struct MemberStatus {
     /// Its host.
     pub host: HostName,
-    /// What it is taken to be: `alive`, `suspect`, `leaving` or `dead`.
+    /// Its membership state: `alive`, `suspect`, `leaving` or `dead`.
     pub state: SmolStr,
     /// Its failure domain.
     pub domain: DomainName,
     /// Its peer address.
     pub address: SmolStr,
-    /// Its life, in hexadecimal digits; none if unknown.
+    /// Its incarnation, in hexadecimal digits; `None` if unknown.
     pub incarnation: Option<SmolStr>,
     /// True while a connection to it is open.
     pub connected: bool,
@@ -125,7 +125,7 @@
 pub struct PoolStatus {
     /// Its name.
     pub name: PoolName,
-    /// The router that shares out its slots.
+    /// The router that leases out its slots.
     pub owner: Option<HostName>,
     /// Its endpoints.
     pub endpoints: u32,
@@ -135,18 +135,18 @@
     pub running: u32,
     /// Slots leased to this router.
     pub held: u32,
-    /// True while requests wait somewhere for lack of slots.
+    /// True while requests wait somewhere in the fleet for lack of slots.
     pub scarce: bool,
-    /// The whole fleet's numbers, if this router is the owner.
+    /// Figures of the whole fleet, if this router is the pool's owner.
     pub fleet: Option<PoolSample>,
 }
 
 /// Bytes between routers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficStatus {
-    /// Sent.
+    /// Bytes sent.
     pub sent: u64,
-    /// Received.
+    /// Bytes received.
     pub received: u64,
     /// True if it counts as control traffic.
     pub control: bool,
@@ -157,7 +157,7 @@
 pub struct EndpointStatus {
     /// Its name.
     pub name: EndpointName,
-    /// IP number and port.
+    /// IP address and port.
     pub address: SmolStr,
     /// Its failure domain.
     pub domain: DomainName,
@@ -165,17 +165,17 @@
     pub pool: Option<PoolName>,
     /// Slots that are published for it.
     pub slots: u32,
-    /// True if it gets no new work because it leaves.
+    /// True if it gets no new work because it is leaving.
     pub leaving: bool,
-    /// Milliseconds that it gets no new work after failures to connect.
+    /// Remaining backoff after failures to connect, in milliseconds; it gets no new work meanwhile.
     pub resting_ms: u64,
-    /// Failures to connect in a row.
+    /// Consecutive failures to connect.
     pub failures: u32,
     /// Slots of it that are leased to this router.
     pub held: u32,
     /// Requests of this router that run on it.
     pub running: u32,
-    /// Requests of all routers that it said it runs.
+    /// Running requests of all routers, as the endpoint last reported.
     pub reported_running: Option<u32>,
 }
 
@@ -194,14 +194,14 @@
     pub service: i64,
 }
 
-/// One team: why does it wait?
+/// One team, and why it waits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamStatus {
     /// Its name.
     pub name: TeamName,
     /// Its share.
     pub share: u32,
-    /// Requests that it may have waiting at this router.
+    /// Maximum of its requests that may wait at this router.
     pub queue_limit: u32,
     /// Its kinds.
     pub kinds: Vec<TeamKindStatus>,
@@ -218,11 +218,11 @@
     pub urgency: SmolStr,
     /// True if a second execution does harm.
     pub unrepeatable: bool,
-    /// Milliseconds that a request may take in all.
+    /// Time limit for a whole request, in milliseconds.
     pub deadline_ms: u64,
     /// Milliseconds within which an answer counts as good.
     pub goal_ms: u64,
-    /// Answers in a thousand that shall be good.
+    /// Answers per thousand that should be good.
     pub objective_per_mille: u16,
 }
 
@@ -235,7 +235,7 @@
     pub waiting: u32,
     /// Requests that run here.
     pub running: u32,
-    /// Milliseconds that the oldest request waits.
+    /// Time that the oldest request has waited, in milliseconds.
     pub oldest_wait_ms: u64,
     /// Service charged here since the router's start, in service units.
     pub service: i64,
@@ -248,7 +248,7 @@
     pub queued_teams: u32,
     /// Slots leased to this router.
     pub held: u32,
-    /// Of these, slots that run something.
+    /// Of these, slots with a running request.
     pub busy: u32,
     /// Why the team waits; empty if nothing of it waits.
     pub reasons: Vec<WaitReason>,
@@ -262,7 +262,7 @@
     NoEndpoint,
     /// No router owns the pool, or there is no connection to the one that does.
     OwnerUnreachable,
-    /// All slots that this router holds run something, and none is free in the fleet.
+    /// All slots leased to this router are busy, and none is free in the fleet.
     SlotsBusy,
     /// This router holds no slot yet and has asked for some.
     SlotsAsked,
@@ -270,7 +270,7 @@
     OthersFirst,
     /// It is next as soon as a slot is free.
     Next,
-    /// Requests pause before a retry.
+    /// Requests are in backoff before a retry.
     Backoff,
 }
 
--- a/src/admin/team_view.rs
+++ b/src/admin/team_view.rs
@@ -1,4 +1,4 @@
-//! One team: why does it wait?
+//! The admin API's view of one team, with the reasons why it waits.
 
 use smol_str::SmolStr;
 
@@ -21,7 +21,7 @@
 use super::status::TeamStatus;
 use super::status::WaitReason;
 
-/// The team; nothing if it is not published.
+/// Returns the team's status; `None` if it is not published.
 #[must_use]
 pub fn team_status(state: &CoreState, name: &TeamName) -> Option<TeamStatus> {
     let id = TeamId::from(name);
--- a/src/admin/views.rs
+++ b/src/admin/views.rs
@@ -1,4 +1,4 @@
-//! The router, its pools, endpoints and teams, as views over the core's state.
+//! The admin API's views of the router, its pools, endpoints and teams, from the core's state.
 
 use std::collections::BTreeMap;
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Whether the balancer shall send the router requests.
+/// Whether the balancer should send the router requests.
 #[must_use]
 pub fn readiness(state: &CoreState) -> ReadinessStatus {
     let mut reasons = Vec::new();
@@ -94,7 +94,7 @@
     }
 }
 
-/// All routers that this one has heard of.
+/// All routers that this one knows.
 #[must_use]
 pub fn members(state: &CoreState) -> Vec<MemberStatus> {
     let rows = state.members.iter();
@@ -145,7 +145,7 @@
     }
 }
 
-/// Bytes between routers.
+/// Bytes between routers, by purpose.
 #[must_use]
 pub fn traffic(counters: &TrafficCounters) -> BTreeMap<SmolStr, TrafficStatus> {
     TrafficKind::ALL
--- a/src/bin/verbenaturnd.rs
+++ b/src/bin/verbenaturnd.rs
@@ -30,7 +30,7 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings and the files that they name, then end"),
+                .help("Check the settings and the files that they name, then exit"),
         )
 }
 
@@ -55,18 +55,18 @@
         };
     }
     if let Err(fault) = logs::to_standard_error() {
-        eprintln!("verbenaturnd: no logs: {fault}");
+        eprintln!("verbenaturnd: logging can't be set up: {fault}");
     }
     logs::set_level(settings.log.level);
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(fault) => {
-            eprintln!("verbenaturnd: no runtime: {fault}");
+            eprintln!("verbenaturnd: the async runtime can't be started: {fault}");
             return ExitCode::FAILURE;
         }
     };
     let ended = runtime.block_on(process::run(&settings, &file));
-    // Tasks of requests that were cut are not waited for.
+    // Doesn't wait for the tasks of requests that were cut.
     runtime.shutdown_background();
     ended.unwrap_or_else(|report| {
         eprintln!("verbenaturnd: {report:?}");
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: owns the decision core, feeds it and hands out its actions.
+//! The control thread: owns the decision core, passes events to it and distributes its actions.
 //!
-//! One plain thread, so that control state needs no locks. It ticks every [`TICK`] and blocks
-//! between events.
+//! It is a single thread, so control state needs no locks. It ticks the core every [`TICK`] and
+//! blocks between events.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -40,15 +40,15 @@
 /// Time between two ticks of the core.
 pub const TICK: Duration = Duration::from_millis(5);
 
-/// The clock that the core and the traffic threads share; monotonic, 0 at the daemon's start.
-/// It stands still while the host is suspended, like the deadlines that are measured by it.
+/// Monotonic clock shared by the core and the traffic threads; 0 at the daemon's start.
+/// It stops while the host is suspended, and so do the deadlines measured with it.
 #[derive(Debug, Clone, Copy)]
 pub struct DriverClock {
     start: Instant,
 }
 
 impl DriverClock {
-    /// A clock that starts now.
+    /// Creates a clock that is 0 now.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -56,36 +56,36 @@
         }
     }
 
-    /// The time.
+    /// Returns the time since the clock's start, in microseconds.
     #[must_use]
     pub fn now(&self) -> Moment {
         Moment(u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 }
 
-/// The traffic threads' end of the control thread.
+/// Handle by which traffic threads reach the control thread.
 #[derive(Debug, Clone)]
 pub struct ControlLink {
     inputs: mpsc::Sender<ControlInput>,
     /// The shared clock.
     pub clock: DriverClock,
-    /// This life of the router.
+    /// Incarnation of this router process.
     pub incarnation: RouterIncarnation,
-    /// The publication in force.
+    /// Catalog of the publication in force.
     pub catalog: watch::Receiver<Arc<EntryCatalog>>,
-    /// True once a drain has nothing left in flight.
+    /// True once a drain has finished and no request is in flight.
     pub drained: watch::Receiver<bool>,
-    /// Answers that later requests with the same ticket may join.
+    /// Answers that later requests with the same ticket can join.
     pub answers: Arc<AnswerStore>,
 }
 
 impl ControlLink {
-    /// Tells the core of an event. Lost if the control thread has ended.
+    /// Sends an event to the core; it is dropped if the control thread has ended.
     pub fn tell(&self, event: CoreEvent) {
         self.input(ControlInput::Event(event));
     }
 
-    /// Tells the core of a request and returns the commands for it.
+    /// Reports a request's arrival to the core and returns the channel of commands for it.
     #[must_use]
     pub fn arrived(&self, facts: RequestFacts) -> UnboundedReceiver<RequestCommand> {
         let (commands, receiver) = unbounded_channel();
@@ -93,7 +93,7 @@
         receiver
     }
 
-    /// Asks the core's state something; `None` if the control thread has ended.
+    /// Runs a query on the core's state; `None` if the control thread has ended.
     pub async fn inspect<T: Send + 'static>(
         &self,
         question: impl FnOnce(&CoreState) -> T + Send + 'static,
@@ -105,7 +105,7 @@
         receiver.await.ok()
     }
 
-    /// Ends the control thread after what it was told so far.
+    /// Ends the control thread once it has handled all earlier inputs.
     pub fn stop(&self) {
         self.input(ControlInput::Stop);
     }
@@ -115,21 +115,21 @@
     }
 }
 
-/// A started control thread.
+/// A running control thread.
 #[derive(Debug)]
 pub struct ControlThread {
-    /// How to reach it.
+    /// Handle that sends it inputs.
     pub link: ControlLink,
-    /// What it wants done that concerns no single request.
+    /// Its commands that concern no single request.
     pub commands: UnboundedReceiver<OutsideCommand>,
-    /// The thread itself.
+    /// Join handle of the thread.
     pub handle: JoinHandle<()>,
 }
 
 /// Starts the control thread.
 ///
 /// # Errors
-/// If the system gives no thread.
+/// If the thread can't be spawned.
 pub fn start(
     identity: RouterIdentity,
     config: CoreConfig,
--- a/src/daemon/files.rs
+++ b/src/daemon/files.rs
@@ -1,4 +1,4 @@
-//! Reading the files that the settings name: keys and certificates.
+//! Reads the files that the settings name: keys, certificates and the admin credential.
 
 use std::fmt;
 use std::fs;
@@ -19,9 +19,9 @@
 /// A setting whose file can't be used.
 #[derive(Debug)]
 pub struct FileError {
-    /// The setting.
+    /// Name of the setting.
     pub setting: &'static str,
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
 }
 
@@ -41,7 +41,7 @@
     })
 }
 
-/// A key as its file holds it, without the line end that an editor adds.
+/// Reads a key file, without the trailing line end that editors add.
 fn read_key(file: &Path) -> Result<Vec<u8>, Report<FileError>> {
     let mut key = read("peers.key_files", file)?;
     while key.last().is_some_and(u8::is_ascii_whitespace) {
@@ -50,10 +50,11 @@
     Ok(key)
 }
 
-/// Reads the credential that operators must show.
+/// Reads the credential that operators must send.
 ///
 /// # Errors
-/// Naming the setting and the file; an empty credential would let everybody in.
+/// Names the setting and the file, if it can't be read or is empty. An empty credential would
+/// admit everybody.
 pub fn admin_credential(settings: &AdminSettings) -> Result<String, Report<FileError>> {
     let setting = "admin.credential_file";
     let file = &settings.credential_file;
@@ -61,15 +62,15 @@
     let credential = String::from_utf8_lossy(&text).trim().to_owned();
     if credential.is_empty() {
         let file = file.clone();
-        return Err(Report::new(FileError { setting, file }).attach("it is empty"));
+        return Err(Report::new(FileError { setting, file }).attach("the file is empty"));
     }
     Ok(credential)
 }
 
-/// Reads the keys and certificates of the peer settings.
+/// Reads the keys and certificates that the peer settings name.
 ///
 /// # Errors
-/// Naming the setting and the file.
+/// Names the setting and the file that can't be read or parsed.
 pub fn peer_parts(
     settings: &PeerSettings,
     config: PeersConfig,
--- a/src/daemon/log_sink.rs
+++ b/src/daemon/log_sink.rs
@@ -1,11 +1,12 @@
-//! Lines of logs on their way to standard output: bounded a second and a part, written in batches.
+//! Buffered log output: limited to a number of lines per second and part, written in batches.
 //!
-//! The load that this answers: a host that refuses thousands of calls a second. A write a line
-//! would be one of four system calls of a refused call; a reader that stops reading would stop the
-//! router; and one part's flood would hide the others' lines. Lines are kept in memory and written
-//! together five times a second by a thread of its own. What is left out is counted, and a later
-//! line tells the count. Lines on the router's state go out before those on calls and in a write of
-//! their own: a collector that takes only the first kilobytes of a long write loses lines of calls.
+//! Load pattern: a host that refuses thousands of calls a second. One write per line would be one
+//! of the four system calls of a refused call; a reader that stops reading would block the router;
+//! and a flood of lines from one part would hide those of the others. Lines are therefore buffered
+//! in memory, and a separate thread writes them five times a second. Dropped lines are counted, and
+//! a later line reports the count. Lines on the router's state go out before those on calls and in
+//! a separate write: a collector that keeps only the first kilobytes of a long write then loses
+//! lines on calls.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -27,37 +28,38 @@
 use spdlog::sink::Sink;
 use spdlog::sink::SinkProp;
 
-/// Pause between two writes. Somebody who follows the output sees lines a fifth of a second late.
+/// Pause between two writes; a reader sees a line up to this much late.
 const WRITE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Most bytes that wait to be written: two seconds of the busiest host's lines.
+/// Maximum of buffered bytes: two seconds of lines on the busiest host.
 const MOST_WAITING_BYTES: usize = 1_048_576;
 
-/// Lines a second of the part that has one for each call. The smallest hosts take in about 1,600
-/// calls a second at most.
+/// Maximum of lines per second for the part that logs each call. The smallest hosts accept at most
+/// about 1,600 calls a second.
 const CALL_LINES_PER_S: u32 = 2_000;
 
-/// Lines a second of any other part: enough for each change of a fleet of a hundred endpoints.
+/// Maximum of lines per second for any other part: enough to log each change in a fleet of a
+/// hundred endpoints.
 const PART_LINES_PER_S: u32 = 200;
 
-/// The part with one line for each call.
+/// The part that logs one line per call.
 const CALLS_PART: &str = "calls";
 
-/// The part that tells of lines left out.
+/// The part that reports dropped lines.
 const LOGS_PART: &str = "logs";
 
 #[derive(Debug, Default)]
 struct PartBudget {
-    /// Lines in the present second.
+    /// Lines logged in the current second.
     lines: u32,
-    /// Lines left out and not told of yet.
+    /// Lines dropped and not reported yet.
     left_out: u64,
 }
 
-/// Lines in the order in which they go out.
+/// Lines, grouped in the order in which they are written.
 #[derive(Debug, Default)]
 struct LineBatch {
-    /// All but those on calls.
+    /// Lines of all parts but [`CALLS_PART`].
     state: Vec<u8>,
     calls: Vec<u8>,
 }
@@ -90,7 +92,7 @@
     }
 }
 
-/// Lines that wait, and what each part may still log.
+/// Buffered lines and the line budget of each part.
 #[derive(Debug)]
 struct WaitingLines {
     batch: LineBatch,
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Whether a part may log one more line now; counts it either way.
+    /// Counts one more line of a part. Returns false, and counts it as dropped, if the buffer is
+    /// full or the part's budget for this second is used up.
     fn allows(&mut self, part: &str) -> bool {
         if self.second.elapsed() >= Duration::from_secs(1) {
             self.second = Instant::now();
@@ -130,7 +133,7 @@
         true
     }
 
-    /// Takes what waits, with a line for each part that lines were left out of.
+    /// Takes the buffered lines and adds a line for each part that had lines dropped.
     fn take(&mut self) -> LineBatch {
         let mut batch = std::mem::take(&mut self.batch);
         for (part, budget) in &mut self.parts {
@@ -152,7 +155,7 @@
     }
 }
 
-/// The part that a line is from: what stands before its first colon.
+/// The part that a line is from: the text before its first colon.
 fn part_of(payload: &str) -> &str {
     payload.split_once(':').map_or("other", |(part, _)| part)
 }
@@ -160,7 +163,7 @@
 #[derive(Debug)]
 struct LineQueue {
     waiting: Mutex<WaitingLines>,
-    /// Told when the first line comes after a write.
+    /// Notified when a line is added to an empty buffer.
     has_lines: Condvar,
 }
 
@@ -170,19 +173,19 @@
     }
 }
 
-/// A sink that keeps lines until its thread writes them.
+/// A sink that buffers lines until its thread writes them.
 pub struct BatchSink {
     prop: SinkProp,
     queue: Arc<LineQueue>,
-    /// Held while lines are written, so that a flush comes after a write that has begun.
+    /// Locked during a write, so that a flush waits for a write in progress.
     output: Arc<Mutex<Box<dyn Write + Send>>>,
 }
 
 impl BatchSink {
-    /// A sink whose thread writes to `output`.
+    /// Creates a sink whose thread writes to `output`.
     ///
     /// # Errors
-    /// If the thread can't be started.
+    /// If the thread can't be spawned.
     pub fn start(output: Box<dyn Write + Send>) -> io::Result<Self> {
         let queue = Arc::new(LineQueue {
             waiting: Mutex::new(WaitingLines::new()),
@@ -213,12 +216,12 @@
     }
 }
 
-/// Writes what waits. The queue is not held meanwhile: a reader that does not read costs lines,
-/// never the time of a call.
+/// Writes the buffered lines. The queue is not locked meanwhile, so a reader that stops reading
+/// causes dropped lines but never delays a call.
 fn write_waiting(queue: &LineQueue, output: &Mutex<Box<dyn Write + Send>>) {
     let mut output = output.lock().unwrap_or_else(PoisonError::into_inner);
     let batch = queue.waiting().take();
-    // Without standard output there is nobody to tell of it.
+    // If standard output fails, there is nowhere to report the failure.
     let _ = batch.write(&mut *output);
 }
 
--- a/src/daemon/logs.rs
+++ b/src/daemon/logs.rs
@@ -1,4 +1,5 @@
-//! Logs: one line an event on standard error, each beginning with the part that it is from.
+//! Logging: one line per event, which starts with the part that it is from. The router logs to
+//! standard error.
 //!
 //! Parts: `control`, `entry`, `endpoint`, `peers`, `config`, `hosts`, `daemon`. Keys and bodies
 //! are never logged.
@@ -18,20 +19,20 @@
 
 use super::log_sink::BatchSink;
 
-/// Sends all levels to standard error. Without it the library sends some to standard output.
+/// Logs all levels to standard error. By default the library sends some to standard output.
 ///
 /// # Errors
 /// If the library can't be set up.
 pub fn to_standard_error() -> Result<(), spdlog::Error> {
     let sink = StdStreamSink::builder().stderr().build_arc()?;
     let logger = Logger::builder().sink(sink).build_arc()?;
-    // A line that is still in a buffer when the process ends would be lost.
+    // Flush each line: one that is still buffered when the process ends would be lost.
     logger.set_flush_level_filter(LevelFilter::All);
     spdlog::set_default_logger(logger);
     Ok(())
 }
 
-/// Sends all levels to standard output in batches, see [`super::log_sink`].
+/// Logs all levels to standard output in batches, see [`super::log_sink`].
 ///
 /// # Errors
 /// If the library can't be set up.
@@ -39,7 +40,7 @@
     to_output(Box::new(std::io::stdout()))
 }
 
-/// The same to any output.
+/// Logs all levels to `output` in batches, see [`super::log_sink`].
 ///
 /// # Errors
 /// If the library can't be set up.
@@ -54,12 +55,12 @@
     Ok(())
 }
 
-/// Writes all lines that wait; for the end of a process.
+/// Writes all buffered lines; called before the process ends.
 pub fn flush() {
     spdlog::default_logger().flush();
 }
 
-/// Sets the least level that is logged; can be called at any time.
+/// Sets the least severe level that is logged; can be called at any time.
 pub fn set_level(level: LogLevel) {
     let level = match level {
         LogLevel::Error => Level::Error,
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -1,4 +1,4 @@
-//! What peers say, for the core, and the requests that they forward.
+//! Passes events of the peer mesh to the core and answers requests that peers forward.
 
 use std::sync::Arc;
 
@@ -12,7 +12,8 @@
 
 use super::control::ControlLink;
 
-/// Passes events of the mesh to the control thread until it is dropped.
+/// Passes events of the mesh to the control thread until the channel closes or the future is
+/// dropped.
 pub async fn take_events(control: ControlLink, mut events: mpsc::Receiver<PeerEvent>) {
     while let Some(event) = events.recv().await {
         control.tell(match event {
@@ -31,7 +32,8 @@
     }
 }
 
-/// Answers forwarded requests until it is dropped, each in a task of its own.
+/// Answers forwarded requests, each in its own task, until the channel closes or the future is
+/// dropped.
 pub async fn take_calls(context: Arc<EntryContext>, mut calls: mpsc::Receiver<ForwardedCall>) {
     while let Some(call) = calls.recv().await {
         let serving = serve_forwarded(Arc::clone(&context), call);
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -23,21 +23,21 @@
 use crate::units::TimeSpan;
 use crate::wire::PeerMessage;
 
-/// A question about the core's state, answered on the control thread.
+/// A query on the core's state, run on the control thread.
 pub type StateQuestion = Box<dyn FnOnce(&CoreState) + Send>;
 
-/// What traffic threads tell the control thread.
+/// Inputs of the control thread, sent by the traffic threads.
 pub enum ControlInput {
     /// An event for the core.
     Event(CoreEvent),
-    /// A request arrived; its task waits at the other end of `commands`.
+    /// A request arrived; its task receives from `commands`.
     Arrived {
-        /// What is known of it.
+        /// Properties of the request.
         facts: RequestFacts,
-        /// Where to send what shall become of it.
+        /// Channel to the request's task.
         commands: UnboundedSender<RequestCommand>,
     },
-    /// A look at the state.
+    /// Run a query on the core's state.
     Inspect(StateQuestion),
     /// End the control thread.
     Stop,
@@ -54,29 +54,30 @@
     }
 }
 
-/// What the control thread tells the task of one request. See the actions of the same names.
+/// Commands of the control thread to the task of one request. The actions of the same names in
+/// [`crate::core::action::CoreAction`] describe them in full.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestCommand {
     /// Send it to an endpoint.
     Dispatch(DispatchOrder),
     /// Cancel this attempt and drop its late answer.
     Cancel(AttemptNumber),
-    /// Tell the caller that it is refused.
+    /// Answer the caller with a refusal.
     Refuse {
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// What is known of its execution.
+        /// Whether the request ran, as far as is known.
         outcome: RunOutcome,
-        /// When to come back; zero if coming back does not help.
+        /// Time until the caller may retry; zero if a retry does not help.
         retry_after: TimeSpan,
     },
-    /// The answer was passed on whole.
+    /// The whole answer was passed on.
     Complete,
     /// Answer 428 with this ticket.
     OfferTicket(TicketName),
-    /// Answer with what another request of the same ticket gets or got.
+    /// Answer with the answer, running or finished, of another request with the same ticket.
     JoinAnswer(RequestId),
-    /// Let a peer answer.
+    /// Forward the request to a peer, which answers it.
     Forward(HostName),
 }
 
@@ -91,22 +92,22 @@
     }
 }
 
-/// One attempt to be made.
+/// An order to make one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DispatchOrder {
-    /// Its number.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// Where to.
+    /// Endpoint that gets the attempt.
     pub endpoint: EndpointId,
     /// Events or bytes of the answer that the caller already has.
     pub resume_at: u64,
-    /// Last moment at which the first byte may be written.
+    /// Latest time at which the first byte may be written.
     pub not_after: Moment,
 }
 
-/// What the control thread wants done that concerns no single request.
+/// Commands of the control thread that concern no single request.
 #[derive(Debug, Clone, PartialEq)]
-#[allow(clippy::large_enum_variant)] // Messages are frequent: a box would cost on each.
+#[allow(clippy::large_enum_variant)] // Messages are frequent; boxing costs an allocation each.
 pub enum OutsideCommand {
     /// Send a control message.
     Send {
@@ -119,7 +120,7 @@
     Connect {
         /// The peer.
         host: HostName,
-        /// IP number and port of its peer listener.
+        /// IP address and port of its peer listener.
         address: SmolStr,
     },
     /// Close the connection to a peer.
@@ -137,7 +138,7 @@
     WatchLoad {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Start or stop.
+        /// True to start, false to stop.
         on: bool,
     },
     /// Order an endpoint to serve another pool's model.
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! One router as a process: the control thread, the traffic tasks and what joins them.
+//! One router as a process: the control thread, the traffic tasks and the code that connects them.
 
 pub mod control;
 pub mod files;
--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the core wants done that concerns no single request.
+//! Carries out the core's commands that concern no single request.
 
 use std::sync::Arc;
 
@@ -16,16 +16,16 @@
 use super::message::OutsideCommand;
 use super::sources::adopt;
 
-/// Carries out commands.
+/// Carries out the control thread's commands; see [`Self::run`].
 #[derive(Debug)]
 pub struct OutsideHands {
-    /// What all requests share.
+    /// Context shared by all requests.
     pub context: Arc<EntryContext>,
-    /// Connections to peers; absent in a router without peers.
+    /// Connections to peers; `None` in a router without peers.
     pub mesh: Option<PeerMesh>,
-    /// Whether the configuration service is watched.
+    /// Starts and stops watching the configuration service.
     pub watch: watch::Sender<WatchCommand>,
-    /// Ends everything.
+    /// Cancelled when the router stops.
     pub closing: CancellationToken,
 }
 
--- a/src/daemon/process.rs
+++ b/src/daemon/process.rs
@@ -1,4 +1,4 @@
-//! The life of a router process: start, signals, drain, end.
+//! Lifecycle of a router process: start, signals, drain, exit.
 
 use std::fmt;
 use std::fs;
@@ -25,40 +25,40 @@
 /// Exit code after a shutdown that cut requests.
 pub const EXIT_CUT: u8 = 3;
 
-/// A process that could not start.
+/// The router process could not start.
 #[derive(Debug)]
 pub struct ProcessError;
 
 impl fmt::Display for ProcessError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the router does not start")
+        formatter.write_str("the router could not start")
     }
 }
 
 impl std::error::Error for ProcessError {}
 
-/// Reads the settings again. The level of logs takes effect; addresses and limits need a restart,
-/// and a file with faults changes nothing.
+/// Reads the settings again. Only the log level takes effect: addresses and limits need a restart.
+/// A file with faults changes nothing.
 fn reload(file: &Path) {
     match load_settings(file) {
         Ok(settings) => {
             logs::set_level(settings.log.level);
             spdlog::info!("daemon: settings read again.");
         }
-        Err(faults) => spdlog::error!("daemon: settings stay as they are: {faults}"),
+        Err(faults) => spdlog::error!("daemon: settings refused, the old ones stay: {faults}"),
     }
 }
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// A text that names the file and all its faults.
+/// Returns a text that names the file and all its faults.
 pub fn load_settings(file: &Path) -> Result<ProcessSettings, String> {
     let text = fs::read(file).map_err(|fault| format!("{}: {fault}", file.display()))?;
     read_settings(&text).map_err(|faults| format!("{}:\n{faults}", file.display()))
 }
 
-/// The parts of the router that checked settings describe.
+/// Builds the parts of a router from checked settings.
 ///
 /// # Errors
 /// If a key or certificate can't be read.
@@ -78,10 +78,10 @@
     })
 }
 
-/// Runs a router until a signal has ended it. `file` is where the settings came from.
+/// Runs a router until a signal has stopped it. `file` is the settings file, for reloads.
 ///
 /// # Errors
-/// If it does not start.
+/// If the router can't be started.
 pub async fn run(
     settings: &ProcessSettings,
     file: &Path,
@@ -96,10 +96,10 @@
         .await
         .change_context(ProcessError)?;
     let (host, callers) = (&settings.host, router.callers);
-    spdlog::info!("daemon: operators are answered on {admin}.");
-    spdlog::info!("daemon: {host} incarnation {incarnation} takes calls on {callers}.");
+    spdlog::info!("daemon: admin API listens on {admin}.");
+    spdlog::info!("daemon: {host} incarnation {incarnation} accepts calls on {callers}.");
     signals.until_stop(|| reload(file)).await;
-    spdlog::info!("daemon: drain begins; a second signal ends it at once.");
+    spdlog::info!("daemon: drain begins; a second signal stops the router at once.");
     let deadline = Duration::from_secs(settings.shutdown.deadline_s);
     let linger = Duration::from_millis(settings.shutdown.linger_ms).min(deadline / 2);
     let ending = async {
@@ -111,13 +111,13 @@
         () = signals.until_stop(|| reload(file)) => return Ok(cut(&router, "second signal").await),
         () = time::sleep(deadline) => return Ok(cut(&router, "deadline").await),
     }
-    spdlog::info!("daemon: nothing is left in flight.");
+    spdlog::info!("daemon: no requests are left in flight.");
     router.stop().await;
-    spdlog::info!("daemon: ended.");
+    spdlog::info!("daemon: stopped.");
     Ok(ExitCode::SUCCESS)
 }
 
-/// Ends without waiting; says which requests that cuts.
+/// Stops without waiting and logs the requests that this cuts.
 async fn cut(router: &Router, cause: &str) -> ExitCode {
     let requests = router.in_flight().await;
     let open = router.open_answers();
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -1,4 +1,4 @@
-//! A running router.
+//! Starts, drains and stops a router.
 
 use std::io;
 use std::net::SocketAddr;
@@ -45,48 +45,48 @@
 use super::outside::OutsideHands;
 use super::sources;
 
-/// Events of the mesh that wait for the control thread.
+/// Capacity of the channel of mesh events to the control thread.
 const WAITING_EVENTS: usize = 1_024;
 
-/// What a router is made of.
+/// Settings and identity from which a router is started.
 #[derive(Debug, Clone)]
 pub struct RouterParts {
     /// Its host.
     pub host: HostName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// This life of it.
+    /// Incarnation of this router process.
     pub incarnation: RouterIncarnation,
-    /// IP number and port for callers.
+    /// IP address and port to listen on for callers.
     pub callers: SocketAddr,
-    /// How it speaks with peers; absent for a router alone.
+    /// Settings of the connections to peers; `None` for a router without peers.
     pub peers: Option<PeerParts>,
-    /// Where the sources is; absent if publications are handed in.
+    /// Where publications and the host list are read; `None` if publications are passed in.
     pub sources: Option<SourceSettings>,
     /// Settings of the decision core.
     pub core: CoreConfig,
-    /// Settings of the traffic side.
+    /// Settings of the traffic threads.
     pub traffic: TrafficConfig,
     /// Seed of the core's randomness.
     pub seed: u64,
 }
 
-/// How a router speaks with peers.
+/// Settings of the connections to peers.
 #[derive(Debug, Clone)]
 pub struct PeerParts {
-    /// IP number and port to listen on.
+    /// IP address and port to listen on.
     pub listen: SocketAddr,
-    /// IP number and port that peers dial, if not the one listened on.
+    /// IP address and port that peers dial, if not the one listened on.
     pub advertised: Option<SocketAddr>,
     /// Keys that all routers share.
     pub keys: PeerKeys,
     /// Certificates, if connections are encrypted.
     pub tls: Option<PeerTls>,
-    /// Sizes and times.
+    /// Size limits and timings.
     pub config: PeersConfig,
 }
 
-/// A step of a start that failed.
+/// Step of the start that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartStep {
     /// Starting the control thread.
@@ -101,7 +101,7 @@
     AdminListener,
 }
 
-/// A router that could not start.
+/// The router could not start.
 #[derive(Debug)]
 pub struct StartError {
     /// The step that failed.
@@ -111,23 +111,23 @@
 impl std::fmt::Display for StartError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self.step {
-            StartStep::ControlThread => "the control thread does not start",
-            StartStep::PeerListener => "the peer listener does not open",
-            StartStep::Metrics => "the metrics can't be registered",
-            StartStep::AdminListener => "the admin listener does not open",
-            StartStep::CallerListener => "the caller listener does not open",
+            StartStep::ControlThread => "the control thread could not start",
+            StartStep::PeerListener => "the peer listener could not be opened",
+            StartStep::Metrics => "the metrics could not be registered",
+            StartStep::AdminListener => "the admin listener could not be opened",
+            StartStep::CallerListener => "the caller listener could not be opened",
         })
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// A router that runs. Dropping it does not end it; see [`Router::stop`].
+/// A running router. Dropping it does not stop it; see [`Router::stop`].
 #[derive(Debug)]
 pub struct Router {
-    /// What its requests share.
+    /// Context shared by its requests.
     pub context: Arc<EntryContext>,
-    /// Where callers reach it.
+    /// Address of the caller listener.
     pub callers: SocketAddr,
     /// Connections to peers.
     pub mesh: Option<PeerMesh>,
@@ -148,7 +148,7 @@
     /// Starts a router on the current runtime.
     ///
     /// # Errors
-    /// At the step that failed.
+    /// Names the step that failed.
     pub async fn start(parts: RouterParts) -> Result<Self, Report<StartError>> {
         let fault = |step| StartError { step };
         let closing = CancellationToken::new();
@@ -208,10 +208,10 @@
         })
     }
 
-    /// Answers operators who show `credential`; returns where.
+    /// Serves the admin API to operators who send `credential`; returns the listener's address.
     ///
     /// # Errors
-    /// If the address can't be had.
+    /// If the address can't be bound.
     pub async fn serve_admin(
         &self,
         listen: SocketAddr,
@@ -230,20 +230,20 @@
         Ok(address)
     }
 
-    /// The way to its control thread.
+    /// Handle of its control thread.
     #[must_use]
     pub fn control(&self) -> &ControlLink {
         &self.context.control
     }
 
-    /// Begins a drain and waits until nothing is left in flight.
+    /// Begins a drain and waits until no request is in flight.
     pub async fn drain(&self) {
         self.control().tell(CoreEvent::DrainAsked);
         let mut drained = self.control().drained.clone();
         let _ = drained.wait_for(|drained| *drained).await;
     }
 
-    /// Requests that have not ended.
+    /// Returns the requests that have not ended, with their teams.
     pub async fn in_flight(&self) -> Vec<(RequestId, TeamId)> {
         let requests = self.control().inspect(|state| {
             let rows = state.requests.iter();
@@ -253,15 +253,15 @@
         requests.await.unwrap_or_default()
     }
 
-    /// Answers that are still passed on, forwarded and joined ones included.
+    /// Number of answers that are still passed on, including forwarded and joined ones.
     #[must_use]
     pub fn open_answers(&self) -> usize {
         self.context.tasks.len()
     }
 
-    /// Takes no more calls and lets every answer end.
+    /// Stops accepting calls and waits until every answer has ended.
     pub async fn finish(&self) {
-        // Peers stay connected while answers end: a forwarded one comes over them.
+        // Peers stay connected meanwhile, because forwarded answers pass through them.
         self.accepting.cancel();
         self.fronts.close();
         self.fronts.wait().await;
@@ -269,7 +269,8 @@
         self.context.tasks.wait().await;
     }
 
-    /// Takes no more calls, lets every answer end, and ends everything.
+    /// Stops accepting calls, waits until every answer has ended, and stops all tasks and the
+    /// control thread.
     pub async fn stop(self) {
         self.finish().await;
         self.closing.cancel();
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that stop a process or tell it that its settings changed.
+//! Signals that stop a process or make it reload its settings.
 
 use std::io;
 use std::time::SystemTime;
@@ -8,7 +8,7 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// The signals that a router listens for.
+/// The signals that a router handles.
 #[derive(Debug)]
 pub struct ProcessSignals {
     terminate: Signal,
@@ -17,7 +17,7 @@
 }
 
 impl ProcessSignals {
-    /// Listens from now on; the signals' default, which ends the process, no longer holds.
+    /// Installs the handlers; they replace the default action, which ends the process.
     ///
     /// # Errors
     /// If a handler can't be set.
@@ -41,8 +41,8 @@
     }
 }
 
-/// Seconds of the host's clock since 1970, by which a later life gets a higher number; 0 if the
-/// clock stands before that.
+/// Seconds since 1970 by the host's clock, so that a later incarnation gets a higher number; 0 if
+/// the clock is set to an earlier time.
 #[must_use]
 pub fn unix_seconds() -> u64 {
     SystemTime::now()
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -1,4 +1,4 @@
-//! What the sources says, for the core.
+//! Passes updates of the configuration service and the host list to the core.
 
 use std::sync::Arc;
 
@@ -21,11 +21,11 @@
 use crate::sources::follow::follow_hosts;
 use crate::units::ConfigRevision;
 
-/// News that wait for the control thread.
+/// Capacity of a channel of updates from a source.
 const WAITING_NEWS: usize = 4;
 
-/// Follows the configuration service and the host list. The service is watched while `order`
-/// says so.
+/// Follows the configuration service and the host list. The service is watched only while `order`
+/// is on.
 pub fn follow(
     settings: &SourceSettings,
     context: &Arc<EntryContext>,
@@ -69,7 +69,8 @@
     }
 }
 
-/// Checks and renders a publication and tells the core; a bad one is refused whole and logged.
+/// Checks and renders a publication and sends it to the core; one with faults is refused as a whole
+/// and logged.
 pub fn adopt(context: &EntryContext, text: ConfigText) {
     let control = &context.control;
     let ConfigText { revision, text } = text;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! verbenaturn: a router fleet that shares model capacity fairly among many teams.
 //!
-//! Start reading at [`core`], the decision core; `docs/ARCHITECTURE.md` shows the way of a
-//! request through the files.
+//! Start reading at [`core`], the decision core; `docs/ARCHITECTURE.md` describes the
+//! path of a request through the files.
 
 pub mod admin;
 pub mod catalog;
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of a router, and the metrics.
+//! The views and metrics that a router shows to operators.
 
 mod cores;
 
@@ -34,7 +34,7 @@
     views::router_status(fleet.core(0).state(), &StatusBoard::default(), counters, 7)
 }
 
-// An operator asks why a team waits. One slot runs its first request; two more wait.
+// One slot runs the team's first request and two more wait: the team's view must give the reasons.
 #[test]
 fn a_waiting_team_is_told_why() {
     let fleet = busy_fleet(3);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Eight daemons as processes, mixed traffic, and everything that an ordinary day brings.
+//! Eight daemons as processes under mixed traffic: a kill, a drain and a publication.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -38,10 +38,11 @@
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-// A day at the fleet: two teams flood, a third asks and logs mixings, each twice because its
-// callers lose answers. One router dies, then another is drained for an upgrade, then operators
-// publish new shares and a new team. Callers may be told "not run", "unknown" or see the dead
-// router's connections break; nothing else may go wrong, and no mixing may be logged twice.
+// Guards against work that is lost, cut or executed twice. Two teams flood the fleet; a third sends
+// queries and unrepeatable log calls, each of these twice, as by callers that lose the first answer.
+// One router is killed, another is drained for an upgrade, then new shares and a new team are
+// published. Callers may get "not run" or "unknown" or lose connections to the killed router; no
+// other failure is allowed, and no log call may be executed twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_kill_a_drain_and_a_publication_lose_double_and_cut_nothing() {
     let engines = [engine().await, engine().await, engine().await];
@@ -91,7 +92,7 @@
     fleet.list_hosts(ROUTERS, Some(1));
     let mut drained = fleet.routers.remove(0);
     drained.terminate().await;
-    // The source's balancer sees a little later that the router is not ready any more.
+    // The balancer notices with a delay that the router is no longer ready.
     pause(200).await;
     balancer.remove(drained.callers);
     addresses.remove(0);
--- a/tests/fleet_in_process.rs
+++ b/tests/fleet_in_process.rs
@@ -51,8 +51,8 @@
     fleet.stop().await;
 }
 
-// A nurse's tag is offered a ticket by one router; the balancer sends her resend through others.
-// They must pass it to the router that minted the ticket, and it must run once.
+// One router offers a ticket for a request; the balancer sends the retries to other routers. They
+// must forward them to the router that issued the ticket, and the request must run only once.
 #[tokio::test]
 async fn a_ticket_leads_to_its_minter_from_any_router() {
     let portal = portal().await;
@@ -76,8 +76,8 @@
     fleet.stop().await;
 }
 
-// An operator drains a router while a long answer streams through it and others wait there. The
-// stream must come whole, the waiting ones must be answered by a peer, and then it ends.
+// A router is drained while it streams a long answer and other requests wait there. The stream must
+// be complete, a peer must answer the waiting requests, and then the router must stop.
 #[tokio::test]
 async fn a_drain_cuts_nothing_and_hands_over_what_waits() {
     let engine = engine(3, 1).await;
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Lines of logs on their way out: bounded, batched, and never in the way of a call.
+//! Log output: rate-limited, batched, and never blocking a call.
 
 use std::io;
 use std::io::Write;
@@ -12,7 +12,7 @@
 
 use verbenaturn::daemon::log_sink::BatchSink;
 
-/// An output that keeps what is written.
+/// An output that records what is written.
 #[derive(Clone, Default)]
 struct KeptOutput {
     bytes: Arc<Mutex<Vec<u8>>>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// An output whose reader reads nothing until it is told to.
+/// An output whose reader reads nothing until `gate` opens.
 struct StuckOutput {
     gate: Receiver<()>,
     kept: KeptOutput,
@@ -63,8 +63,8 @@
     (sink, logger)
 }
 
-/// The reader of standard output hangs. If a line waited for it, so would the call that it is
-/// about, and then every call.
+/// Guards against blocked calls: if logging a line waited for a reader of standard output that
+/// hangs, so would the call that logs it, and then every call.
 #[test]
 fn a_reader_that_does_not_read_stops_nothing() {
     let (open, gate) = channel();
@@ -80,8 +80,8 @@
     drop(open);
 }
 
-/// One endpoint refuses connections thousands of times a second. Its lines must not crowd out the
-/// line on the store, and how many are missing must be told.
+/// Guards against lost lines: an endpoint refuses connections thousands of times a second. Its
+/// lines must not displace the line on the store, and the count of dropped lines must be reported.
 #[test]
 fn a_part_that_floods_leaves_the_others_their_lines() {
     let kept = KeptOutput::default();
@@ -103,8 +103,7 @@
     assert_eq!(lines + told, 5_000);
 }
 
-/// A host refuses hundreds of calls in a fifth of a second; a write for each line would cost as
-/// much as the calls.
+/// A host refuses hundreds of calls in 200 ms: one write per line would cost as much as the calls.
 #[test]
 fn lines_that_come_together_are_written_together() {
     let kept = KeptOutput::default();
@@ -117,8 +116,9 @@
     assert!(*kept.writes.lock().unwrap() <= 3);
 }
 
-/// A host refuses hundreds of calls, and a collector keeps the first kilobytes of each write: the
-/// line that says why stood behind the lines of the calls and was lost.
+/// Guards against a lost cause: a host refuses hundreds of calls, and a collector keeps only the
+/// first kilobytes of each write. The line with the cause came after the lines of the calls and was
+/// lost.
 #[test]
 fn a_change_of_state_is_not_lost_behind_lines_of_calls() {
     let kept = KeptOutput::default();
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a router runs.
+//! Reload of the settings while a router runs.
 
 use std::time::Duration;
 
@@ -10,9 +10,8 @@
 use self::shared::processes::ProcessFleet;
 use self::shared::site::Site;
 
-/// An operator tells a router that its settings file changed, by SIGHUP as with other daemons.
-/// The router did not handle the signal, whose default is to end the process: every answer in
-/// flight was cut.
+/// Guards against a router that ends on SIGHUP, which operators send to reload the settings. The
+/// signal was not handled, and its default action ended the process and cut every answer in flight.
 #[tokio::test]
 async fn a_hang_up_signal_does_not_end_a_router() {
     let listen = "127.0.0.1:0".parse().unwrap();
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdowns that can't wait for every answer.
+//! Shutdowns that don't wait for every answer.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     StandinEndpoint::start(listen, role, 8).await.unwrap()
 }
 
-/// Ends a router while a stream runs that never ends by itself, with so many signals.
+/// Ends a router with `signals` signals during a stream that does not end by itself.
 async fn end_in_the_middle(deadline_s: u64, signals: usize) {
     let engine = endpoint(EndpointRole::Engine {
         model: "luma".to_owned(),
@@ -56,8 +56,8 @@
     assert!(whole.is_err(), "a cut answer was taken for whole");
 }
 
-// An operator can't wait for the last answer: a second signal, or the deadline of the settings,
-// ends the router. Its exit code says that something was cut, and the caller sees it too.
+// A second signal, or the deadline of the settings, ends the router before the last answer is
+// complete. The exit code must report the cut, and the caller must not take the answer for whole.
 #[tokio::test]
 async fn a_second_signal_or_the_deadline_cuts_and_says_so() {
     end_in_the_middle(60, 2).await;
