--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -43,11 +43,11 @@
 /// Monotonic clock shared by the core and the traffic threads; 0 at the daemon's start.
 /// It stops while the host is suspended, and so do the deadlines measured with it.
 #[derive(Debug, Clone, Copy)]
-pub struct DriverClock {
+pub struct MonotonicClock {
     start: Instant,
 }
 
-impl DriverClock {
+impl MonotonicClock {
     /// Creates a clock that is 0 now.
     #[must_use]
     pub fn start() -> Self {
@@ -68,7 +68,7 @@
 pub struct ControlLink {
     inputs: mpsc::Sender<ControlInput>,
     /// The shared clock.
-    pub clock: DriverClock,
+    pub clock: MonotonicClock,
     /// Incarnation of this router process.
     pub incarnation: RouterIncarnation,
     /// Catalog of the publication in force.
@@ -142,7 +142,7 @@
     let answers = Arc::new(AnswerStore::default());
     let link = ControlLink {
         inputs,
-        clock: DriverClock::start(),
+        clock: MonotonicClock::start(),
         incarnation: identity.incarnation,
         catalog,
         drained,
@@ -169,7 +169,7 @@
 
 struct ControlState {
     core: RouterCore,
-    clock: DriverClock,
+    clock: MonotonicClock,
     requests: BTreeMap<RequestId, UnboundedSender<RequestCommand>>,
     commands: UnboundedSender<OutsideCommand>,
     catalog: watch::Sender<Arc<EntryCatalog>>,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::daemon::control::DriverClock;
+use crate::daemon::control::MonotonicClock;
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
@@ -91,7 +91,7 @@
     reader: watch::Sender<bool>,
     peers_touch: Mutex<PeersTouch>,
     /// The router's clock.
-    pub clock: DriverClock,
+    pub clock: MonotonicClock,
     /// Settings of decisions.
     pub config: GatewayConfig,
     /// Stages of the end.
@@ -118,7 +118,7 @@
             store_failing: AtomicBool::new(false),
             reader: watch::Sender::new(false),
             peers_touch: Mutex::default(),
-            clock: DriverClock::start(),
+            clock: MonotonicClock::start(),
             config,
             life: LifeStages::new(),
             metrics,
