--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -34,8 +34,8 @@
 
 use super::message::ControlInput;
 use super::message::DispatchOrder;
-use super::message::OutsideCommand;
 use super::message::RequestCommand;
+use super::message::RouterCommand;
 
 /// Time between two ticks of the core.
 pub const TICK: Duration = Duration::from_millis(5);
@@ -121,7 +121,7 @@
     /// Handle that sends it inputs.
     pub link: ControlLink,
     /// Its commands that concern no single request.
-    pub commands: UnboundedReceiver<OutsideCommand>,
+    pub commands: UnboundedReceiver<RouterCommand>,
     /// Join handle of the thread.
     pub handle: JoinHandle<()>,
 }
@@ -171,7 +171,7 @@
     core: RouterCore,
     clock: MonotonicClock,
     requests: BTreeMap<RequestId, UnboundedSender<RequestCommand>>,
-    commands: UnboundedSender<OutsideCommand>,
+    commands: UnboundedSender<RouterCommand>,
     catalog: watch::Sender<Arc<EntryCatalog>>,
     drained: watch::Sender<bool>,
     answers: Arc<AnswerStore>,
@@ -291,19 +291,17 @@
 
     fn outside(&self, action: CoreAction) {
         let command = match action {
-            CoreAction::Send { host, message } => OutsideCommand::Send { host, message },
-            CoreAction::Connect { host, address } => OutsideCommand::Connect { host, address },
-            CoreAction::Disconnect { host } => OutsideCommand::Disconnect(host),
-            CoreAction::WatchSource(on) => OutsideCommand::WatchSource(on),
-            CoreAction::AdoptText { revision, text } => {
-                OutsideCommand::AdoptText { revision, text }
-            }
-            CoreAction::WatchLoad { endpoint, on } => OutsideCommand::WatchLoad { endpoint, on },
+            CoreAction::Send { host, message } => RouterCommand::Send { host, message },
+            CoreAction::Connect { host, address } => RouterCommand::Connect { host, address },
+            CoreAction::Disconnect { host } => RouterCommand::Disconnect(host),
+            CoreAction::WatchSource(on) => RouterCommand::WatchSource(on),
+            CoreAction::AdoptText { revision, text } => RouterCommand::AdoptText { revision, text },
+            CoreAction::WatchLoad { endpoint, on } => RouterCommand::WatchLoad { endpoint, on },
             CoreAction::OrderModel {
                 endpoint,
                 pool,
                 fence,
-            } => OutsideCommand::OrderModel {
+            } => RouterCommand::OrderModel {
                 endpoint,
                 pool,
                 fence,
--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -108,7 +108,7 @@
 /// Commands of the control thread that concern no single request.
 #[derive(Debug, Clone, PartialEq)]
 #[allow(clippy::large_enum_variant)] // Messages are frequent; boxing costs an allocation each.
-pub enum OutsideCommand {
+pub enum RouterCommand {
     /// Send a control message.
     Send {
         /// The peer.
--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -13,7 +13,7 @@
 use crate::sources::ConfigText;
 use crate::sources::follow::WatchCommand;
 
-use super::message::OutsideCommand;
+use super::message::RouterCommand;
 use super::sources::adopt;
 
 /// Carries out the control thread's commands; see [`Self::run`].
@@ -31,7 +31,7 @@
 
 impl OutsideHands {
     /// Carries out commands until `closing` is cancelled or the control thread ends.
-    pub async fn run(self, mut commands: UnboundedReceiver<OutsideCommand>) {
+    pub async fn run(self, mut commands: UnboundedReceiver<RouterCommand>) {
         let mut watches = LoadPolls::default();
         let closing = self.closing.clone();
         while let Some(Some(command)) = closing.run_until_cancelled(commands.recv()).await {
@@ -39,43 +39,43 @@
         }
     }
 
-    fn carry_out(&self, command: OutsideCommand, watches: &mut LoadPolls) {
+    fn carry_out(&self, command: RouterCommand, watches: &mut LoadPolls) {
         let context = &self.context;
         match command {
-            OutsideCommand::WatchLoad { endpoint, on } => {
+            RouterCommand::WatchLoad { endpoint, on } => {
                 watches.set_polling(context, endpoint, on, &self.closing);
             }
-            OutsideCommand::OrderModel {
+            RouterCommand::OrderModel {
                 endpoint,
                 pool,
                 fence,
             } => {
                 tokio::spawn(send_model_order(Arc::clone(context), endpoint, pool, fence));
             }
-            OutsideCommand::AdoptText { revision, text } => {
+            RouterCommand::AdoptText { revision, text } => {
                 adopt(context, ConfigText { revision, text });
             }
-            OutsideCommand::WatchSource(on) => {
+            RouterCommand::WatchSource(on) => {
                 context.records.board.watches(on);
                 self.watch.send_modify(|order| {
                     order.on = on;
                     order.after = context.control.catalog.borrow().revision();
                 });
             }
-            OutsideCommand::Send { .. }
-            | OutsideCommand::Connect { .. }
-            | OutsideCommand::Disconnect(_) => self.tell_mesh(command),
+            RouterCommand::Send { .. }
+            | RouterCommand::Connect { .. }
+            | RouterCommand::Disconnect(_) => self.tell_mesh(command),
         }
     }
 
-    fn tell_mesh(&self, command: OutsideCommand) {
+    fn tell_mesh(&self, command: RouterCommand) {
         let Some(mesh) = &self.mesh else {
             return;
         };
         match command {
-            OutsideCommand::Send { host, message } => mesh.send(&host, message),
-            OutsideCommand::Connect { host, address } => mesh.connect(&host, &address),
-            OutsideCommand::Disconnect(host) => mesh.disconnect(&host),
+            RouterCommand::Send { host, message } => mesh.send(&host, message),
+            RouterCommand::Connect { host, address } => mesh.connect(&host, &address),
+            RouterCommand::Disconnect(host) => mesh.disconnect(&host),
             _ => {}
         }
     }
