--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -18,7 +18,7 @@
 
 /// Carries out the control thread's commands; see [`Self::run`].
 #[derive(Debug)]
-pub struct OutsideHands {
+pub struct CommandRunner {
     /// Context shared by all requests.
     pub context: Arc<EntryContext>,
     /// Connections to peers; `None` in a router without peers.
@@ -29,7 +29,7 @@
     pub closing: CancellationToken,
 }
 
-impl OutsideHands {
+impl CommandRunner {
     /// Carries out commands until `closing` is cancelled or the control thread ends.
     pub async fn run(self, mut commands: UnboundedReceiver<RouterCommand>) {
         let mut watches = LoadPolls::default();
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -42,7 +42,7 @@
 use super::control;
 use super::control::ControlLink;
 use super::mesh;
-use super::outside::OutsideHands;
+use super::outside::CommandRunner;
 use super::sources;
 
 /// Capacity of the channel of mesh events to the control thread.
@@ -187,7 +187,7 @@
             context.records.board.watches(true);
             sources::follow(settings, &context, order, &tasks, &closing);
         }
-        let hands = OutsideHands {
+        let hands = CommandRunner {
             context: Arc::clone(&context),
             mesh: mesh.clone(),
             watch,
