--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -274,7 +274,7 @@
             CoreAction::Drained => {
                 self.drained.send_replace(true);
             }
-            other => self.outside(other),
+            other => self.send_router_command(other),
         }
     }
 
@@ -289,7 +289,7 @@
         }
     }
 
-    fn outside(&self, action: CoreAction) {
+    fn send_router_command(&self, action: CoreAction) {
         let command = match action {
             CoreAction::Send { host, message } => RouterCommand::Send { host, message },
             CoreAction::Connect { host, address } => RouterCommand::Connect { host, address },
