--- a/src/daemon/outside.rs
+++ b/src/daemon/outside.rs
@@ -64,11 +64,11 @@
             }
             RouterCommand::Send { .. }
             | RouterCommand::Connect { .. }
-            | RouterCommand::Disconnect(_) => self.tell_mesh(command),
+            | RouterCommand::Disconnect(_) => self.send_to_mesh(command),
         }
     }
 
-    fn tell_mesh(&self, command: RouterCommand) {
+    fn send_to_mesh(&self, command: RouterCommand) {
         let Some(mesh) = &self.mesh else {
             return;
         };
