--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -210,7 +210,7 @@
             self.carry_out(action);
         }
         if publishes {
-            self.hand_out_catalog();
+            self.send_catalog();
         }
         if let Some(request) = left
             && self.core.state().requests.get(request).is_none()
@@ -219,7 +219,7 @@
         }
     }
 
-    fn hand_out_catalog(&self) {
+    fn send_catalog(&self) {
         let catalog = &self.core.state().catalog;
         if self.catalog.borrow().revision() < catalog.revision {
             self.catalog
