--- a/src/daemon/message.rs
+++ b/src/daemon/message.rs
@@ -24,7 +24,7 @@
 use crate::wire::PeerMessage;
 
 /// A query on the core's state, run on the control thread.
-pub type StateQuestion = Box<dyn FnOnce(&CoreState) + Send>;
+pub type StateQuery = Box<dyn FnOnce(&CoreState) + Send>;
 
 /// Inputs of the control thread, sent by the traffic threads.
 pub enum ControlInput {
@@ -38,7 +38,7 @@
         commands: UnboundedSender<RequestCommand>,
     },
     /// Run a query on the core's state.
-    Inspect(StateQuestion),
+    Inspect(StateQuery),
     /// End the control thread.
     Stop,
 }
