--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -97,7 +97,7 @@
         })
     }
 
-    async fn look<T: Send + 'static>(
+    async fn inspect_core<T: Send + 'static>(
         &self,
         question: impl FnOnce(&CoreState) -> T + Send + 'static,
     ) -> Result<T, AdminProblem> {
@@ -108,7 +108,7 @@
     async fn status(&self) -> Result<RouterStatus, AdminProblem> {
         let records = Arc::clone(&self.records);
         let mesh = self.mesh.clone();
-        self.look(move |state| {
+        self.inspect_core(move |state| {
             let unused = TrafficCounters::default();
             let counters = mesh.as_ref().map_or(&unused, PeerMesh::counters);
             views::router_status(state, &records.board, counters, records.uptime_s())
@@ -118,28 +118,34 @@
 
     async fn answer(&self, route: AdminRoute) -> AdminResult {
         match route {
-            AdminRoute::Health => self.look(|_| ()).await.map(|()| text("ok\n")),
+            AdminRoute::Health => self.inspect_core(|_| ()).await.map(|()| text("ok\n")),
             AdminRoute::Ready => self.ready().await,
             AdminRoute::Metrics => {
                 let metrics = self.records.metrics.text(self.status().await?);
                 metrics.map(text).map_err(|_| AdminProblem::Unwritable)
             }
             AdminRoute::Status => json_answer(&self.status().await?),
-            AdminRoute::Teams => json_answer(&self.look(views::teams).await?),
+            AdminRoute::Teams => json_answer(&self.inspect_core(views::teams).await?),
             AdminRoute::Team(name) => {
-                let team = self.look(move |state| team_status(state, &name)).await?;
+                let team = self
+                    .inspect_core(move |state| team_status(state, &name))
+                    .await?;
                 json_answer(&team.ok_or(AdminProblem::NoTeam)?)
             }
-            AdminRoute::Endpoints => json_answer(&self.look(views::endpoints).await?),
-            AdminRoute::Members => json_answer(&self.look(views::members).await?),
+            AdminRoute::Endpoints => json_answer(&self.inspect_core(views::endpoints).await?),
+            AdminRoute::Members => json_answer(&self.inspect_core(views::members).await?),
             AdminRoute::Publication => self.publication().await,
             AdminRoute::AnswerHistory => {
                 let catalog = Arc::clone(&self.control.catalog.borrow().fleet);
-                let host = self.look(|state| state.identity.host.clone()).await?;
+                let host = self
+                    .inspect_core(|state| state.identity.host.clone())
+                    .await?;
                 json_answer(&self.records.answer_report(&host, &catalog))
             }
             AdminRoute::SampleHistory => {
-                let host = self.look(|state| state.identity.host.to_string()).await?;
+                let host = self
+                    .inspect_core(|state| state.identity.host.to_string())
+                    .await?;
                 let samples = self.records.samples.all();
                 json_answer(&SampleReport { host, samples })
             }
@@ -160,7 +166,7 @@
     }
 
     async fn ready(&self) -> AdminResult {
-        let readiness = self.look(views::readiness).await?;
+        let readiness = self.inspect_core(views::readiness).await?;
         let status = if readiness.ready {
             StatusCode::OK
         } else {
@@ -170,7 +176,7 @@
     }
 
     async fn publication(&self) -> AdminResult {
-        let published = self.look(|state| {
+        let published = self.inspect_core(|state| {
             let revision = state.catalog.revision;
             (revision, state.publication_text.clone())
         });
