--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -43,7 +43,7 @@
 use super::views;
 
 /// Timeout for the control thread, which answers within microseconds unless it is stuck.
-const CONTROL_WITHIN: Duration = Duration::from_secs(2);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// State shared by all requests to the admin API.
 pub struct AdminContext {
@@ -101,7 +101,7 @@
         &self,
         question: impl FnOnce(&CoreState) -> T + Send + 'static,
     ) -> Result<T, AdminProblem> {
-        let answer = timeout(CONTROL_WITHIN, self.control.inspect(question)).await;
+        let answer = timeout(CONTROL_TIMEOUT, self.control.inspect(question)).await;
         answer.ok().flatten().ok_or(AdminProblem::ControlSilent)
     }
 
