--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -66,7 +66,7 @@
     Route(RouteFault),
     NoTeam,
     NoPublication,
-    ControlSilent,
+    ControlUnavailable,
     Unwritable,
 }
 
@@ -102,7 +102,10 @@
         question: impl FnOnce(&CoreState) -> T + Send + 'static,
     ) -> Result<T, AdminProblem> {
         let answer = timeout(CONTROL_TIMEOUT, self.control.inspect(question)).await;
-        answer.ok().flatten().ok_or(AdminProblem::ControlSilent)
+        answer
+            .ok()
+            .flatten()
+            .ok_or(AdminProblem::ControlUnavailable)
     }
 
     async fn status(&self) -> Result<RouterStatus, AdminProblem> {
@@ -206,7 +209,7 @@
             ),
             Self::NoTeam => (StatusCode::NOT_FOUND, "No such team is published"),
             Self::NoPublication => (StatusCode::NOT_FOUND, "No publication is in force"),
-            Self::ControlSilent => (
+            Self::ControlUnavailable => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "The control thread does not answer",
             ),
