--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -67,7 +67,7 @@
     NoTeam,
     NoPublication,
     ControlUnavailable,
-    Unwritable,
+    EncodingFailed,
 }
 
 impl AdminContext {
@@ -125,7 +125,7 @@
             AdminRoute::Ready => self.ready().await,
             AdminRoute::Metrics => {
                 let metrics = self.records.metrics.text(self.status().await?);
-                metrics.map(text).map_err(|_| AdminProblem::Unwritable)
+                metrics.map(text).map_err(|_| AdminProblem::EncodingFailed)
             }
             AdminRoute::Status => json_answer(&self.status().await?),
             AdminRoute::Teams => json_answer(&self.inspect_core(views::teams).await?),
@@ -213,7 +213,7 @@
                 StatusCode::SERVICE_UNAVAILABLE,
                 "The control thread does not answer",
             ),
-            Self::Unwritable => (
+            Self::EncodingFailed => (
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "The answer can't be written",
             ),
@@ -241,7 +241,7 @@
 }
 
 fn json_answer<T: Serialize>(value: &T) -> AdminResult {
-    let body = serde_json::to_vec(value).map_err(|_| AdminProblem::Unwritable)?;
+    let body = serde_json::to_vec(value).map_err(|_| AdminProblem::EncodingFailed)?;
     Ok(answer_of(body.into(), "application/json"))
 }
 
