--- a/src/daemon/log_sink.rs
+++ b/src/daemon/log_sink.rs
@@ -32,7 +32,7 @@
 const WRITE_PAUSE: Duration = Duration::from_millis(200);
 
 /// Maximum of buffered bytes: two seconds of lines on the busiest host.
-const MOST_WAITING_BYTES: usize = 1_048_576;
+const MAX_BUFFERED_BYTES: usize = 1_048_576;
 
 /// Maximum of lines per second for the part that logs each call. The smallest hosts accept at most
 /// about 1,600 calls a second.
@@ -121,7 +121,7 @@
         if !self.parts.contains_key(part) {
             self.parts.insert(SmolStr::new(part), PartBudget::default());
         }
-        let is_full = self.batch.len() >= MOST_WAITING_BYTES;
+        let is_full = self.batch.len() >= MAX_BUFFERED_BYTES;
         let Some(budget) = self.parts.get_mut(part) else {
             return false;
         };
