--- a/src/daemon/log_sink.rs
+++ b/src/daemon/log_sink.rs
@@ -94,13 +94,13 @@
 
 /// Buffered lines and the line budget of each part.
 #[derive(Debug)]
-struct WaitingLines {
+struct BufferedLines {
     batch: LineBatch,
     parts: BTreeMap<SmolStr, PartBudget>,
     second: Instant,
 }
 
-impl WaitingLines {
+impl BufferedLines {
     fn new() -> Self {
         Self {
             batch: LineBatch::default(),
@@ -162,13 +162,13 @@
 
 #[derive(Debug)]
 struct LineQueue {
-    waiting: Mutex<WaitingLines>,
+    waiting: Mutex<BufferedLines>,
     /// Notified when a line is added to an empty buffer.
     has_lines: Condvar,
 }
 
 impl LineQueue {
-    fn waiting(&self) -> MutexGuard<'_, WaitingLines> {
+    fn waiting(&self) -> MutexGuard<'_, BufferedLines> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -188,7 +188,7 @@
     /// If the thread can't be spawned.
     pub fn start(output: Box<dyn Write + Send>) -> io::Result<Self> {
         let queue = Arc::new(LineQueue {
-            waiting: Mutex::new(WaitingLines::new()),
+            waiting: Mutex::new(BufferedLines::new()),
             has_lines: Condvar::new(),
         });
         let output = Arc::new(Mutex::new(output));
