--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -46,7 +46,7 @@
 use super::sources;
 
 /// Capacity of the channel of mesh events to the control thread.
-const WAITING_EVENTS: usize = 1_024;
+const EVENT_CHANNEL_CAPACITY: usize = 1_024;
 
 /// Settings and identity from which a router is started.
 #[derive(Debug, Clone)]
@@ -302,7 +302,7 @@
         tls: peers.tls.clone(),
         config: peers.config.clone(),
     };
-    let (sender, events) = mpsc::channel(WAITING_EVENTS);
+    let (sender, events) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
     let started = PeerMesh::start(settings, closing.clone(), sender).await;
     let (mesh, calls) = started.change_context(StartError {
         step: StartStep::PeerListener,
