--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -22,7 +22,7 @@
 use crate::units::ConfigRevision;
 
 /// Capacity of a channel of updates from a source.
-const WAITING_NEWS: usize = 4;
+const UPDATE_CHANNEL_CAPACITY: usize = 4;
 
 /// Follows the configuration service and the host list. The service is watched only while `order`
 /// is on.
@@ -34,12 +34,12 @@
     closing: &CancellationToken,
 ) {
     let timing = settings.timing.clone();
-    let (sender, news) = mpsc::channel(WAITING_NEWS);
+    let (sender, news) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
     let source = AnyConfigSource::new(settings);
     let following = follow_config(source, timing.clone(), order, sender, closing.clone());
     tasks.spawn(following);
     tasks.spawn(take_config(Arc::clone(context), news));
-    let (sender, news) = mpsc::channel(WAITING_NEWS);
+    let (sender, news) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
     let source = AnyHostSource::new(settings);
     tasks.spawn(follow_hosts(source, timing, sender, closing.clone()));
     tasks.spawn(take_hosts(Arc::clone(context), news));
