--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -14,7 +14,7 @@
 
 /// Passes events of the mesh to the control thread until the channel closes or the future is
 /// dropped.
-pub async fn take_events(control: ControlLink, mut events: mpsc::Receiver<PeerEvent>) {
+pub async fn forward_events(control: ControlLink, mut events: mpsc::Receiver<PeerEvent>) {
     while let Some(event) = events.recv().await {
         control.tell(match event {
             PeerEvent::Opened { host, incarnation } => CoreEvent::PeerOpened { host, incarnation },
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -174,7 +174,7 @@
         let accepting = CancellationToken::new();
         fronts.spawn(front.serve(accepting.clone()));
         if let Some(StartedMesh { events, calls, .. }) = started {
-            let taking = mesh::take_events(context.control.clone(), events);
+            let taking = mesh::forward_events(context.control.clone(), events);
             tasks.spawn(closing.clone().run_until_cancelled_owned(taking));
             let taking = mesh::take_calls(Arc::clone(&context), calls);
             tasks.spawn(closing.clone().run_until_cancelled_owned(taking));
