--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -34,7 +34,7 @@
 
 /// Answers forwarded requests, each in its own task, until the channel closes or the future is
 /// dropped.
-pub async fn take_calls(context: Arc<EntryContext>, mut calls: mpsc::Receiver<ForwardedCall>) {
+pub async fn serve_calls(context: Arc<EntryContext>, mut calls: mpsc::Receiver<ForwardedCall>) {
     while let Some(call) = calls.recv().await {
         let serving = serve_forwarded(Arc::clone(&context), call);
         context.tasks.spawn(serving);
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -176,7 +176,7 @@
         if let Some(StartedMesh { events, calls, .. }) = started {
             let taking = mesh::forward_events(context.control.clone(), events);
             tasks.spawn(closing.clone().run_until_cancelled_owned(taking));
-            let taking = mesh::take_calls(Arc::clone(&context), calls);
+            let taking = mesh::serve_calls(Arc::clone(&context), calls);
             tasks.spawn(closing.clone().run_until_cancelled_owned(taking));
         }
         let (watch, order) = watch::channel(WatchCommand {
