--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -38,14 +38,14 @@
     let source = AnyConfigSource::new(settings);
     let following = follow_config(source, timing.clone(), order, sender, closing.clone());
     tasks.spawn(following);
-    tasks.spawn(take_config(Arc::clone(context), news));
+    tasks.spawn(apply_config_updates(Arc::clone(context), news));
     let (sender, news) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
     let source = AnyHostSource::new(settings);
     tasks.spawn(follow_hosts(source, timing, sender, closing.clone()));
     tasks.spawn(take_hosts(Arc::clone(context), news));
 }
 
-async fn take_config(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigUpdate>) {
+async fn apply_config_updates(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigUpdate>) {
     let board = &context.records.board;
     while let Some(news) = news.recv().await {
         let fault = match &news {
