--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -42,7 +42,7 @@
     let (sender, news) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
     let source = AnyHostSource::new(settings);
     tasks.spawn(follow_hosts(source, timing, sender, closing.clone()));
-    tasks.spawn(take_hosts(Arc::clone(context), news));
+    tasks.spawn(apply_host_updates(Arc::clone(context), news));
 }
 
 async fn apply_config_updates(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigUpdate>) {
@@ -95,7 +95,7 @@
     }
 }
 
-async fn take_hosts(context: Arc<EntryContext>, mut news: mpsc::Receiver<HostUpdate>) {
+async fn apply_host_updates(context: Arc<EntryContext>, mut news: mpsc::Receiver<HostUpdate>) {
     let board = &context.records.board;
     while let Some(news) = news.recv().await {
         match news {
