--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -187,13 +187,13 @@
             context.records.board.watches(true);
             sources::follow(settings, &context, order, &tasks, &closing);
         }
-        let hands = CommandRunner {
+        let runner = CommandRunner {
             context: Arc::clone(&context),
             mesh: mesh.clone(),
             watch,
             closing: closing.clone(),
         };
-        tasks.spawn(hands.run(thread.commands));
+        tasks.spawn(runner.run(thread.commands));
         let (control, records) = (context.control.clone(), Arc::clone(&context.records));
         tasks.spawn(sample(control, records, mesh.clone(), closing.clone()));
         Ok(Self {
