--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -133,7 +133,7 @@
     pub mesh: Option<PeerMesh>,
     accepting: CancellationToken,
     closing: CancellationToken,
-    fronts: TaskTracker,
+    accept_tasks: TaskTracker,
     tasks: TaskTracker,
     thread: JoinHandle<()>,
 }
@@ -170,9 +170,9 @@
         let (front, callers) = bind_front(parts.callers, &context)
             .await
             .change_context(fault(StartStep::CallerListener))?;
-        let (fronts, tasks) = (TaskTracker::new(), TaskTracker::new());
+        let (accept_tasks, tasks) = (TaskTracker::new(), TaskTracker::new());
         let accepting = CancellationToken::new();
-        fronts.spawn(front.serve(accepting.clone()));
+        accept_tasks.spawn(front.serve(accepting.clone()));
         if let Some(StartedMesh { events, calls, .. }) = started {
             let taking = mesh::forward_events(context.control.clone(), events);
             tasks.spawn(closing.clone().run_until_cancelled_owned(taking));
@@ -202,7 +202,7 @@
             mesh,
             accepting,
             closing,
-            fronts,
+            accept_tasks,
             tasks,
             thread: thread.handle,
         })
@@ -263,8 +263,8 @@
     pub async fn finish(&self) {
         // Peers stay connected meanwhile, because forwarded answers pass through them.
         self.accepting.cancel();
-        self.fronts.close();
-        self.fronts.wait().await;
+        self.accept_tasks.close();
+        self.accept_tasks.wait().await;
         self.context.tasks.close();
         self.context.tasks.wait().await;
     }
