--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -14,18 +14,18 @@
 
 /// An output that records what is written.
 #[derive(Clone, Default)]
-struct KeptOutput {
+struct RecordedOutput {
     bytes: Arc<Mutex<Vec<u8>>>,
     writes: Arc<Mutex<usize>>,
 }
 
-impl KeptOutput {
+impl RecordedOutput {
     fn text(&self) -> String {
         String::from_utf8(self.bytes.lock().unwrap().clone()).unwrap()
     }
 }
 
-impl Write for KeptOutput {
+impl Write for RecordedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.bytes.lock().unwrap().extend_from_slice(bytes);
         *self.writes.lock().unwrap() += 1;
@@ -40,7 +40,7 @@
 /// An output whose reader reads nothing until `gate` opens.
 struct StuckOutput {
     gate: Receiver<()>,
-    kept: KeptOutput,
+    kept: RecordedOutput,
 }
 
 impl Write for StuckOutput {
@@ -68,7 +68,7 @@
 #[test]
 fn a_reader_that_does_not_read_stops_nothing() {
     let (open, gate) = channel();
-    let kept = KeptOutput::default();
+    let kept = RecordedOutput::default();
     let (_sink, logger) = logger(Box::new(StuckOutput {
         gate,
         kept: kept.clone(),
@@ -84,7 +84,7 @@
 /// lines must not displace the line on the store, and the count of dropped lines must be reported.
 #[test]
 fn a_part_that_floods_leaves_the_others_their_lines() {
-    let kept = KeptOutput::default();
+    let kept = RecordedOutput::default();
     let (sink, logger) = logger(Box::new(kept.clone()));
     for _ in 0..5_000 {
         spdlog::warn!(logger: logger, "endpoint: step=connect fault=refused");
@@ -106,7 +106,7 @@
 /// A host refuses hundreds of calls in 200 ms: one write per line would cost as much as the calls.
 #[test]
 fn lines_that_come_together_are_written_together() {
-    let kept = KeptOutput::default();
+    let kept = RecordedOutput::default();
     let (sink, logger) = logger(Box::new(kept.clone()));
     for index in 0..500 {
         spdlog::info!(logger: logger, "calls: id={index}");
@@ -121,7 +121,7 @@
 /// lost.
 #[test]
 fn a_change_of_state_is_not_lost_behind_lines_of_calls() {
-    let kept = KeptOutput::default();
+    let kept = RecordedOutput::default();
     let (sink, logger) = logger(Box::new(kept.clone()));
     for index in 0..500 {
         spdlog::info!(logger: logger, "calls: id={index}");
