--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -38,12 +38,12 @@
 }
 
 /// An output whose reader reads nothing until `gate` opens.
-struct StuckOutput {
+struct BlockedOutput {
     gate: Receiver<()>,
     kept: RecordedOutput,
 }
 
-impl Write for StuckOutput {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.gate.recv();
         self.kept.write(bytes)
@@ -69,7 +69,7 @@
 fn a_reader_that_does_not_read_stops_nothing() {
     let (open, gate) = channel();
     let kept = RecordedOutput::default();
-    let (_sink, logger) = logger(Box::new(StuckOutput {
+    let (_sink, logger) = logger(Box::new(BlockedOutput {
         gate,
         kept: kept.clone(),
     }));
