--- a/examples/shared/single.rs
+++ b/examples/shared/single.rs
@@ -97,7 +97,7 @@
         publication["templates"]["clinic"]["queue_limit"] = options.queue_limit.into();
         let text = publication.to_string();
         let catalog = adopt(ConfigRevision(1), text.as_bytes()).unwrap();
-        router.control().tell(CoreEvent::Published {
+        router.control().send_event(CoreEvent::Published {
             catalog: Arc::new(catalog),
             text: text.into(),
         });
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -154,7 +154,7 @@
             }
             AdminRoute::Drain => {
                 spdlog::info!("admin: drain requested.");
-                self.control.tell(CoreEvent::DrainAsked);
+                self.control.send_event(CoreEvent::DrainAsked);
                 with_status(
                     json_answer(&json!({"draining": true})),
                     StatusCode::ACCEPTED,
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -81,7 +81,7 @@
 
 impl ControlLink {
     /// Sends an event to the core; it is dropped if the control thread has ended.
-    pub fn tell(&self, event: CoreEvent) {
+    pub fn send_event(&self, event: CoreEvent) {
         self.input(ControlInput::Event(event));
     }
 
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -16,7 +16,7 @@
 /// dropped.
 pub async fn forward_events(control: ControlLink, mut events: mpsc::Receiver<PeerEvent>) {
     while let Some(event) = events.recv().await {
-        control.tell(match event {
+        control.send_event(match event {
             PeerEvent::Opened { host, incarnation } => CoreEvent::PeerOpened { host, incarnation },
             PeerEvent::Closed { host } => CoreEvent::PeerClosed { host },
             PeerEvent::Message {
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -238,7 +238,7 @@
 
     /// Begins a drain and waits until no request is in flight.
     pub async fn drain(&self) {
-        self.control().tell(CoreEvent::DrainAsked);
+        self.control().send_event(CoreEvent::DrainAsked);
         let mut drained = self.control().drained.clone();
         let _ = drained.wait_for(|drained| *drained).await;
     }
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -65,7 +65,7 @@
             }
         };
         let answered = CoreEvent::SourceAnswered(answered);
-        context.control.tell(answered);
+        context.control.send_event(answered);
     }
 }
 
@@ -80,7 +80,7 @@
     match publication::adopt(revision, &text) {
         Ok(catalog) => {
             spdlog::info!("config: revision {revision} taken.");
-            control.tell(CoreEvent::Published {
+            control.send_event(CoreEvent::Published {
                 catalog: Arc::new(catalog),
                 text,
             });
@@ -90,7 +90,7 @@
             let faults = faults.to_string().replace('\n', "; ");
             let kept: ConfigRevision = control.catalog.borrow().revision();
             spdlog::error!("config: revision {revision} refused, {kept} stays in force: {faults}.");
-            control.tell(CoreEvent::PublicationRefused { revision });
+            control.send_event(CoreEvent::PublicationRefused { revision });
         }
     }
 }
@@ -101,8 +101,8 @@
         match news {
             HostUpdate::Listed(list) => {
                 board.hosts(None);
-                context.control.tell(list.event());
-                context.control.tell(list.live_event());
+                context.control.send_event(list.event());
+                context.control.send_event(list.live_event());
             }
             HostUpdate::Failed(report) => {
                 spdlog::warn!("hosts: {report}.");
--- a/src/endpoint/attempt.rs
+++ b/src/endpoint/attempt.rs
@@ -128,7 +128,7 @@
                 let endpoint = self.plan.order.endpoint;
                 context
                     .control
-                    .tell(CoreEvent::EndpointRefused { endpoint });
+                    .send_event(CoreEvent::EndpointRefused { endpoint });
             }
             spdlog::debug!("endpoint: {report}.");
             SendFault::NotSent(None)
@@ -191,7 +191,7 @@
     ) -> AttemptOutcome {
         let AttemptPlan { request, order, .. } = self.plan;
         let context = self.plan.context;
-        context.control.tell(CoreEvent::FirstByte {
+        context.control.send_event(CoreEvent::FirstByte {
             request,
             attempt: order.attempt,
         });
--- a/src/endpoint/load.rs
+++ b/src/endpoint/load.rs
@@ -78,7 +78,7 @@
     loop {
         interval.tick().await;
         if let Some(report) = read(&context, endpoint).await {
-            context.control.tell(load_event(endpoint, &report));
+            context.control.send_event(load_event(endpoint, &report));
         }
     }
 }
@@ -96,7 +96,7 @@
             if fault.is_some_and(|fault| fault.step == ConnectStep::Open) {
                 context
                     .control
-                    .tell(CoreEvent::EndpointRefused { endpoint });
+                    .send_event(CoreEvent::EndpointRefused { endpoint });
             }
             spdlog::debug!("endpoint: {report}.");
             None
--- a/src/endpoint/reader.rs
+++ b/src/endpoint/reader.rs
@@ -104,7 +104,7 @@
             return;
         }
         *last_reported = kept;
-        self.context.control.tell(CoreEvent::AnswerKept {
+        self.context.control.send_event(CoreEvent::AnswerKept {
             request: self.request,
             bytes: Some(ByteSize(kept as u64)),
         });
@@ -261,7 +261,7 @@
             return;
         }
         *last_reported = Instant::now();
-        self.context.control.tell(CoreEvent::Progress {
+        self.context.control.send_event(CoreEvent::Progress {
             request: self.request,
             attempt: self.order.attempt,
             service: ServiceUnits(self.meter.load(Ordering::Relaxed)),
--- a/src/entry/task.rs
+++ b/src/entry/task.rs
@@ -174,7 +174,7 @@
         self.disconnect_reported = true;
         self.context
             .control
-            .tell(CoreEvent::CallerLeft(self.facts.request));
+            .send_event(CoreEvent::CallerLeft(self.facts.request));
     }
 
     /// Carries out a command; returns true if it was the request's last one.
@@ -265,7 +265,7 @@
                     },
                     () = left.cancelled(), if !self.disconnect_reported => {
                         self.disconnect_reported = true;
-                        self.context.control.tell(CoreEvent::CallerLeft(request));
+                        self.context.control.send_event(CoreEvent::CallerLeft(request));
                     }
                 }
             }
@@ -326,7 +326,7 @@
         outcome: AttemptOutcome,
         service: ServiceUnits,
     ) {
-        self.context.control.tell(CoreEvent::AttemptEnded {
+        self.context.control.send_event(CoreEvent::AttemptEnded {
             request: self.facts.request,
             attempt: order.attempt,
             outcome,
@@ -358,7 +358,7 @@
         }
         self.context
             .control
-            .tell(CoreEvent::AnswerKept { request, bytes });
+            .send_event(CoreEvent::AnswerKept { request, bytes });
     }
 
     /// Forwards the request to a peer and passes on the peer's answer.
