--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -36,7 +36,7 @@
 
 // One slot runs the team's first request and two more wait: the team's view must give the reasons.
 #[test]
-fn a_waiting_team_is_told_why() {
+fn team_status_gives_the_reasons_for_waiting() {
     let fleet = busy_fleet(3);
     let state = fleet.core(0).state();
     let team = team_status(state, &"team-1".parse().unwrap()).unwrap();
