--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -66,7 +66,7 @@
 /// Guards against blocked calls: if logging a line waited for a reader of standard output that
 /// hangs, so would the call that logs it, and then every call.
 #[test]
-fn a_reader_that_does_not_read_stops_nothing() {
+fn a_blocked_reader_does_not_block_logging() {
     let (open, gate) = channel();
     let kept = RecordedOutput::default();
     let (_sink, logger) = logger(Box::new(BlockedOutput {
