--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -83,7 +83,7 @@
 /// Guards against lost lines: an endpoint refuses connections thousands of times a second. Its
 /// lines must not displace the line on the store, and the count of dropped lines must be reported.
 #[test]
-fn a_part_that_floods_leaves_the_others_their_lines() {
+fn a_flood_from_one_part_does_not_displace_lines_of_others() {
     let kept = RecordedOutput::default();
     let (sink, logger) = logger(Box::new(kept.clone()));
     for _ in 0..5_000 {
