--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -59,7 +59,7 @@
 // A second signal, or the deadline of the settings, ends the router before the last answer is
 // complete. The exit code must report the cut, and the caller must not take the answer for whole.
 #[tokio::test]
-async fn a_second_signal_or_the_deadline_cuts_and_says_so() {
+async fn a_second_signal_or_the_deadline_cuts_and_sets_the_exit_code() {
     end_in_the_middle(60, 2).await;
     end_in_the_middle(1, 1).await;
 }
