--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -22,7 +22,7 @@
 }
 
 /// Ends a router with `signals` signals during a stream that does not end by itself.
-async fn end_in_the_middle(deadline_s: u64, signals: usize) {
+async fn shut_down_during_a_stream(deadline_s: u64, signals: usize) {
     let engine = endpoint(EndpointRole::Engine {
         model: "luma".to_owned(),
         token: Duration::from_millis(5),
@@ -60,6 +60,6 @@
 // complete. The exit code must report the cut, and the caller must not take the answer for whole.
 #[tokio::test]
 async fn a_second_signal_or_the_deadline_cuts_and_sets_the_exit_code() {
-    end_in_the_middle(60, 2).await;
-    end_in_the_middle(1, 1).await;
+    shut_down_during_a_stream(60, 2).await;
+    shut_down_during_a_stream(1, 1).await;
 }
