--- a/tests/fleet_in_process.rs
+++ b/tests/fleet_in_process.rs
@@ -54,7 +54,7 @@
 // One router offers a ticket for a request; the balancer sends the retries to other routers. They
 // must forward them to the router that issued the ticket, and the request must run only once.
 #[tokio::test]
-async fn a_ticket_leads_to_its_minter_from_any_router() {
+async fn any_router_forwards_a_ticket_to_its_issuer() {
     let portal = portal().await;
     let site = Site::default()
         .team("nadi", 1)
