--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -42,7 +42,7 @@
 use super::control;
 use super::control::ControlLink;
 use super::mesh;
-use super::outside::CommandRunner;
+use super::router_commands::CommandRunner;
 use super::sources;
 
 /// Capacity of the channel of mesh events to the control thread.
