--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -99,9 +99,9 @@
 
     async fn inspect_core<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&CoreState) -> T + Send + 'static,
+        query: impl FnOnce(&CoreState) -> T + Send + 'static,
     ) -> Result<T, AdminProblem> {
-        let answer = timeout(CONTROL_TIMEOUT, self.control.inspect(question)).await;
+        let answer = timeout(CONTROL_TIMEOUT, self.control.inspect(query)).await;
         answer
             .ok()
             .flatten()
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -96,11 +96,11 @@
     /// Runs a query on the core's state; `None` if the control thread has ended.
     pub async fn inspect<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&CoreState) -> T + Send + 'static,
+        query: impl FnOnce(&CoreState) -> T + Send + 'static,
     ) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
         self.input(ControlInput::Inspect(Box::new(move |state| {
-            let _ = sender.send(question(state));
+            let _ = sender.send(query(state));
         })));
         receiver.await.ok()
     }
@@ -188,7 +188,7 @@
                     self.requests.insert(facts.request, commands);
                     self.event(CoreEvent::Arrived(facts));
                 }
-                Ok(ControlInput::Inspect(question)) => question(self.core.state()),
+                Ok(ControlInput::Inspect(query)) => query(self.core.state()),
                 Err(RecvTimeoutError::Timeout) => {}
                 Ok(ControlInput::Stop) | Err(RecvTimeoutError::Disconnected) => return,
             }
