--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -95,12 +95,12 @@
     let lines = text.matches("endpoint: step=connect").count();
     assert!(lines < 1_000, "{lines}");
     assert_eq!(text.matches("store: step=watch lost").count(), 1);
-    let told: usize = text
+    let reported: usize = text
         .split("logs: part=endpoint left_out=")
         .skip(1)
         .filter_map(|rest| rest.split_whitespace().next()?.parse::<usize>().ok())
         .sum();
-    assert_eq!(lines + told, 5_000);
+    assert_eq!(lines + reported, 5_000);
 }
 
 /// A host refuses hundreds of calls in 200 ms: one write per line would cost as much as the calls.
