--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,7 +1,7 @@
 //! The admin listener.
 //!
-//! `GET /health` and `GET /ready` are open, for balancers; everything else needs the bearer
-//! credential. Requests have no bodies; none is read.
+//! `GET /health` and `GET /ready` are open, for balancers; all other routes need the bearer
+//! credential. Request bodies are not read, because no route has one.
 
 use std::io;
 use std::net::SocketAddr;
@@ -42,12 +42,12 @@
 use super::team_view::team_status;
 use super::views;
 
-/// The control thread answers within microseconds unless it is stuck.
-const CONTROL_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout for the control thread, which answers within microseconds unless it is stuck.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the admin API answers from.
+/// State shared by all requests to the admin API.
 pub struct AdminContext {
-    /// The way to the control thread.
+    /// Handle of the control thread.
     pub control: ControlLink,
     /// The router's records.
     pub records: Arc<RouterRecords>,
@@ -56,22 +56,22 @@
     credential: [u8; 32],
 }
 
-/// An answer, or the problem in its place.
+/// An answer, or the problem that is reported instead.
 type AdminResult = Result<Response<Bytes>, AdminProblem>;
 
-/// Why a request gets no answer.
+/// Why a request can't be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AdminProblem {
     NoCredential,
     Route(RouteFault),
     NoTeam,
     NoPublication,
-    ControlSilent,
-    Unwritable,
+    ControlUnavailable,
+    EncodingFailed,
 }
 
 impl AdminContext {
-    /// A context that lets in whoever shows `credential`.
+    /// Creates a context that admits requests with this bearer credential.
     #[must_use]
     pub fn new(
         control: ControlLink,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Hashes are compared, in constant time, so that how long a refusal takes says nothing of
+    /// Compares hashes in constant time, so that the duration of a refusal reveals nothing about
     /// the credential.
     fn admits(&self, authorization: Option<&str>) -> bool {
         let shown = authorization.and_then(|value| value.strip_prefix("Bearer "));
@@ -97,18 +97,21 @@
         })
     }
 
-    async fn look<T: Send + 'static>(
+    async fn inspect_core<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&CoreState) -> T + Send + 'static,
+        query: impl FnOnce(&CoreState) -> T + Send + 'static,
     ) -> Result<T, AdminProblem> {
-        let answer = timeout(CONTROL_WITHIN, self.control.inspect(question)).await;
-        answer.ok().flatten().ok_or(AdminProblem::ControlSilent)
+        let answer = timeout(CONTROL_TIMEOUT, self.control.inspect(query)).await;
+        answer
+            .ok()
+            .flatten()
+            .ok_or(AdminProblem::ControlUnavailable)
     }
 
     async fn status(&self) -> Result<RouterStatus, AdminProblem> {
         let records = Arc::clone(&self.records);
         let mesh = self.mesh.clone();
-        self.look(move |state| {
+        self.inspect_core(move |state| {
             let unused = TrafficCounters::default();
             let counters = mesh.as_ref().map_or(&unused, PeerMesh::counters);
             views::router_status(state, &records.board, counters, records.uptime_s())
@@ -118,34 +121,40 @@
 
     async fn answer(&self, route: AdminRoute) -> AdminResult {
         match route {
-            AdminRoute::Health => self.look(|_| ()).await.map(|()| text("ok\n")),
+            AdminRoute::Health => self.inspect_core(|_| ()).await.map(|()| text("ok\n")),
             AdminRoute::Ready => self.ready().await,
             AdminRoute::Metrics => {
                 let metrics = self.records.metrics.text(self.status().await?);
-                metrics.map(text).map_err(|_| AdminProblem::Unwritable)
+                metrics.map(text).map_err(|_| AdminProblem::EncodingFailed)
             }
             AdminRoute::Status => json_answer(&self.status().await?),
-            AdminRoute::Teams => json_answer(&self.look(views::teams).await?),
+            AdminRoute::Teams => json_answer(&self.inspect_core(views::teams).await?),
             AdminRoute::Team(name) => {
-                let team = self.look(move |state| team_status(state, &name)).await?;
+                let team = self
+                    .inspect_core(move |state| team_status(state, &name))
+                    .await?;
                 json_answer(&team.ok_or(AdminProblem::NoTeam)?)
             }
-            AdminRoute::Endpoints => json_answer(&self.look(views::endpoints).await?),
-            AdminRoute::Members => json_answer(&self.look(views::members).await?),
+            AdminRoute::Endpoints => json_answer(&self.inspect_core(views::endpoints).await?),
+            AdminRoute::Members => json_answer(&self.inspect_core(views::members).await?),
             AdminRoute::Publication => self.publication().await,
             AdminRoute::AnswerHistory => {
                 let catalog = Arc::clone(&self.control.catalog.borrow().fleet);
-                let host = self.look(|state| state.identity.host.clone()).await?;
+                let host = self
+                    .inspect_core(|state| state.identity.host.clone())
+                    .await?;
                 json_answer(&self.records.answer_report(&host, &catalog))
             }
             AdminRoute::SampleHistory => {
-                let host = self.look(|state| state.identity.host.to_string()).await?;
+                let host = self
+                    .inspect_core(|state| state.identity.host.to_string())
+                    .await?;
                 let samples = self.records.samples.all();
                 json_answer(&SampleReport { host, samples })
             }
             AdminRoute::Drain => {
-                spdlog::info!("admin: drain asked.");
-                self.control.tell(CoreEvent::DrainAsked);
+                spdlog::info!("admin: drain requested.");
+                self.control.send_event(CoreEvent::DrainAsked);
                 with_status(
                     json_answer(&json!({"draining": true})),
                     StatusCode::ACCEPTED,
@@ -160,7 +169,7 @@
     }
 
     async fn ready(&self) -> AdminResult {
-        let readiness = self.look(views::readiness).await?;
+        let readiness = self.inspect_core(views::readiness).await?;
         let status = if readiness.ready {
             StatusCode::OK
         } else {
@@ -170,7 +179,7 @@
     }
 
     async fn publication(&self) -> AdminResult {
-        let published = self.look(|state| {
+        let published = self.inspect_core(|state| {
             let revision = state.catalog.revision;
             (revision, state.publication_text.clone())
         });
@@ -200,11 +209,11 @@
             ),
             Self::NoTeam => (StatusCode::NOT_FOUND, "No such team is published"),
             Self::NoPublication => (StatusCode::NOT_FOUND, "No publication is in force"),
-            Self::ControlSilent => (
+            Self::ControlUnavailable => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "The control thread does not answer",
             ),
-            Self::Unwritable => (
+            Self::EncodingFailed => (
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "The answer can't be written",
             ),
@@ -232,7 +241,7 @@
 }
 
 fn json_answer<T: Serialize>(value: &T) -> AdminResult {
-    let body = serde_json::to_vec(value).map_err(|_| AdminProblem::Unwritable)?;
+    let body = serde_json::to_vec(value).map_err(|_| AdminProblem::EncodingFailed)?;
     Ok(answer_of(body.into(), "application/json"))
 }
 
@@ -243,7 +252,7 @@
     })
 }
 
-/// The admin listener, bound and not yet serving.
+/// The admin listener, bound but not serving yet.
 #[derive(Debug)]
 pub struct AdminServer {
     listener: TcpListener,
@@ -253,16 +262,16 @@
     /// Binds the listener.
     ///
     /// # Errors
-    /// If the address can't be had.
+    /// If the address can't be bound.
     pub async fn bind(listen: SocketAddr) -> Result<Self, io::Error> {
         let listener = TcpListener::bind(listen).await?;
         Ok(Self { listener })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     ///
     /// # Errors
-    /// If the system does not say.
+    /// If the system can't report it.
     pub fn address(&self) -> Result<SocketAddr, io::Error> {
         self.listener.local_addr()
     }
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -1,4 +1,4 @@
-//! What the sources says, for the core.
+//! Passes updates of the configuration service and the host list to the core.
 
 use std::sync::Arc;
 
@@ -21,11 +21,11 @@
 use crate::sources::follow::follow_hosts;
 use crate::units::ConfigRevision;
 
-/// News that wait for the control thread.
-const WAITING_NEWS: usize = 4;
+/// Capacity of a channel of updates from a source.
+const UPDATE_CHANNEL_CAPACITY: usize = 4;
 
-/// Follows the configuration service and the host list. The service is watched while `order`
-/// says so.
+/// Follows the configuration service and the host list. The service is watched only while `order`
+/// is on.
 pub fn follow(
     settings: &SourceSettings,
     context: &Arc<EntryContext>,
@@ -34,18 +34,18 @@
     closing: &CancellationToken,
 ) {
     let timing = settings.timing.clone();
-    let (sender, news) = mpsc::channel(WAITING_NEWS);
+    let (sender, news) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
     let source = AnyConfigSource::new(settings);
     let following = follow_config(source, timing.clone(), order, sender, closing.clone());
     tasks.spawn(following);
-    tasks.spawn(take_config(Arc::clone(context), news));
-    let (sender, news) = mpsc::channel(WAITING_NEWS);
+    tasks.spawn(apply_config_updates(Arc::clone(context), news));
+    let (sender, news) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
     let source = AnyHostSource::new(settings);
     tasks.spawn(follow_hosts(source, timing, sender, closing.clone()));
-    tasks.spawn(take_hosts(Arc::clone(context), news));
+    tasks.spawn(apply_host_updates(Arc::clone(context), news));
 }
 
-async fn take_config(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigUpdate>) {
+async fn apply_config_updates(context: Arc<EntryContext>, mut news: mpsc::Receiver<ConfigUpdate>) {
     let board = &context.records.board;
     while let Some(news) = news.recv().await {
         let fault = match &news {
@@ -65,11 +65,12 @@
             }
         };
         let answered = CoreEvent::SourceAnswered(answered);
-        context.control.tell(answered);
+        context.control.send_event(answered);
     }
 }
 
-/// Checks and renders a publication and tells the core; a bad one is refused whole and logged.
+/// Checks and renders a publication and sends it to the core; one with faults is refused as a whole
+/// and logged.
 pub fn adopt(context: &EntryContext, text: ConfigText) {
     let control = &context.control;
     let ConfigText { revision, text } = text;
@@ -79,7 +80,7 @@
     match publication::adopt(revision, &text) {
         Ok(catalog) => {
             spdlog::info!("config: revision {revision} taken.");
-            control.tell(CoreEvent::Published {
+            control.send_event(CoreEvent::Published {
                 catalog: Arc::new(catalog),
                 text,
             });
@@ -89,19 +90,19 @@
             let faults = faults.to_string().replace('\n', "; ");
             let kept: ConfigRevision = control.catalog.borrow().revision();
             spdlog::error!("config: revision {revision} refused, {kept} stays in force: {faults}.");
-            control.tell(CoreEvent::PublicationRefused { revision });
+            control.send_event(CoreEvent::PublicationRefused { revision });
         }
     }
 }
 
-async fn take_hosts(context: Arc<EntryContext>, mut news: mpsc::Receiver<HostUpdate>) {
+async fn apply_host_updates(context: Arc<EntryContext>, mut news: mpsc::Receiver<HostUpdate>) {
     let board = &context.records.board;
     while let Some(news) = news.recv().await {
         match news {
             HostUpdate::Listed(list) => {
                 board.hosts(None);
-                context.control.tell(list.event());
-                context.control.tell(list.live_event());
+                context.control.send_event(list.event());
+                context.control.send_event(list.live_event());
             }
             HostUpdate::Failed(report) => {
                 spdlog::warn!("hosts: {report}.");
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::daemon::control::DriverClock;
+use crate::daemon::control::MonotonicClock;
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
@@ -92,7 +92,7 @@
     reader: watch::Sender<bool>,
     peer_contact: Mutex<PeerStoreContact>,
     /// The router's clock.
-    pub clock: DriverClock,
+    pub clock: MonotonicClock,
     /// Settings of the gateway's decisions.
     pub config: GatewayConfig,
     /// Stages of the shutdown.
@@ -119,7 +119,7 @@
             store_failing: AtomicBool::new(false),
             reader: watch::Sender::new(false),
             peer_contact: Mutex::default(),
-            clock: DriverClock::start(),
+            clock: MonotonicClock::start(),
             config,
             life: ShutdownStages::new(),
             metrics,
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Lines of logs on their way out: bounded, batched, and never in the way of a call.
+//! Log output: rate-limited, batched, and never blocking a call.
 
 use std::io;
 use std::io::Write;
@@ -12,20 +12,20 @@
 
 use verbenaturn::daemon::log_sink::BatchSink;
 
-/// An output that keeps what is written.
+/// An output that records what is written.
 #[derive(Clone, Default)]
-struct KeptOutput {
+struct RecordedOutput {
     bytes: Arc<Mutex<Vec<u8>>>,
     writes: Arc<Mutex<usize>>,
 }
 
-impl KeptOutput {
+impl RecordedOutput {
     fn text(&self) -> String {
         String::from_utf8(self.bytes.lock().unwrap().clone()).unwrap()
     }
 }
 
-impl Write for KeptOutput {
+impl Write for RecordedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.bytes.lock().unwrap().extend_from_slice(bytes);
         *self.writes.lock().unwrap() += 1;
@@ -37,13 +37,13 @@
     }
 }
 
-/// An output whose reader reads nothing until it is told to.
-struct StuckOutput {
+/// An output whose reader reads nothing until `gate` opens.
+struct BlockedOutput {
     gate: Receiver<()>,
-    kept: KeptOutput,
+    kept: RecordedOutput,
 }
 
-impl Write for StuckOutput {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.gate.recv();
         self.kept.write(bytes)
@@ -63,13 +63,13 @@
     (sink, logger)
 }
 
-/// The reader of standard output hangs. If a line waited for it, so would the call that it is
-/// about, and then every call.
+/// Guards against blocked calls: if logging a line waited for a reader of standard output that
+/// hangs, so would the call that logs it, and then every call.
 #[test]
-fn a_reader_that_does_not_read_stops_nothing() {
+fn a_blocked_reader_does_not_block_logging() {
     let (open, gate) = channel();
-    let kept = KeptOutput::default();
-    let (_sink, logger) = logger(Box::new(StuckOutput {
+    let kept = RecordedOutput::default();
+    let (_sink, logger) = logger(Box::new(BlockedOutput {
         gate,
         kept: kept.clone(),
     }));
@@ -80,11 +80,11 @@
     drop(open);
 }
 
-/// One endpoint refuses connections thousands of times a second. Its lines must not crowd out the
-/// line on the store, and how many are missing must be told.
+/// Guards against lost lines: an endpoint refuses connections thousands of times a second. Its
+/// lines must not displace the line on the store, and the count of dropped lines must be reported.
 #[test]
-fn a_part_that_floods_leaves_the_others_their_lines() {
-    let kept = KeptOutput::default();
+fn a_flood_from_one_part_does_not_displace_lines_of_others() {
+    let kept = RecordedOutput::default();
     let (sink, logger) = logger(Box::new(kept.clone()));
     for _ in 0..5_000 {
         spdlog::warn!(logger: logger, "endpoint: step=connect fault=refused");
@@ -95,19 +95,18 @@
     let lines = text.matches("endpoint: step=connect").count();
     assert!(lines < 1_000, "{lines}");
     assert_eq!(text.matches("store: step=watch lost").count(), 1);
-    let told: usize = text
+    let reported: usize = text
         .split("logs: part=endpoint left_out=")
         .skip(1)
         .filter_map(|rest| rest.split_whitespace().next()?.parse::<usize>().ok())
         .sum();
-    assert_eq!(lines + told, 5_000);
+    assert_eq!(lines + reported, 5_000);
 }
 
-/// A host refuses hundreds of calls in a fifth of a second; a write for each line would cost as
-/// much as the calls.
+/// A host refuses hundreds of calls in 200 ms: one write per line would cost as much as the calls.
 #[test]
 fn lines_that_come_together_are_written_together() {
-    let kept = KeptOutput::default();
+    let kept = RecordedOutput::default();
     let (sink, logger) = logger(Box::new(kept.clone()));
     for index in 0..500 {
         spdlog::info!(logger: logger, "calls: id={index}");
@@ -117,11 +116,12 @@
     assert!(*kept.writes.lock().unwrap() <= 3);
 }
 
-/// A host refuses hundreds of calls, and a collector keeps the first kilobytes of each write: the
-/// line that says why stood behind the lines of the calls and was lost.
+/// Guards against a lost cause: a host refuses hundreds of calls, and a collector keeps only the
+/// first kilobytes of each write. The line with the cause came after the lines of the calls and was
+/// lost.
 #[test]
 fn a_change_of_state_is_not_lost_behind_lines_of_calls() {
-    let kept = KeptOutput::default();
+    let kept = RecordedOutput::default();
     let (sink, logger) = logger(Box::new(kept.clone()));
     for index in 0..500 {
         spdlog::info!(logger: logger, "calls: id={index}");
