--- a/tests/differential.rs
+++ b/tests/differential.rs
@@ -1,5 +1,5 @@
-//! The real decision cores beside the naive version: every scenario of `measure` on both
-//! deployments, and small load plans and faults drawn at random from a fixed seed.
+//! Compares the real decision cores with the naive version: every scenario of `measure` on both
+//! deployments, and small random load plans and faults from a fixed seed.
 
 #[path = "../examples/measure/checks.rs"]
 mod checks;
@@ -35,22 +35,22 @@
 use self::scenarios::SCENARIOS;
 use self::scenarios::WICKRAMASINGHE;
 
-/// The seed of all runs of the table.
+/// Seed of the scenario runs.
 const SEED: u64 = 1;
-/// What must be 0 in every run.
+/// Measures that must be 0 in every run.
 const INVARIANTS: [&str; 5] = ["doubled", "false_not_run", "cut", "lost", "config_reverts"];
 /// Scenarios in which the fleet must be about as fair as the naive version.
 const FAIR: [&str; 3] = ["steady", "skew", "flood"];
-/// The fleet's fairness gap over the naive version's at most.
+/// Maximum ratio of the fleet's fairness gap to the naive version's.
 const GAP_RATIO: f64 = 1.5;
-/// Part of capacity that may be free while a request waits for it.
+/// Maximum part of the capacity that is idle while requests wait for it.
 const LOSS_LIMIT: f64 = 0.01;
-/// Control bytes a second of one router at most.
+/// Maximum control traffic of one router, in bytes per second.
 const CONTROL_LIMIT: f64 = 4_000.0;
 
 fn find<'a>(checks: &'a [FleetCheck], measure: &str) -> &'a FleetCheck {
     let found = checks.iter().find(|check| check.measure == measure);
-    found.expect("every run states this measure")
+    found.expect("every run has this measure")
 }
 
 fn assert_invariants(checks: &[FleetCheck], run: &str) {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Every breach of one run's policy limits, as text.
+/// Describes each policy limit that a run exceeds.
 fn breaches(checks: &[FleetCheck]) -> Vec<String> {
     let gap = find(checks, "fairness_gap");
     let naive = gap.baseline.expect("the naive version has a gap");
@@ -82,7 +82,7 @@
 
 fn run_seed(name: &str, size: FleetSize, seed: u64) {
     let scenario = SCENARIOS.into_iter().find(|entry| entry.name == name);
-    let scenario = scenario.expect("the test is named after a scenario");
+    let scenario = scenario.expect("a scenario has the name of the test");
     let checks = checks::run(scenario, size, seed);
     let run = format!("{name} on {} with seed {seed}", size.name);
     for check in &checks {
@@ -97,8 +97,8 @@
     }
 }
 
-/// Guards against slots that an owner counts at a restarted router for good, as that one believes its
-/// earlier life's acknowledgements.
+/// Guards against slots that a pool's owner never gets back from a restarted router, because the
+/// router accepts acknowledgements that belong to its previous run.
 #[test]
 fn slots_of_a_restarted_router_do_not_lie_idle() {
     for seed in [26, 51] {
@@ -106,8 +106,8 @@
     }
 }
 
-/// Guards against a pool of short calls that is shared out a few times a second only, as its owner's
-/// other pool uses up the budget of messages.
+/// Guards against a pool of short calls whose slots are granted only a few times per second,
+/// because its owner's other pool uses up the message budget.
 #[test]
 fn short_calls_do_not_wait_beside_another_pool_s_long_queues() {
     for seed in [38, 114] {
@@ -115,7 +115,8 @@
     }
 }
 
-/// Guards against a request that crashes one endpoint after the other, sent again through any router.
+/// Guards against a request that is retried through any router and crashes one endpoint after the
+/// other.
 #[test]
 fn a_crashing_request_takes_down_two_endpoints_at_most() {
     for seed in [2, 3, 4] {
@@ -123,7 +124,7 @@
     }
 }
 
-/// One test for each scenario and deployment, so that they run side by side.
+/// Defines one test for each scenario and deployment, so that they run in parallel.
 macro_rules! scenario_tests {
     ($($name:ident),* $(,)?) => {
         const TESTED: &[&str] = &[$(stringify!($name)),*];
@@ -171,7 +172,7 @@
     assert_eq!(table, TESTED);
 }
 
-/// Small enough to run many of them.
+/// A fleet small enough for many random cases.
 const SMALL: FleetSize = FleetSize {
     name: "small",
     routers: 3,
@@ -179,9 +180,9 @@
     engines: 2,
     plain: 1,
 };
-/// Length of a small run in microseconds, and until when its callers send new calls and faults
-/// may happen.
+/// Length of a small run, in microseconds.
 const SMALL_END: u64 = 25_000_000;
+/// Time in a small run until which callers send new calls and faults happen, in microseconds.
 const SMALL_CALLS: u64 = 20_000_000;
 
 fn any_stream() -> impl Strategy<Value = CallStream> {
@@ -263,9 +264,9 @@
 proptest! {
     #![proptest_config(config(32))]
 
-    // A caller's tag is doubled, or "not run" is said of one that ran, or an answer never comes,
-    // after routers were parted, restarted or paused, endpoints crashed and messages were lost
-    // and doubled, in any order and one on top of the other.
+    // Guards against a call that runs twice, is reported as not run although it ran, or never gets
+    // an answer, after any combination of router partitions, restarts and pauses, endpoint crashes,
+    // and lost or duplicated messages.
     #[test]
     fn invariants_hold_under_random_loads_and_faults(
         streams in vec(any_stream(), 1..6),
@@ -282,8 +283,8 @@
         assert_invariants(&checks::invariants(&fleet), "random load and faults");
     }
 
-    // Without faults the fleet gets nearly as much done as the naive version, which knows all
-    // queues and slots at once.
+    // Without faults the fleet must use nearly as much capacity as the naive version, which always
+    // knows all queues and slots.
     #[test]
     fn random_loads_get_as_much_service_as_from_the_naive_version(
         streams in vec(any_stream(), 1..6),
@@ -297,5 +298,6 @@
     }
 }
 
-/// Part of the capacity by which the fleet may use less than the naive version in a small run.
+/// Maximum difference between the parts of capacity that the naive version and the fleet use in a
+/// small run.
 const SERVICE_SLACK: f64 = 0.02;
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,4 +1,5 @@
-//! Which endpoints a fleet's routers use after outages of the store, without a network.
+//! The endpoints that routers use after an outage of the store: those that lapsed stay in use for a
+//! grace. Runs without a network.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,7 +20,7 @@
 
 use self::engines::endpoints;
 
-/// Time for which endpoints that lapsed are kept.
+/// Time for which lapsed endpoints stay in use.
 const GRACE: TimeSpan = TimeSpan::from_millis(2_000);
 
 fn ms(millis: u64) -> Moment {
@@ -28,7 +29,7 @@
 
 type Entries = BTreeMap<EndpointKey, EndpointEntry>;
 
-/// What a store holds at a revision.
+/// Returns a view of these entries and the revision at which the store holds them.
 fn told(entries: &Entries, revision: u64) -> (EndpointView, StoreRevision) {
     let mut view = EndpointView::default();
     view.replace(ms(0), entries.clone());
@@ -44,8 +45,9 @@
     entries.clone().into_iter().skip(count).collect()
 }
 
-/// The store was away and comes back without the endpoints' entries, which return one by one. All
-/// are used until the grace is over, and those that did not return are not used after it.
+/// Guards against routers that refuse all calls after an outage of the store, in which entries
+/// lapse and then return one by one: all endpoints must stay in use until the grace is over, and
+/// after it only those that returned.
 #[test]
 fn lapsed_endpoints_are_used_until_the_grace_is_over() {
     let all = endpoints("engine", 3);
@@ -61,13 +63,14 @@
     assert!(list.end_kept(ms(11_999)).is_empty());
     assert_eq!(list.end_kept(ms(12_000)).len(), 2);
     assert_eq!(list.used(), back);
-    // Without an outage a removal counts at once.
+    // Without an outage a removal takes effect at once.
     read(&mut list, ms(13_000), &BTreeMap::new(), 4);
     assert!(list.used().is_empty());
 }
 
-/// Another router tells of what it keeps. Its clock differs and the exchange takes time; the
-/// endpoint must not be used for longer than there.
+/// Guards against a grace that grows as lists pass between routers: the sender's clock differs and
+/// the exchange takes time, but the receiver must not use a lapsed endpoint for longer than the
+/// sender.
 #[test]
 fn what_another_router_keeps_ends_no_later_than_there() {
     let all = endpoints("engine", 3);
@@ -75,7 +78,7 @@
     read(&mut keeping, ms(0), &all, 1);
     keeping.store_returned(ms(10_000), GRACE);
     read(&mut keeping, ms(10_000), &without(&all, 1), 2);
-    // Its 11.5 s are this router's 51.2 s; the question was asked 0.2 s before.
+    // The sender's 11.5 s are the receiver's 51.2 s; the request was sent 0.2 s before that.
     let mut list = EndpointList::default();
     assert!(list.adopt(ms(51_200), ms(51_000), keeping.telling(ms(11_500))));
     assert_eq!(list.used().len(), 3);
@@ -83,10 +86,10 @@
     assert_eq!(list.used().len(), 2);
 }
 
-/// Routers lose and reach the store at different moments after its outage, stop reading at any,
-/// and fetch each other's lists. Whatever the order, an endpoint that left after the store's return
-/// is used by none of them once the grace is over, also if no further change comes; those that stay
-/// are used by all.
+/// Guards against endpoints that stay in use after they left: routers lose and reach the store at
+/// different times, stop reading it at any time, and fetch each other's lists. In whatever order
+/// this happens, once the grace is over no router may use an endpoint that left after the store's
+/// return, even if no further change follows, and all must use those that stayed.
 #[test]
 fn after_the_grace_no_order_of_events_leaves_an_endpoint_that_is_gone() {
     for seed in 0..2_000 {
