--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -30,14 +30,14 @@
 type Entries = BTreeMap<EndpointKey, EndpointEntry>;
 
 /// Returns a view of these entries and the revision at which the store holds them.
-fn told(entries: &Entries, revision: u64) -> (EndpointView, StoreRevision) {
+fn snapshot(entries: &Entries, revision: u64) -> (EndpointView, StoreRevision) {
     let mut view = EndpointView::default();
     view.replace(ms(0), entries.clone());
     (view, StoreRevision(revision))
 }
 
 fn read(list: &mut EndpointList, now: Moment, entries: &Entries, revision: u64) -> bool {
-    let (view, as_of) = told(entries, revision);
+    let (view, as_of) = snapshot(entries, revision);
     list.advance(now, view.at(as_of))
 }
 
@@ -113,8 +113,8 @@
                     read(&mut lists[index], now, &store.0, store.1);
                 }
                 _ => {
-                    let told = lists[rng.random_range(0..lists.len())].telling(now);
-                    lists[index].adopt(now, now, told);
+                    let snapshot = lists[rng.random_range(0..lists.len())].telling(now);
+                    lists[index].adopt(now, now, snapshot);
                 }
             }
         }
