--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -36,7 +36,7 @@
     (view, StoreRevision(revision))
 }
 
-fn read(list: &mut EndpointList, now: Moment, entries: &Entries, revision: u64) -> bool {
+fn read_store(list: &mut EndpointList, now: Moment, entries: &Entries, revision: u64) -> bool {
     let (view, as_of) = snapshot(entries, revision);
     list.advance(now, view.at(as_of))
 }
@@ -52,19 +52,19 @@
 fn lapsed_endpoints_are_used_until_the_grace_is_over() {
     let all = endpoints("engine", 3);
     let mut list = EndpointList::default();
-    read(&mut list, ms(0), &all, 1);
+    read_store(&mut list, ms(0), &all, 1);
     list.store_returned(ms(10_000), GRACE);
-    read(&mut list, ms(10_000), &BTreeMap::new(), 2);
+    read_store(&mut list, ms(10_000), &BTreeMap::new(), 2);
     assert_eq!(list.used().len(), 3);
     let back: Entries = all.clone().into_iter().take(1).collect();
-    read(&mut list, ms(10_100), &back, 3);
+    read_store(&mut list, ms(10_100), &back, 3);
     assert_eq!(list.used().len(), 3);
     assert!(list.kept().values().all(|kept| kept.until == ms(12_000)));
     assert!(list.end_kept(ms(11_999)).is_empty());
     assert_eq!(list.end_kept(ms(12_000)).len(), 2);
     assert_eq!(list.used(), back);
     // Without an outage a removal takes effect at once.
-    read(&mut list, ms(13_000), &BTreeMap::new(), 4);
+    read_store(&mut list, ms(13_000), &BTreeMap::new(), 4);
     assert!(list.used().is_empty());
 }
 
@@ -75,9 +75,9 @@
 fn what_another_router_keeps_ends_no_later_than_there() {
     let all = endpoints("engine", 3);
     let mut keeping = EndpointList::default();
-    read(&mut keeping, ms(0), &all, 1);
+    read_store(&mut keeping, ms(0), &all, 1);
     keeping.store_returned(ms(10_000), GRACE);
-    read(&mut keeping, ms(10_000), &without(&all, 1), 2);
+    read_store(&mut keeping, ms(10_000), &without(&all, 1), 2);
     // The sender's 11.5 s are the receiver's 51.2 s; the request was sent 0.2 s before that.
     let mut list = EndpointList::default();
     assert!(list.adopt(ms(51_200), ms(51_000), keeping.telling(ms(11_500))));
@@ -97,7 +97,7 @@
         let all = endpoints("engine", 4);
         let mut lists = vec![EndpointList::default(); 6];
         for list in &mut lists {
-            read(list, ms(0), &all, 10);
+            read_store(list, ms(0), &all, 10);
         }
         let mut store = (all.clone(), 10);
         let left: BTreeSet<u64> = (0..2).map(|_| rng.random_range(10_000..11_900)).collect();
@@ -110,7 +110,7 @@
             match rng.random_range(0..3) {
                 0 => lists[index].store_returned(ms(10_000), GRACE),
                 1 => {
-                    read(&mut lists[index], now, &store.0, store.1);
+                    read_store(&mut lists[index], now, &store.0, store.1);
                 }
                 _ => {
                     let snapshot = lists[rng.random_range(0..lists.len())].telling(now);
