--- a/tests/differential.rs
+++ b/tests/differential.rs
@@ -220,12 +220,13 @@
 }
 
 fn any_fault() -> impl Strategy<Value = (u64, FleetFault)> {
-    let seat = 0..SMALL.routers;
+    let router_index = 0..SMALL.routers;
     let fault = prop_oneof![
         (1..SMALL.routers).prop_map(FleetFault::Part),
         Just(FleetFault::Heal),
-        seat.clone().prop_map(FleetFault::Restart),
-        (seat, 100_u64..9_000).prop_map(|(seat, millis)| FleetFault::Pause(seat, millis)),
+        router_index.clone().prop_map(FleetFault::Restart),
+        (router_index, 100_u64..9_000)
+            .prop_map(|(router_index, millis)| FleetFault::Pause(router_index, millis)),
         (0..SMALL.engines).prop_map(FleetFault::Crash),
         (0_u32..80).prop_map(FleetFault::Noise),
     ];
