--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -72,7 +72,7 @@
 /// the exchange takes time, but the receiver must not use a lapsed endpoint for longer than the
 /// sender.
 #[test]
-fn what_another_router_keeps_ends_no_later_than_there() {
+fn a_lapsed_endpoint_is_used_no_longer_than_by_the_sender() {
     let all = endpoints("engine", 3);
     let mut keeping = EndpointList::default();
     read_store(&mut keeping, ms(0), &all, 1);
