--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -91,7 +91,7 @@
 /// this happens, once the grace is over no router may use an endpoint that left after the store's
 /// return, even if no further change follows, and all must use those that stayed.
 #[test]
-fn after_the_grace_no_order_of_events_leaves_an_endpoint_that_is_gone() {
+fn no_order_of_events_keeps_a_gone_endpoint_after_the_grace() {
     for seed in 0..2_000 {
         let mut rng = StdRng::seed_from_u64(seed);
         let all = endpoints("engine", 4);
