--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -29,14 +29,14 @@
 type Entries = BTreeMap<EndpointKey, EndpointEntry>;
 
 /// Returns the content of a store at a revision.
-fn told(entries: &Entries, revision: u64) -> (EndpointView, StoreRevision) {
+fn snapshot(entries: &Entries, revision: u64) -> (EndpointView, StoreRevision) {
     let mut view = EndpointView::default();
     view.replace(ms(0), entries.clone());
     (view, StoreRevision(revision))
 }
 
-fn read(list: &mut EndpointList, now: Moment, entries: &Entries, revision: u64) -> bool {
-    let (view, as_of) = told(entries, revision);
+fn read_store(list: &mut EndpointList, now: Moment, entries: &Entries, revision: u64) -> bool {
+    let (view, as_of) = snapshot(entries, revision);
     list.advance(now, view.at(as_of))
 }
 
@@ -51,31 +51,31 @@
 fn lapsed_endpoints_are_used_until_the_grace_is_over() {
     let all = endpoints("engine", 3);
     let mut list = EndpointList::default();
-    read(&mut list, ms(0), &all, 1);
+    read_store(&mut list, ms(0), &all, 1);
     list.store_returned(ms(10_000), GRACE);
-    read(&mut list, ms(10_000), &BTreeMap::new(), 2);
+    read_store(&mut list, ms(10_000), &BTreeMap::new(), 2);
     assert_eq!(list.used().len(), 3);
     let back: Entries = all.clone().into_iter().take(1).collect();
-    read(&mut list, ms(10_100), &back, 3);
+    read_store(&mut list, ms(10_100), &back, 3);
     assert_eq!(list.used().len(), 3);
     assert!(list.kept().values().all(|kept| kept.until == ms(12_000)));
     assert!(list.expire_kept(ms(11_999)).is_empty());
     assert_eq!(list.expire_kept(ms(12_000)).len(), 2);
     assert_eq!(list.used(), back);
     // Without an outage a removal takes effect at once.
-    read(&mut list, ms(13_000), &BTreeMap::new(), 4);
+    read_store(&mut list, ms(13_000), &BTreeMap::new(), 4);
     assert!(list.used().is_empty());
 }
 
 /// Another router sends the endpoints that it keeps. Its clock differs and the exchange takes time;
 /// the endpoint must not be used for longer than at the sender.
 #[test]
-fn what_another_router_keeps_ends_no_later_than_there() {
+fn a_lapsed_endpoint_is_used_no_longer_than_by_the_sender() {
     let all = endpoints("engine", 3);
     let mut keeping = EndpointList::default();
-    read(&mut keeping, ms(0), &all, 1);
+    read_store(&mut keeping, ms(0), &all, 1);
     keeping.store_returned(ms(10_000), GRACE);
-    read(&mut keeping, ms(10_000), &without(&all, 1), 2);
+    read_store(&mut keeping, ms(10_000), &without(&all, 1), 2);
     // 11.5 s on its clock are 51.2 s on this router's; the request was sent 0.2 s before.
     let mut list = EndpointList::default();
     assert!(list.adopt(ms(51_200), ms(51_000), keeping.to_message(ms(11_500))));
@@ -89,13 +89,13 @@
 /// endpoint that left after the store's return once the grace period is over, even if no further
 /// change comes, and all routers use those that stay.
 #[test]
-fn after_the_grace_no_order_of_events_leaves_an_endpoint_that_is_gone() {
+fn no_order_of_events_keeps_a_gone_endpoint_after_the_grace() {
     for seed in 0..2_000 {
         let mut rng = StdRng::seed_from_u64(seed);
         let all = endpoints("engine", 4);
         let mut lists = vec![EndpointList::default(); 6];
         for list in &mut lists {
-            read(list, ms(0), &all, 10);
+            read_store(list, ms(0), &all, 10);
         }
         let mut store = (all.clone(), 10);
         let left: BTreeSet<u64> = (0..2).map(|_| rng.random_range(10_000..11_900)).collect();
@@ -108,11 +108,11 @@
             match rng.random_range(0..3) {
                 0 => lists[index].store_returned(ms(10_000), GRACE),
                 1 => {
-                    read(&mut lists[index], now, &store.0, store.1);
+                    read_store(&mut lists[index], now, &store.0, store.1);
                 }
                 _ => {
-                    let told = lists[rng.random_range(0..lists.len())].to_message(now);
-                    lists[index].adopt(now, now, told);
+                    let snapshot = lists[rng.random_range(0..lists.len())].to_message(now);
+                    lists[index].adopt(now, now, snapshot);
                 }
             }
         }
