--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,7 +1,7 @@
-//! The rendered publication: what the whole fleet runs on, indexed by id.
+//! The catalog: the rendered publication that all routers use, indexed by id.
 //!
-//! A catalog is built once from a checked publication and never changed. Source: the
-//! sources's configuration service, see `publication`.
+//! A catalog is built once from a checked publication and is immutable. The publication comes from
+//! the configuration service, see `publication`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 use crate::units::TeamName;
 use crate::units::TimeSpan;
 
-/// How quickly a caller needs the answer.
+/// Urgency of a kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UrgencyClass {
-    /// Somebody waits at a screen: nurse queries, portal lookups.
+    /// A person waits for the answer: nurse queries, portal lookups.
     Interactive,
     /// Long jobs: cohort reviews, corrective plans.
     Batch,
@@ -33,19 +33,19 @@
 /// One kind of request of a team.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KindEntry {
-    /// How quickly callers need the answer.
+    /// Urgency of the requests.
     pub urgency: UrgencyClass,
-    /// True if a second execution does harm: at most one execution ever.
+    /// True if a request must be executed at most once because a second execution does harm.
     pub unrepeatable: bool,
-    /// How long a request may take in all, from arrival.
+    /// Maximum total time of a request, from its arrival.
     pub deadline: TimeSpan,
-    /// Service-level objective: an answer within this span counts as good.
+    /// Latency goal of the service-level objective: an answer within this time counts as good.
     pub goal: TimeSpan,
-    /// Objective in parts per thousand of good answers, such as 990.
+    /// Service-level objective: target share of good answers per thousand, such as 990.
     pub objective_per_mille: u16,
-    /// Only requests with this method are of this kind, if set.
+    /// If set, only requests with this method are of this kind.
     pub method: Option<SmolStr>,
-    /// Only requests whose path starts with this are of this kind, if set.
+    /// If set, only requests whose path starts with this prefix are of this kind.
     pub path_prefix: Option<SmolStr>,
 }
 
@@ -54,26 +54,26 @@
 pub struct TeamEntry {
     /// Its name.
     pub name: TeamName,
-    /// Its share of every pool it uses.
+    /// Its share of every pool that it uses.
     pub share: ShareWeight,
-    /// SHA-256 hashes of its keys; two while a key rotates.
+    /// SHA-256 hashes of its API keys; two during a key rotation.
     pub key_hashes: Vec<[u8; 32]>,
-    /// Requests it may have waiting at one router.
+    /// Maximum number of its waiting requests at one router.
     pub queue_limit: u32,
-    /// Its kinds.
+    /// Its kinds of requests.
     pub kinds: BTreeMap<KindName, KindEntry>,
-    /// The kind of a request that names and matches none.
+    /// The kind of a request that names no kind and matches none.
     pub default_kind: KindName,
 }
 
-/// What a pool's endpoints speak.
+/// Protocol of a pool's endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PoolProtocol {
-    /// Model engines with the published completion API; the pool name is the model.
+    /// Model engines with the public completion API; the pool name is the model name.
     Engine,
     /// Any method and path under `prefix`, such as `/portal`.
     Plain {
-        /// Path prefix with leading slash, without trailing one.
+        /// Path prefix with a leading slash and without a trailing one.
         prefix: SmolStr,
     },
 }
@@ -81,18 +81,18 @@
 /// One pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolEntry {
-    /// Its name; the model name for engines.
+    /// Its name; for engines, the model name.
     pub name: PoolName,
-    /// What its endpoints speak.
+    /// Protocol of its endpoints.
     pub protocol: PoolProtocol,
     /// Its endpoints, in id order.
     pub endpoints: Vec<EndpointId>,
 }
 
-/// Whether an endpoint refuses orders with an old fencing number.
+/// Defines whether an endpoint rejects orders with an old fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceCheck {
-    /// An order with a number below the highest seen is refused.
+    /// An order with a number below the highest seen is rejected.
     Checked,
     /// The number is ignored.
     Ignored,
@@ -105,28 +105,28 @@
     pub name: EndpointName,
     /// IP number and port.
     pub address: SocketAddr,
-    /// The pools it can serve; the first is the one it serves until an order changes that.
+    /// The pools that it can serve; it serves the first until an order changes that.
     pub pools: Vec<PoolId>,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Requests that it runs at once within its latency goals.
+    /// Maximum number of requests that it runs concurrently within its latency goals.
     pub slots: SlotCount,
-    /// Whether it checks fencing numbers.
+    /// Defines whether it checks fencing numbers.
     pub fence_check: FenceCheck,
-    /// True once the operators publish that it leaves.
+    /// True once the operators publish that it is leaving.
     pub leaving: bool,
 }
 
-/// What every router demands of callers.
+/// Limits on callers at every router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest request header, in bytes.
+    /// Maximum request header size, in bytes.
     pub header_bytes: u64,
-    /// Largest request body, in bytes.
+    /// Maximum request body size, in bytes.
     pub body_bytes: u64,
-    /// Longest pause within a request's header or body.
+    /// Maximum pause within a request's header or body.
     pub body_idle: TimeSpan,
-    /// Longest pause of a caller that reads its answer.
+    /// Maximum pause of a caller while it reads its answer.
     pub answer_idle: TimeSpan,
 }
 
@@ -141,10 +141,10 @@
     }
 }
 
-/// The rendered publication.
+/// The rendered publication, indexed by id.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FleetCatalog {
-    /// The source's revision.
+    /// Revision of the publication at its source.
     pub revision: ConfigRevision,
     /// All teams.
     pub teams: BTreeMap<TeamId, TeamEntry>,
@@ -152,12 +152,12 @@
     pub pools: BTreeMap<PoolId, PoolEntry>,
     /// All endpoints.
     pub endpoints: BTreeMap<EndpointId, EndpointEntry>,
-    /// What every router demands of callers.
+    /// Limits on callers at every router.
     pub caller_limits: CallerLimits,
 }
 
 impl FleetCatalog {
-    /// A team's share; 1 for a team that the catalog does not hold.
+    /// Returns a team's share, or 1 for a team that is not in the catalog.
     #[must_use]
     pub fn share_of(&self, team: TeamId) -> ShareWeight {
         self.teams
--- a/src/configs/admission.rs
+++ b/src/configs/admission.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdmissionConfig {
-    /// Requests that may wait at one router over all teams.
+    /// Maximum number of waiting requests at one router, over all teams.
     pub queue_limit: u32,
-    /// Milliseconds that a refused caller is told to wait at least.
+    /// Minimum time after which a refused caller is told to retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
--- a/src/configs/attempts.rs
+++ b/src/configs/attempts.rs
@@ -8,13 +8,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct AttemptsConfig {
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts of one request, including the first.
     pub max_attempts: u32,
-    /// Retries that a team earns per hundred first attempts.
+    /// Retry budget: retries that a team earns per hundred first attempts.
     pub retry_percent: u32,
-    /// Retries that a team may save up.
+    /// Maximum number of unused retries that a team can accumulate.
     pub retry_burst: u32,
-    /// Milliseconds before the first retry; doubled for each further one, with jitter.
+    /// Backoff before the first retry, in milliseconds; doubled for each further one, with jitter.
     pub backoff_ms: u64,
 }
 
--- a/src/configs/dispatch.rs
+++ b/src/configs/dispatch.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct DispatchConfig {
-    /// Service units by which an interactive request may go before its team's turn.
+    /// Service units by which an interactive request may be dispatched ahead of its team's turn.
     pub express_units: u64,
-    /// Milliseconds within which the first byte of an attempt must be written.
+    /// Milliseconds within which the first byte of an attempt must be sent to the endpoint.
     pub write_within_ms: u64,
-    /// Prefixes whose last endpoint is remembered, per pool.
+    /// Number of prompt prefixes per pool for which the last endpoint is remembered.
     pub prefix_memory: u32,
 }
 
--- a/src/configs/leaving.rs
+++ b/src/configs/leaving.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeavingConfig {
-    /// Leaving endpoints in one ping at most.
+    /// Maximum number of leaving endpoints in one ping.
     pub news: usize,
-    /// Leaving endpoints in a greeting at most.
+    /// Maximum number of leaving endpoints in the greeting on a new connection.
     pub greeting: usize,
 }
 
--- a/src/configs/limits.rs
+++ b/src/configs/limits.rs
@@ -8,25 +8,26 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitsConfig {
-    /// Milliseconds between two moves of an endpoint's limit.
+    /// Milliseconds between two adjustments of an endpoint's concurrency limit.
     pub adjust_ms: u64,
-    /// Milliseconds after which the first byte of an interactive answer of an engine is late.
+    /// Milliseconds after which the first byte of an engine's interactive answer counts as late.
     pub first_byte_ms: u64,
-    /// Late answers in a thousand that count as pressure.
+    /// Late answers per thousand from which an endpoint counts as under pressure.
     pub slow_per_mille: u32,
-    /// Part of the published slots, in a hundred, that a limit keeps while an engine holds
-    /// requests back.
+    /// Lower bound of the limit while an engine queues requests, as a percentage of the published
+    /// slots.
     pub least_percent: u32,
-    /// Part of the published slots, in a hundred, that a limit keeps while answers are only late.
+    /// Lower bound of the limit while answers are late but the engine queues no requests, as a
+    /// percentage of the published slots.
     pub least_late_percent: u32,
-    /// Part of the limit, in a hundred, that a step down leaves.
+    /// Percentage of the limit that remains after one decrease.
     pub step_down_percent: u32,
-    /// Part of the published slots, in a hundred, that a step up adds.
+    /// Percentage of the published slots by which one increase raises the limit.
     pub step_up_percent: u32,
-    /// Time that a request is reckoned to need till its end, in a hundred parts of the estimate;
-    /// one that would not end before its deadline so is refused at once.
+    /// Factor applied to the estimated time to the end of a request, in percent. A request that
+    /// would not end before its deadline by this estimate is refused at once.
     pub estimate_percent: u64,
-    /// Milliseconds for which a load report counts.
+    /// Milliseconds after which an endpoint's load report is ignored as stale.
     pub load_fresh_ms: u64,
 }
 
--- a/src/configs/membership.rs
+++ b/src/configs/membership.rs
@@ -8,19 +8,22 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct MembershipConfig {
-    /// Milliseconds of suspicion after which a router is taken for dead.
+    /// Milliseconds after which a suspect router is declared dead.
     pub suspicion_ms: u64,
-    /// The same once `confirmations` other routers suspect it too.
+    /// Shorter value of `suspicion_ms` that applies once `confirmations` other routers suspect the
+    /// router too.
     pub confirmed_ms: u64,
-    /// Routers that must share a suspicion to shorten it.
+    /// Number of other routers that must suspect a router for `confirmed_ms` to apply.
     pub confirmations: usize,
-    /// Milliseconds between two ticks above which this process counts as having paused.
+    /// Milliseconds between two ticks above which this process is considered to have paused.
     pub pause_ms: u64,
-    /// Routers up to which each is connected to all; beyond, connections open on demand.
+    /// Largest fleet, in routers, in which all routers connect to each other. In a larger fleet,
+    /// connections are opened on demand.
     pub small_fleet: usize,
-    /// Milliseconds after which an unused connection of a large fleet is closed.
+    /// Milliseconds after which an unused connection in a large fleet is closed.
     pub idle_ms: u64,
-    /// Milliseconds after which a dead router that is not on the host list is forgotten.
+    /// Milliseconds after which a dead router that is not on the host list is removed from the
+    /// member table.
     pub forget_ms: u64,
 }
 
--- a/src/configs/mod.rs
+++ b/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of each system, one small file a system with its defaults in one place.
+//! Settings of each system and their defaults, one file per system.
 
 pub mod admission;
 pub mod attempts;
@@ -34,34 +34,34 @@
 use self::reporting::ReportingConfig;
 use self::tickets::TicketsConfig;
 
-/// Settings of the decision core, one field a system.
+/// Settings of the decision core, one field per system.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct CoreConfig {
-    /// Bounded queues.
+    /// Admission of new requests into bounded queues.
     pub admission: AdmissionConfig,
-    /// Retries.
+    /// Attempts and retries.
     pub attempts: AttemptsConfig,
-    /// Picking the next request.
+    /// Selection of the next request to run.
     pub dispatch: DispatchConfig,
-    /// Endpoints that leave.
+    /// Endpoints that are leaving.
     pub leaving: LeavingConfig,
-    /// How much endpoints are given.
+    /// Concurrency limits of endpoints.
     pub limits: LimitsConfig,
-    /// Who the routers are.
+    /// Membership: which routers form the fleet.
     pub membership: MembershipConfig,
-    /// Which models endpoints serve.
+    /// Orders that tell endpoints which model to serve.
     pub orders: OrdersConfig,
-    /// Sharing out a pool's slots.
+    /// Allocation of a pool's slots by its owner.
     pub ownership: OwnershipConfig,
-    /// Pinging other routers.
+    /// Failure detection by pings.
     pub probing: ProbingConfig,
-    /// Requests that crash endpoints.
+    /// Quarantine of requests that crash endpoints.
     pub quarantine: QuarantineConfig,
-    /// Which publication is in force.
+    /// Distribution of publications among routers.
     pub publication: PublicationConfig,
-    /// Telling owners of demand.
+    /// Demand reports to pool owners.
     pub reporting: ReportingConfig,
-    /// Unrepeatable requests.
+    /// Tickets of unrepeatable requests.
     pub tickets: TicketsConfig,
 }
--- a/src/configs/orders.rs
+++ b/src/configs/orders.rs
@@ -8,23 +8,27 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct OrdersConfig {
-    /// Milliseconds for which a pool must lack slots before its owner wishes for an endpoint.
+    /// Milliseconds for which a pool must lack slots before its owner sends a wish, a request for
+    /// an endpoint of another pool.
     pub want_ms: u64,
-    /// Milliseconds between two wishes of one pool.
+    /// Minimum time between two wishes of one pool, in milliseconds.
     pub wish_gap_ms: u64,
-    /// Milliseconds for which a router must own a pool without a pause before it gives orders.
+    /// Milliseconds for which a router must own a pool without a pause before it gives orders. Must
+    /// exceed the time for which a previous owner can wrongly believe that it still owns the pool.
     pub belief_ms: u64,
-    /// Milliseconds between two ticks that count as a pause.
+    /// Milliseconds between two ticks above which this process is considered to have paused.
     pub pause_ms: u64,
-    /// Milliseconds for which an endpoint keeps a model at least.
+    /// Minimum time for which an endpoint keeps a model, in milliseconds.
     pub residence_ms: u64,
-    /// Milliseconds that an orderer that can't be seen keeps its say over an endpoint.
+    /// Milliseconds for which the router that last gave an endpoint orders keeps that role while it
+    /// can't be reached. After that, another router may give the endpoint orders.
     pub takeover_ms: u64,
-    /// Milliseconds after which an order that was not followed is given again.
+    /// Milliseconds after which an order that was not carried out is sent again.
     pub resend_ms: u64,
-    /// Models that the weight store can hand out a minute, over the whole fleet.
+    /// Model loads per minute that the weight store can serve, over the whole fleet.
     pub loads_per_minute: u32,
-    /// Demand per slot that a wish must show, in a hundred parts of that of the pool that gives.
+    /// Minimum demand per slot of the pool that sends a wish, as a percentage of the demand per
+    /// slot of the pool that gives up the endpoint.
     pub pressure_percent: u64,
 }
 
--- a/src/configs/ownership.rs
+++ b/src/configs/ownership.rs
@@ -8,22 +8,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct OwnershipConfig {
-    /// Milliseconds that a new owner listens before it grants slots.
+    /// Milliseconds for which a new owner collects reports before it grants slots.
     pub settle_ms: u64,
-    /// Milliseconds between two shares-out of a pool when nothing is urgent.
+    /// Milliseconds between two allocations of a pool's slots when nothing is urgent.
     pub share_out_ms: u64,
-    /// Milliseconds between two shares-out of a pool at least.
+    /// Minimum time between two allocations of a pool's slots, in milliseconds.
     pub share_gap_ms: u64,
-    /// Milliseconds after which an entry router with waiting requests is told the teams' order anew.
+    /// Milliseconds after which an entry router with waiting requests is sent the virtual times of
+    /// the teams again.
     pub refresh_ms: u64,
-    /// Milliseconds within which a team that is ahead or behind is brought level.
+    /// Milliseconds within which a team's lead or lag in service is evened out.
     pub correction_ms: u64,
-    /// Service units of lead that a team keeps at most: remembered debt is clamped here.
+    /// Maximum lead of a team in service units; a larger debt is clamped to this.
     pub debt_units: u64,
-    /// Bytes a second that allotments may use on average, per owner. Beyond that a pool is shared
-    /// out only every `refresh_ms`, unless it used less than its even part.
+    /// Average bytes per second that allotments may use, per owner. Above this, a pool is allocated
+    /// only every `refresh_ms`, unless it used less than an equal part of the budget.
     pub bytes_per_s: u64,
-    /// Milliseconds of silence after which an entry router's slots are granted to others.
+    /// Milliseconds without a report after which an entry router's slots are granted to others.
     pub claim_ms: u64,
 }
 
--- a/src/configs/peers.rs
+++ b/src/configs/peers.rs
@@ -8,25 +8,27 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeersConfig {
-    /// Largest frame in bytes; a publication of 1 MiB must fit.
+    /// Maximum frame size in bytes; a publication of 1 MiB must fit.
     pub max_frame_bytes: usize,
-    /// Control messages that wait for one peer at most; more are dropped, which senders expect.
+    /// Maximum number of control messages queued for one peer. Further messages are dropped;
+    /// senders tolerate this loss.
     pub queue_messages: usize,
-    /// Milliseconds for connecting and the handshake together.
+    /// Timeout for connecting and the handshake together, in milliseconds.
     pub handshake_ms: u64,
-    /// Milliseconds for writing one control frame; a peer that is slower is dropped.
+    /// Timeout for writing one control frame, in milliseconds; the connection to a slower peer is
+    /// closed.
     pub write_ms: u64,
-    /// Milliseconds before the first redial.
+    /// Backoff before the first redial, in milliseconds.
     pub redial_ms: u64,
-    /// Milliseconds between redials at most.
+    /// Maximum backoff between redials, in milliseconds.
     pub redial_most_ms: u64,
-    /// Connections that have not yet proved a key at most.
+    /// Maximum number of connections that are not yet authenticated.
     pub strangers: usize,
-    /// Idle forwarding connections kept for each peer.
+    /// Maximum number of idle forwarding connections kept per peer.
     pub idle_forwards: usize,
-    /// Milliseconds that an idle forwarding connection is kept.
+    /// Milliseconds for which an idle forwarding connection is kept.
     pub idle_ms: u64,
-    /// Largest piece of a forwarded body in one frame, in bytes.
+    /// Maximum size of the part of a forwarded body in one frame, in bytes.
     pub forward_piece_bytes: usize,
 }
 
--- a/src/configs/probing.rs
+++ b/src/configs/probing.rs
@@ -8,19 +8,20 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProbingConfig {
-    /// Milliseconds between two pings of a router in a small fleet.
+    /// Milliseconds between two pings that a router sends in a small fleet.
     pub period_ms: u64,
-    /// Milliseconds between two pings of a router in a large fleet.
+    /// Milliseconds between two pings that a router sends in a large fleet.
     pub large_period_ms: u64,
-    /// Milliseconds after which other routers are asked to ping the target too.
+    /// Milliseconds without an answer after which other routers are asked to ping the target too.
     pub answer_ms: u64,
-    /// Routers that are asked.
+    /// Number of routers that are asked to ping the target.
     pub helpers: usize,
-    /// News of members in one ping at most.
+    /// Maximum number of membership updates in one ping.
     pub news: usize,
-    /// A piece of news is passed on this many times the logarithm of the number of routers.
+    /// Retransmission factor: an update is sent this many times the logarithm of the number of
+    /// routers.
     pub spread: u32,
-    /// Routers that are told at once of a new publication or a leaving endpoint.
+    /// Number of routers to which a new publication or a leaving endpoint is pushed at once.
     pub fanout: usize,
 }
 
--- a/src/configs/publication.rs
+++ b/src/configs/publication.rs
@@ -8,14 +8,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PublicationConfig {
-    /// Routers of each failure domain that watch the configuration service.
+    /// Number of routers per failure domain that watch the configuration service.
     pub readers: usize,
-    /// Milliseconds after which an unanswered question for a publication goes to another peer.
+    /// Milliseconds after which an unanswered fetch of a publication is sent to another peer.
     pub fetch_ms: u64,
-    /// Milliseconds after which a router becomes ready though not all peers told their revision.
+    /// Milliseconds after which a router becomes ready even if some peers have not sent their
+    /// revision.
     pub ready_ms: u64,
-    /// Milliseconds since the service last answered anyone above which the newest revision
-    /// counts as not known. Must exceed the time that the service holds a watch open.
+    /// Milliseconds after the service's last answer to any router from which on it is uncertain
+    /// whether the revision in force is the newest. Must exceed the time for which the service
+    /// holds a watch open.
     pub certain_ms: u64,
 }
 
--- a/src/configs/quarantine.rs
+++ b/src/configs/quarantine.rs
@@ -8,19 +8,21 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct QuarantineConfig {
-    /// Crashes in which a request must have been running before it is refused.
+    /// Number of crashes during which a request must have been running before it is refused.
     pub crashes: u32,
     /// Milliseconds for which such a request is refused.
     pub refuse_ms: u64,
-    /// Milliseconds for which a request that was in one crash is kept apart from others.
+    /// Milliseconds for which a request that was running during one crash is isolated from other
+    /// suspects.
     pub suspect_ms: u64,
-    /// Milliseconds between a lost attempt and a sign of a crash within which they belong together.
+    /// Maximum time between a lost attempt and evidence of a crash for the two to be attributed to
+    /// each other, in milliseconds.
     pub evidence_ms: u64,
-    /// Milliseconds for which a lost attempt waits for a sign of whether its endpoint crashed.
+    /// Milliseconds for which a lost attempt waits for evidence of whether its endpoint crashed.
     pub check_ms: u64,
-    /// Requests that are remembered as suspects.
+    /// Maximum number of suspects that are remembered.
     pub max_suspects: u32,
-    /// Crashes that are remembered.
+    /// Maximum number of crashes that are remembered.
     pub max_crashes: u32,
 }
 
--- a/src/configs/reporting.rs
+++ b/src/configs/reporting.rs
@@ -10,11 +10,11 @@
 pub struct ReportingConfig {
     /// Milliseconds between two reports to a pool's owner when nothing is urgent.
     pub interval_ms: u64,
-    /// Milliseconds between two urgent reports to a pool's owner.
+    /// Minimum time between two urgent reports to a pool's owner, in milliseconds.
     pub urgent_gap_ms: u64,
     /// Milliseconds after which a report is sent even if nothing changed.
     pub keepalive_ms: u64,
-    /// Bytes a second that urgent reports may use on average, per router.
+    /// Average bytes per second that urgent reports may use, per router.
     pub urgent_bytes_per_s: u64,
 }
 
--- a/src/configs/tickets.rs
+++ b/src/configs/tickets.rs
@@ -8,17 +8,20 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct TicketsConfig {
-    /// Tickets that are remembered in full, running ones not counted.
+    /// Maximum number of tickets that are remembered in full, not counting running ones.
     pub max_tickets: u32,
-    /// Tickets of which at least the outcome is remembered; older ones are answered "unknown".
+    /// Maximum number of tickets of which at least the outcome is remembered; older ones are
+    /// answered "unknown".
     pub max_outcomes: u32,
-    /// Answers that are kept for resends.
+    /// Maximum number of answers that are kept for resends.
     pub max_answers: u32,
-    /// Bytes of answers that are kept for resends, over all teams.
+    /// Maximum total size of answers that are kept for resends, in bytes, over all teams.
     pub max_answer_bytes: u64,
-    /// Callers that may wait for the answer of one running request, its first caller not counted.
+    /// Maximum number of callers that wait for the answer of one running request, not counting its
+    /// first caller.
     pub max_joined: u32,
-    /// Milliseconds that a ticket of a router life nobody has told of yet is held back.
+    /// Milliseconds for which a request is held back if the router incarnation that minted its
+    /// ticket is not yet known.
     pub minter_wait_ms: u64,
 }
 
--- a/src/configs/traffic.rs
+++ b/src/configs/traffic.rs
@@ -1,4 +1,4 @@
-//! Settings of the traffic side: limits towards callers and endpoints.
+//! Settings of connections to callers and endpoints.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -8,31 +8,32 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct TrafficConfig {
-    /// Milliseconds within which a caller's headers must have come.
+    /// Milliseconds within which a caller's headers must have arrived.
     pub header_ms: u64,
-    /// Bytes of a call's body to a model engine, if the published limit is not lower.
+    /// Maximum body size of a call to a model engine, in bytes; a lower published limit takes
+    /// precedence.
     pub engine_body_bytes: usize,
-    /// Bytes of a body to a plain service that are kept for another attempt.
+    /// Bytes of a body to a plain service that are buffered for a retry.
     pub kept_body_bytes: usize,
-    /// Milliseconds within which the kept part of a body must have come.
+    /// Milliseconds within which the buffered part of a body must have arrived.
     pub body_ms: u64,
-    /// Bytes of an unstreamed answer that are read before any of it is passed on.
+    /// Bytes of a non-streamed answer that are read before any of it is forwarded.
     pub kept_answer_bytes: usize,
-    /// Bytes of one server-sent event.
+    /// Maximum size of one server-sent event, in bytes.
     pub event_bytes: usize,
-    /// Bytes of an answer that are kept for resends with the same ticket.
+    /// Maximum size of an answer that is kept for resends with the same ticket, in bytes.
     pub stored_answer_bytes: usize,
-    /// Milliseconds for opening a connection to an endpoint.
+    /// Timeout for opening a connection to an endpoint, in milliseconds.
     pub connect_ms: u64,
-    /// Milliseconds that an answer may pause before the endpoint counts as lost.
+    /// Maximum pause in an answer before the endpoint counts as lost, in milliseconds.
     pub answer_pause_ms: u64,
-    /// Milliseconds that an unused connection to an endpoint is kept.
+    /// Milliseconds for which an unused connection to an endpoint is kept.
     pub idle_ms: u64,
-    /// Unused connections kept per endpoint.
+    /// Maximum number of unused connections kept per endpoint.
     pub idle_connections: usize,
-    /// Milliseconds between two readings of an endpoint's load.
+    /// Milliseconds between two reads of an endpoint's load.
     pub load_ms: u64,
-    /// Milliseconds between two reports of a running attempt's service.
+    /// Milliseconds between two progress reports of a running attempt's service.
     pub progress_ms: u64,
 }
 
--- a/src/document/fault.rs
+++ b/src/document/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a document, and where.
+//! Validation faults of a document, each with its path.
 
 use std::fmt;
 
@@ -6,17 +6,17 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// One fault.
+/// A validation fault.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DocumentFault {
-    /// Where, such as `teams.nadi-clinic.share`; empty for the whole document.
+    /// Path of the faulty value, such as `teams.nadi-clinic.share`; empty for the whole document.
     pub path: SmolStr,
-    /// What is wrong and what would be right.
+    /// Description of the fault and of what is valid.
     pub message: String,
 }
 
 impl DocumentFault {
-    /// A fault at a path.
+    /// Creates a fault at a path.
     #[must_use]
     pub fn new(path: impl Into<SmolStr>, message: impl Into<String>) -> Self {
         Self {
@@ -36,13 +36,13 @@
     }
 }
 
-/// All faults that were found, in the order of their paths. Never empty.
+/// All faults that were found, sorted by path and without duplicates. Never empty.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct FaultList(Vec<DocumentFault>);
 
 impl FaultList {
-    /// The faults.
+    /// Returns the faults.
     #[must_use]
     pub fn faults(&self) -> &[DocumentFault] {
         &self.0
@@ -69,7 +69,7 @@
 
 impl std::error::Error for FaultList {}
 
-/// Joins a path and the name of a part below it.
+/// Appends a name to a path.
 #[must_use]
 pub fn join(path: &str, part: &str) -> String {
     if path.is_empty() {
--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -1,8 +1,8 @@
-//! JSON documents that people write: settings and publications.
+//! Reading and validation of hand-written JSON documents: settings and publications.
 //!
-//! A document is read in three steps: its text into a tree ([`tree`]), the tree's shape against
-//! the JSON schema of its type ([`shape`]), and only then into the type. All faults of a step
-//! are reported at once, each with its path.
+//! A document is read in three steps: the text is parsed into a tree ([`tree`]), the tree is
+//! validated against the JSON schema of its type ([`shape`]), and then it is deserialised. All
+//! faults of a step are reported at once, each with its path.
 
 pub mod fault;
 pub mod shape;
@@ -16,7 +16,7 @@
 pub use self::fault::DocumentFault;
 pub use self::fault::FaultList;
 
-/// The JSON schema of a document type.
+/// Returns the JSON schema of a document type.
 #[must_use]
 pub fn schema_of<T: JsonSchema>() -> Value {
     SchemaGenerator::default()
@@ -24,10 +24,10 @@
         .into()
 }
 
-/// Reads a document.
+/// Reads and validates a document.
 ///
 /// # Errors
-/// All faults of the first step that finds any.
+/// Returns all faults of the first step that finds any.
 pub fn read_document<T>(text: &[u8]) -> Result<T, FaultList>
 where
     T: JsonSchema + DeserializeOwned,
@@ -41,10 +41,10 @@
     }
 }
 
-/// Turns a tree of the right shape into its type.
+/// Deserialises a tree that matches the schema of its type.
 ///
 /// # Errors
-/// The first thing that the type refuses and its schema does not.
+/// Returns the first value that the type rejects although the schema allows it.
 pub fn typed<T: DeserializeOwned>(tree: Value) -> Result<T, FaultList> {
     serde_json::from_value(tree)
         .map_err(|error| FaultList::from(vec![DocumentFault::new("", error.to_string())]))
--- a/src/document/shape.rs
+++ b/src/document/shape.rs
@@ -1,6 +1,6 @@
-//! A tree's shape against its JSON schema, with all faults at once.
+//! Validation of a tree against its JSON schema; reports all faults at once.
 //!
-//! Knows the part of JSON Schema that `schemars` writes for this crate's document types: `$ref`,
+//! Supports the subset of JSON Schema that `schemars` generates for this crate's documents: `$ref`,
 //! `type`, `properties`, `required`, `additionalProperties`, `patternProperties`, `items`,
 //! `enum`, `const`, `oneOf` of constants, `anyOf` with null, `minimum`, `maximum`, `minItems`,
 //! `maxItems`, `pattern` and `format`.
@@ -15,13 +15,13 @@
 use crate::units::NAME_PATTERN;
 use crate::units::TeamName;
 
-/// Pattern of a SHA-256 hash in lower-case hexadecimal digits.
+/// Schema pattern of a SHA-256 hash in lower-case hexadecimal digits.
 pub const HASH_PATTERN: &str = "^[0-9a-f]{64}$";
 
-/// Format of an IP number and a port, such as `10.0.0.1:8080`.
+/// Schema format of an IP number and a port, such as `10.0.0.1:8080`.
 pub const ADDRESS_FORMAT: &str = "ip-port";
 
-/// Checks a tree against a root schema.
+/// Validates a tree against a root schema and returns all faults.
 #[must_use]
 pub fn check(schema: &Value, tree: &Value) -> Vec<DocumentFault> {
     let mut checker = ShapeChecker {
@@ -32,7 +32,7 @@
     checker.faults
 }
 
-/// Follows a reference within a root schema, if `schema` is one.
+/// Resolves `schema` if it is a reference into the root schema; otherwise returns it unchanged.
 #[must_use]
 pub fn resolve<'a>(root: &'a Value, schema: &'a Value) -> &'a Value {
     let target = schema
@@ -43,7 +43,7 @@
     target.unwrap_or(schema)
 }
 
-/// The alternative of a schema that is not null, if it may be null.
+/// Returns the non-null alternative of a nullable schema; otherwise returns it unchanged.
 #[must_use]
 pub fn not_null(schema: &Value) -> &Value {
     schema
@@ -53,7 +53,7 @@
         .unwrap_or(schema)
 }
 
-/// The texts that a schema of constants allows; empty if it is none.
+/// Returns the strings that a schema of constants allows; empty for any other schema.
 #[must_use]
 pub fn constants(schema: &Value) -> Vec<&str> {
     if let Some(values) = schema.get("enum").and_then(Value::as_array) {
@@ -82,10 +82,10 @@
 fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
-        Value::Bool(_) => "true or false",
+        Value::Bool(_) => "a boolean",
         Value::Number(_) => "a number",
-        Value::String(_) => "a text",
-        Value::Array(_) => "a list",
+        Value::String(_) => "a string",
+        Value::Array(_) => "an array",
         Value::Object(_) => "an object",
     }
 }
@@ -119,8 +119,8 @@
             (Some(kind), _) => {
                 let wanted = match kind {
                     "object" => "an object",
-                    "array" => "a list",
-                    "string" => "a text",
+                    "array" => "an array",
+                    "string" => "a string",
                     "boolean" => "true or false",
                     "integer" => "a whole number",
                     _ => "a number",
@@ -171,7 +171,7 @@
                     .map(String::as_str)
                     .collect();
                 let names = names.join(", ");
-                self.fault(path, format!("is not a setting here; there are: {names}"));
+                self.fault(path, format!("is an unknown field; known fields: {names}"));
             }
             Some(part @ Value::Object(_)) => self.value(path, part, value),
             _ => {}
@@ -181,11 +181,11 @@
     fn array(&mut self, path: &str, schema: &'a Value, items: &[Value]) {
         let least = schema.get("minItems").and_then(Value::as_u64).unwrap_or(0);
         if (items.len() as u64) < least {
-            self.fault(path, format!("has too few entries; give at least {least}"));
+            self.fault(path, format!("has too few entries; use at least {least}"));
         }
         let most = schema.get("maxItems").and_then(Value::as_u64);
         if let Some(most) = most.filter(|most| items.len() as u64 > *most) {
-            self.fault(path, format!("has too many entries; give at most {most}"));
+            self.fault(path, format!("has too many entries; use at most {most}"));
         }
         let Some(part) = schema.get("items") else {
             return;
@@ -206,7 +206,8 @@
         }
     }
 
-    /// The patterns of this crate's types are few; each is matched by the code it stands for.
+    /// Checks a text against a pattern. The crate's types use only two patterns, so each is checked
+    /// by equivalent code instead of a regular expression engine.
     fn pattern(&mut self, path: &str, pattern: &str, text: &str) {
         if pattern == NAME_PATTERN {
             if let Err(error) = text.parse::<TeamName>() {
--- a/src/document/tree.rs
+++ b/src/document/tree.rs
@@ -1,4 +1,4 @@
-//! From text to a tree of JSON values, with names that stand twice in one object refused.
+//! Parsing of JSON text into a tree of values; duplicate names in an object are rejected.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -17,10 +17,11 @@
 use super::fault::FaultList;
 use super::fault::join;
 
-/// Reads JSON text.
+/// Parses JSON text.
 ///
 /// # Errors
-/// The place where the text stops being JSON, or all names that stand twice in their object.
+/// Returns the position of the first syntax error, or all names that are duplicated within an
+/// object.
 pub fn parse(text: &[u8]) -> Result<Value, FaultList> {
     let doubles = RefCell::new(Vec::new());
     let seed = ValueSeed {
@@ -43,8 +44,9 @@
     }
 }
 
-/// Builds one value. A plain `Value` keeps the last of two equal names without a word, so that
-/// of two teams with one name the first would be lost.
+/// Deserialises one value and records duplicate names. The `Deserialize` implementation of `Value`
+/// silently keeps the last of two equal names, so the first of two teams with the same name would
+/// be lost.
 struct ValueSeed<'a> {
     path: String,
     doubles: &'a RefCell<Vec<DocumentFault>>,
@@ -113,7 +115,7 @@
             let path = seed.path.clone();
             let value = access.next_value_seed(seed)?;
             if map.insert(key, value).is_some() {
-                let fault = DocumentFault::new(path, "stands twice; keep one");
+                let fault = DocumentFault::new(path, "is a duplicate name; keep one");
                 self.doubles.borrow_mut().push(fault);
             }
         }
--- a/src/publication/document.rs
+++ b/src/publication/document.rs
@@ -1,4 +1,4 @@
-//! What operators write and the sources publishes.
+//! Types of the published document, as operators write it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,41 +17,42 @@
 use crate::units::TeamName;
 use crate::units::TemplateName;
 
-/// The published document: everything that all routers share.
+/// The published document: configuration that all routers share.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PublicationDocument {
-    /// Number of this edition. Needed in a file, where it must grow with each change; the
-    /// configuration service counts its own revisions, and there it is ignored.
+    /// Revision number. Required in a file, where it must increase with each change. Ignored with
+    /// the configuration service, which numbers revisions itself.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// Limits that every router sets its callers.
+    /// Limits on callers at every router.
     pub limits: LimitsDocument,
     /// Team templates, by name.
     pub templates: BTreeMap<TemplateName, TemplateDocument>,
     /// Teams, by name.
     pub teams: BTreeMap<TeamName, TeamDocument>,
-    /// Pools, by name. The name of an engine pool is its model's.
+    /// Pools, by name. The name of an engine pool is the name of its model.
     pub pools: BTreeMap<PoolName, PoolDocument>,
     /// Endpoints, by name.
     pub endpoints: BTreeMap<EndpointName, EndpointDocument>,
 }
 
-/// Limits that every router sets its callers.
+/// Limits on callers at every router.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitsDocument {
-    /// Largest request header, in bytes; a larger one is answered with 431.
+    /// Maximum request header size, in bytes; a larger one is answered with 431.
     #[schemars(range(min = 1_024, max = 1_048_576))]
     pub header_bytes: u64,
-    /// Largest request body, in bytes; a larger one is answered with 413.
+    /// Maximum request body size, in bytes; a larger one is answered with 413.
     #[schemars(range(min = 1, max = 1_073_741_824))]
     pub body_bytes: u64,
-    /// Longest pause within a request's header or body, in milliseconds; then 408.
+    /// Maximum pause within a request's header or body, in milliseconds; a longer one is answered
+    /// with 408.
     #[schemars(range(min = 1, max = 86_400_000))]
     pub body_idle_ms: u64,
-    /// Longest pause of a caller that reads its answer, in milliseconds; then its connection
-    /// is closed.
+    /// Maximum pause of a caller while it reads its answer, in milliseconds; after a longer one
+    /// its connection is closed.
     #[schemars(range(min = 1, max = 86_400_000))]
     pub answer_idle_ms: u64,
 }
@@ -67,73 +68,75 @@
     }
 }
 
-/// A template: what the teams that name it have in common.
+/// A template: settings shared by the teams that refer to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TemplateDocument {
     /// Share of every pool, relative to the other teams' shares.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub share: u32,
-    /// Requests that a team may have waiting at one router.
+    /// Maximum number of a team's waiting requests at one router.
     #[serde(default = "default_queue_limit")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub queue_limit: u32,
     /// Kinds of requests, by name.
     pub kinds: BTreeMap<KindName, KindDocument>,
-    /// The kind of a request that names none and matches none.
+    /// The kind of a request that names no kind and matches none.
     pub default_kind: KindName,
 }
 
-/// Requests that a team may have waiting at one router, unless its template says otherwise.
+/// Default of `queue_limit` in a template, in requests.
 const fn default_queue_limit() -> u32 {
     256
 }
 
-/// A team: a template and what differs from it.
+/// A team: a template and overrides of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TeamDocument {
-    /// The template.
+    /// Name of its template.
     pub template: TemplateName,
-    /// SHA-256 hashes of the team's keys; two while a key rotates.
+    /// SHA-256 hashes of the team's API keys; two during a key rotation.
     #[schemars(length(min = 1, max = 4), inner(regex(pattern = HASH_PATTERN)))]
     pub keys: Vec<SmolStr>,
-    /// Share in place of the template's.
+    /// Overrides the template's share.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub share: Option<u32>,
-    /// Queue limit in place of the template's.
+    /// Overrides the template's queue limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub queue_limit: Option<u32>,
-    /// Default kind in place of the template's.
+    /// Overrides the template's default kind.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub default_kind: Option<KindName>,
-    /// Kinds besides the template's, or parts in place of the template's.
+    /// Additional kinds, and overrides of single fields of the template's kinds.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub kinds: BTreeMap<KindName, KindDocument>,
 }
 
-/// A kind of request. What a template leaves out has the default; what a team leaves out is the
-/// template's.
+/// A kind of request. A field that a template omits has its default; a field that a team omits is
+/// inherited from the template.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct KindDocument {
-    /// How quickly callers need the answer. Default: `batch`.
+    /// Urgency of the requests. Default: `batch`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub urgency: Option<UrgencyDocument>,
-    /// True if a second execution does harm: at most one execution ever. Default: false.
+    /// True if a request must be executed at most once because a second execution does harm.
+    /// Default: false.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub unrepeatable: Option<bool>,
-    /// How long a request may take in all, in milliseconds. Default: 600000.
+    /// Maximum total time of a request, in milliseconds. Default: 600000.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 86_400_000))]
     pub deadline_ms: Option<u64>,
-    /// An answer within this time counts as good, in milliseconds. Default: the deadline.
+    /// Latency goal in milliseconds: an answer within this time counts as good. Default: the
+    /// deadline.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 86_400_000))]
     pub goal_ms: Option<u64>,
-    /// Answers in a thousand that shall be good. Default: 990.
+    /// Service-level objective: target share of good answers per thousand. Default: 990.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 999))]
     pub objective_per_mille: Option<u16>,
@@ -145,11 +148,11 @@
     pub path_prefix: Option<SmolStr>,
 }
 
-/// How quickly callers need an answer.
+/// Urgency of a kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum UrgencyDocument {
-    /// Somebody waits at a screen.
+    /// A person waits for the answer.
     Interactive,
     /// A long job.
     Batch,
@@ -159,18 +162,18 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PoolDocument {
-    /// What its endpoints speak.
+    /// Protocol of its endpoints.
     pub protocol: ProtocolDocument,
-    /// Path prefix of a plain service, with leading and without trailing slash.
+    /// Path prefix of a plain service, with a leading slash and without a trailing one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prefix: Option<SmolStr>,
 }
 
-/// What a pool's endpoints speak.
+/// Protocol of a pool's endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum ProtocolDocument {
-    /// Model engines with the published completion API.
+    /// Model engines with the public completion API.
     Engine,
     /// Any method and path under a prefix.
     Plain,
@@ -183,27 +186,27 @@
     /// IP number and port.
     #[schemars(extend("format" = ADDRESS_FORMAT))]
     pub address: SocketAddr,
-    /// The pools it can serve; the first is the one it serves until an order changes that.
+    /// The pools that it can serve; it serves the first until an order changes that.
     #[schemars(length(min = 1))]
     pub pools: Vec<PoolName>,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Requests that it runs at once within its latency goals.
+    /// Maximum number of requests that it runs concurrently within its latency goals.
     #[schemars(range(min = 1, max = 100_000))]
     pub slots: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// `checked` if it rejects orders with an old fencing number, else `ignored`.
     #[serde(default)]
     pub fencing: FencingDocument,
-    /// True once it shall get no new work.
+    /// True if it must get no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Whether an endpoint refuses orders with an old fencing number.
+/// Defines whether an endpoint rejects orders with an old fencing number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum FencingDocument {
-    /// It refuses them.
+    /// It rejects them.
     Checked,
     /// It ignores the number.
     #[default]
--- a/src/publication/mod.rs
+++ b/src/publication/mod.rs
@@ -1,9 +1,9 @@
-//! The publication: what operators write, how it is checked and how it becomes a catalog.
+//! The publication: its document, validation and rendering into a catalog.
 //!
-//! A publication is taken whole or refused whole. The way of one:
-//! [`read_publication`] (text to checked [`document::PublicationDocument`]), then
-//! [`render`](render::render) (to [`FleetCatalog`]). Both are pure; the same text and revision give the
-//! same catalog on every router.
+//! A publication is accepted or refused as a whole. [`read_publication`] parses and validates the
+//! text into a [`document::PublicationDocument`]; [`render`](render::render) turns that into a
+//! [`FleetCatalog`]. Both are pure: the same text and revision give the same catalog on every
+//! router.
 
 pub mod document;
 pub mod render;
@@ -26,14 +26,14 @@
 use self::document::PublicationDocument;
 use self::rules::DeclaredNames;
 
-/// Largest publication, in bytes: what the source's service holds in one value.
+/// Maximum size of a publication, in bytes: the configuration service's limit for one value.
 pub const MAX_PUBLICATION_BYTES: usize = 1_048_576;
 
-/// Reads and checks a publication.
+/// Reads and validates a publication.
 ///
 /// # Errors
-/// Every fault of the text, each with its path, such as `teams.nadi-clinic.share`. A text that is
-/// too long or no JSON has that one fault.
+/// Returns every fault, each with its path, such as `teams.nadi-clinic.share`. For a text that is
+/// too long or not valid JSON, that is the only fault.
 pub fn read_publication(text: &[u8]) -> Result<PublicationDocument, FaultList> {
     if text.len() > MAX_PUBLICATION_BYTES {
         let message = format!(
@@ -59,17 +59,17 @@
     Err(FaultList::from(faults))
 }
 
-/// Reads, checks and renders a publication.
+/// Reads, validates and renders a publication.
 ///
 /// # Errors
-/// Every fault of the text.
+/// Returns every fault, as [`read_publication`] does.
 pub fn adopt(revision: ConfigRevision, text: &[u8]) -> Result<FleetCatalog, FaultList> {
     read_publication(text).map(|document| render::render(revision, &document))
 }
 
-/// Takes out what has a wrong shape, so that the rules can be checked on the rest and an
-/// operator learns of all faults in one go: first the faulty values themselves, then the entries
-/// that can't be read without them.
+/// Removes values that do not match the schema, so that the rules can be checked on the rest and
+/// an operator gets all faults at once: first the faulty values themselves, then the entries that
+/// can't be deserialised without them.
 fn prune(tree: &mut Value, schema: &Value, faults: &[DocumentFault]) {
     if !tree.is_object() {
         *tree = Value::Object(Map::new());
@@ -84,8 +84,9 @@
     }
 }
 
-/// Drops values that a fault names. A list goes whole, so that the places in it stay right; a
-/// kind stays without its parts, so that it does not show as missing as well.
+/// Removes values that have a fault. An array with a faulty item is removed as a whole, because
+/// removing the item would shift the indexes of the others. A faulty kind is emptied but kept, so
+/// that it is not reported as missing as well.
 fn drop_faulty(path: &str, value: &mut Value, faults: &[DocumentFault]) {
     let Some(map) = value.as_object_mut() else {
         return;
@@ -106,7 +107,7 @@
     });
 }
 
-/// True if a fault is at a path or below it.
+/// Returns true if a fault is at a path or below it.
 fn lies_within(faults: &[DocumentFault], path: &str) -> bool {
     faults.iter().any(|fault| {
         let rest = fault.path.strip_prefix(path);
--- a/src/publication/render.rs
+++ b/src/publication/render.rs
@@ -1,4 +1,4 @@
-//! From a checked document to the catalog that the fleet runs on.
+//! Rendering of a validated document into the catalog that the fleet uses.
 
 use std::collections::BTreeMap;
 
@@ -33,13 +33,13 @@
 use super::document::TemplateDocument;
 use super::document::UrgencyDocument;
 
-/// Milliseconds that a request may take in all, unless its kind says otherwise.
+/// Default total time of a request, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 600_000;
-/// Answers in a thousand that shall be good, unless the kind says otherwise.
+/// Default service-level objective: good answers per thousand.
 const DEFAULT_OBJECTIVE: u16 = 990;
 
-/// Renders a checked document. A team whose template is not there is left out; the rules refuse
-/// such a document before.
+/// Renders a validated document. A team whose template does not exist is omitted; validation
+/// refuses such a document before.
 #[must_use]
 pub fn render(revision: ConfigRevision, document: &PublicationDocument) -> FleetCatalog {
     let mut pools: BTreeMap<PoolId, PoolEntry> = document
@@ -83,7 +83,7 @@
     }
 }
 
-/// The kinds of a team: its template's, with the team's parts in their place.
+/// Returns the kinds of a team: those of its template with the team's overrides applied.
 #[must_use]
 pub fn merged_kinds(
     team: &TeamDocument,
@@ -143,7 +143,7 @@
     }
 }
 
-/// The bytes of a hash in hexadecimal digits; nothing if it is none.
+/// Parses a hash of 64 hexadecimal digits; returns `None` for any other text.
 #[must_use]
 pub fn hash(text: &str) -> Option<[u8; 32]> {
     let mut bytes = [0; 32];
--- a/src/publication/rendered.rs
+++ b/src/publication/rendered.rs
@@ -1,5 +1,5 @@
-//! A rendered publication as people read it: names instead of ids, nothing left to a template
-//! or a default. And what one publication would change in another.
+//! A rendered publication in readable form, with names instead of ids and with templates and
+//! defaults applied, and the differences between two publications.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,65 +28,65 @@
 
 use super::document::LimitsDocument;
 
-/// A rendered publication.
+/// A rendered publication, with names instead of ids.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RenderedPublication {
-    /// Limits that every router sets its callers.
+    /// Limits on callers at every router.
     pub limits: LimitsDocument,
-    /// Teams.
+    /// Teams, by name.
     pub teams: BTreeMap<TeamName, RenderedTeam>,
-    /// Pools.
+    /// Pools, by name.
     pub pools: BTreeMap<PoolName, RenderedPool>,
-    /// Endpoints.
+    /// Endpoints, by name.
     pub endpoints: BTreeMap<EndpointName, RenderedEndpoint>,
 }
 
-/// A team.
+/// A rendered team.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RenderedTeam {
     /// Its share of every pool.
     pub share: u32,
-    /// Requests that it may have waiting at one router.
+    /// Maximum number of its waiting requests at one router.
     pub queue_limit: u32,
-    /// The first eight digits of its keys' hashes.
+    /// The first eight hexadecimal digits of its API keys' hashes.
     pub keys: Vec<String>,
-    /// The kind of a request that names and matches none.
+    /// The kind of a request that names no kind and matches none.
     pub default_kind: KindName,
-    /// Its kinds.
+    /// Its kinds of requests, by name.
     pub kinds: BTreeMap<KindName, RenderedKind>,
 }
 
-/// A kind.
+/// A rendered kind of request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RenderedKind {
     /// `interactive` or `batch`.
     pub urgency: &'static str,
-    /// True if a second execution does harm.
+    /// True if a request must be executed at most once because a second execution does harm.
     pub unrepeatable: bool,
-    /// Milliseconds that a request may take in all.
+    /// Maximum total time of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Milliseconds within which an answer counts as good.
+    /// Latency goal in milliseconds: an answer within this time counts as good.
     pub goal_ms: u64,
-    /// Answers in a thousand that shall be good.
+    /// Service-level objective: target share of good answers per thousand.
     pub objective_per_mille: u16,
-    /// Only requests with this method, if set.
+    /// If set, only requests with this method are of this kind.
     pub method: Option<SmolStr>,
-    /// Only requests whose path starts with this, if set.
+    /// If set, only requests whose path starts with this prefix are of this kind.
     pub path_prefix: Option<SmolStr>,
 }
 
-/// A pool.
+/// A rendered pool.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RenderedPool {
     /// `engine` or `plain`.
     pub protocol: &'static str,
     /// Path prefix of a plain service.
     pub prefix: Option<SmolStr>,
-    /// Slots of all its endpoints that do not leave.
+    /// Total slots of its endpoints that are not leaving.
     pub slots: u64,
 }
 
-/// An endpoint.
+/// A rendered endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RenderedEndpoint {
     /// IP number and port.
@@ -95,7 +95,7 @@
     pub pools: Vec<PoolName>,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
     /// `checked` or `ignored`.
     pub fencing: &'static str,
@@ -104,7 +104,7 @@
 }
 
 impl RenderedPublication {
-    /// Puts names to a catalog.
+    /// Converts a catalog, replacing ids by names.
     #[must_use]
     pub fn of(catalog: &FleetCatalog) -> Self {
         let limits = &catalog.caller_limits;
@@ -208,18 +208,18 @@
     }
 }
 
-/// One difference.
+/// A difference between two rendered publications.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PublicationChange {
-    /// Where, such as `teams.nadi-clinic.share`.
+    /// Path of the changed value, such as `teams.nadi-clinic.share`.
     pub path: String,
-    /// What it was; nothing if it is new.
+    /// Value before the change; `None` if it is added.
     pub before: Option<Value>,
-    /// What it becomes; nothing if it goes.
+    /// Value after the change; `None` if it is removed.
     pub after: Option<Value>,
 }
 
-/// What would change, in the order of the paths.
+/// Returns the differences between two publications, sorted by path.
 #[must_use]
 pub fn changes(
     before: &RenderedPublication,
--- a/src/publication/rules.rs
+++ b/src/publication/rules.rs
@@ -1,4 +1,4 @@
-//! What must hold in a publication beyond the shape of its parts.
+//! Validation rules of a publication that its JSON schema can't express.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,11 +23,11 @@
 use super::document::TeamDocument;
 use super::render::merged_kinds;
 
-/// Paths that the routers' own completion API uses.
+/// Path prefix reserved for the completion API of engine pools.
 const ENGINE_PREFIX: &str = "/v1";
 
-/// Names that a text declares, those of entries with a wrong shape included, so that a fault in
-/// a template does not show as an unknown template as well.
+/// Names of all templates and pools in the document, including entries that do not match the
+/// schema, so that a faulty template is not reported as an unknown template as well.
 #[derive(Debug, Default)]
 pub struct DeclaredNames {
     templates: BTreeSet<String>,
@@ -35,7 +35,7 @@
 }
 
 impl DeclaredNames {
-    /// Collects the names.
+    /// Collects the names from a tree.
     #[must_use]
     pub fn of(tree: &Value) -> Self {
         let names = |section: &str| {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Checks a document.
+/// Checks a document against all rules and returns the faults.
 #[must_use]
 pub fn check(document: &PublicationDocument, declared: &DeclaredNames) -> Vec<DocumentFault> {
     let mut checker = RuleChecker {
@@ -136,7 +136,8 @@
         }
     }
 
-    /// `source` is what stands at `path`; `whole` has the template's parts as well.
+    /// Checks a kind. `source` is the kind as written at `path`; `whole` also has the fields
+    /// inherited from the template.
     fn kind(&mut self, path: &str, source: &KindDocument, whole: &KindDocument) {
         if let (Some(goal), Some(deadline)) = (whole.goal_ms, whole.deadline_ms)
             && goal > deadline
@@ -153,12 +154,13 @@
         if let Some(prefix) = &source.path_prefix
             && !prefix.starts_with('/')
         {
-            let message = format!("is \"{prefix}\"; begin it with a slash");
+            let message = format!("is \"{prefix}\"; start it with a slash");
             self.fault(format!("{path}.path_prefix"), message);
         }
     }
 
-    /// Two teams with one key could not be told apart: one would be charged for the other.
+    /// Checks that no two teams have the same key: they could not be distinguished, so one would be
+    /// charged for the other.
     fn keys(&mut self) {
         let mut owners: BTreeMap<&str, String> = BTreeMap::new();
         for (name, team) in &self.document.teams {
@@ -219,13 +221,13 @@
         let mut addresses: BTreeMap<SocketAddr, &EndpointName> = BTreeMap::new();
         for (name, endpoint) in &self.document.endpoints {
             let path = format!("endpoints.{name}");
-            // Two names for one address would let twice the slots run there.
+            // Two endpoints with one address would run twice the published slots there.
             if let Some(first) = addresses.insert(endpoint.address, name) {
                 let message = format!("is {}, as for {first}", endpoint.address);
                 self.fault(format!("{path}.address"), message);
             }
             if endpoint.address.port() == 0 || endpoint.address.ip().is_unspecified() {
-                let message = format!("is {}, which can't be dialled", endpoint.address);
+                let message = format!("is {}, to which no router can connect", endpoint.address);
                 self.fault(format!("{path}.address"), message);
             }
             self.endpoint_pools(&path, endpoint);
@@ -246,14 +248,14 @@
             let plain = source.is_some_and(|pool| pool.protocol == ProtocolDocument::Plain);
             if plain && endpoint.pools.len() > 1 {
                 let message =
-                    format!("\"{pool}\" is a plain pool; such an endpoint serves it alone");
+                    format!("\"{pool}\" is a plain pool; its endpoints can serve no other pool");
                 self.fault(path, message);
             }
         }
     }
 
-    /// On the wire teams, pools and endpoints go by a hash of their names. Two names with one
-    /// hash would share a ledger or a lease.
+    /// Checks that ids are unique. On the wire, teams, pools and endpoints are identified by a hash
+    /// of their names, so two names with the same hash would share an account or a lease.
     fn ids(&mut self) {
         let document = self.document;
         let teams = document
@@ -286,7 +288,7 @@
     }
 }
 
-/// True if `path` is `prefix` or lies below it.
+/// Returns true if `path` is `prefix` or below it.
 fn within(path: &str, prefix: &str) -> bool {
     let rest = path.strip_prefix(prefix);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! Settings of one process: where it listens, who it is, where the sources is.
+//! Settings of one router process: its identity, listeners, sources and limits.
 //!
-//! They are read once at start. What all routers share is published instead, see
+//! They are read once at start. Configuration that all routers share is published instead, see
 //! [`crate::publication`].
 
 use std::net::SocketAddr;
@@ -26,111 +26,112 @@
 use crate::units::DomainName;
 use crate::units::HostName;
 
-/// Largest settings file, in bytes.
+/// Maximum size of a settings file, in bytes.
 pub const MAX_SETTINGS_BYTES: usize = 1_048_576;
 
 /// Settings of one router process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessSettings {
-    /// This host's name; no two routers have the same.
+    /// Name of this host; must be unique among the routers.
     pub host: HostName,
-    /// The failure domain that this host is in.
+    /// Failure domain of this host.
     pub domain: DomainName,
-    /// The listener for callers.
+    /// Listener for callers.
     pub callers: CallerSettings,
-    /// The listener for other routers.
+    /// Listener for other routers.
     pub peers: PeerSettings,
-    /// The listener for operators.
+    /// Listener for operators.
     pub admin: AdminSettings,
-    /// Where publications and the host list come from.
+    /// Sources of publications and the host list.
     pub sources: SourceSettings,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
-    /// Shutdown.
+    /// Graceful shutdown.
     #[serde(default)]
     pub shutdown: ShutdownSettings,
-    /// The decision core, one part a system.
+    /// Settings of the decision core, one section per system.
     #[serde(default)]
     pub core: CoreConfig,
-    /// Limits towards callers and endpoints.
+    /// Settings of connections to callers and endpoints.
     #[serde(default)]
     pub traffic: TrafficConfig,
-    /// Sizes and times between routers.
+    /// Settings of connections between routers.
     #[serde(default)]
     pub peer_config: PeersConfig,
 }
 
-/// The listener for callers.
+/// Listener for callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CallerSettings {
-    /// IP number and port on which callers are served, such as `10.0.0.1:8080`.
+    /// IP number and port on which the router listens for callers, such as `10.0.0.1:8080`.
     #[schemars(extend("format" = ADDRESS_FORMAT))]
     pub listen: SocketAddr,
 }
 
-/// The listener for other routers.
+/// Listener for other routers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// IP number and port on which other routers are answered.
+    /// IP number and port on which the router listens for other routers.
     #[schemars(extend("format" = ADDRESS_FORMAT))]
     pub listen: SocketAddr,
-    /// IP number and port that other routers dial. Default: `listen`.
+    /// IP number and port to which other routers connect. Default: `listen`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(extend("format" = ADDRESS_FORMAT))]
     pub advertised: Option<SocketAddr>,
-    /// Files with the fleet's shared keys. The first proves this router; any of them proves a
-    /// peer, so that keys can rotate.
+    /// Files with the fleet's shared keys. This router authenticates with the first and accepts
+    /// any of them from a peer, so that keys can be rotated.
     #[schemars(length(min = 1, max = 4))]
     pub key_files: Vec<PathBuf>,
-    /// TLS between routers. Default: none.
+    /// Mutual TLS between routers. Default: no TLS.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tls: Option<PeerTlsSettings>,
 }
 
-/// TLS between routers; each proves itself to the other.
+/// Mutual TLS between routers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PeerTlsSettings {
     /// PEM file with this router's certificate chain.
     pub certificate_file: PathBuf,
-    /// PEM file with its private key.
+    /// PEM file with the private key of the certificate.
     pub private_key_file: PathBuf,
-    /// PEM file with the authorities that peers' certificates must come from.
+    /// PEM file with the certificate authorities that are trusted for peers' certificates.
     pub authority_file: PathBuf,
 }
 
-/// The listener for operators.
+/// Listener for operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct AdminSettings {
-    /// IP number and port on which operators are answered; keep it off the callers' network.
+    /// IP number and port on which the router listens for operators; should not be reachable from
+    /// the callers' network.
     #[schemars(extend("format" = ADDRESS_FORMAT))]
     pub listen: SocketAddr,
-    /// File with the bearer credential that operators must show.
+    /// File with the bearer credential that operators must present.
     pub credential_file: PathBuf,
 }
 
-/// Where publications and the host list come from: for each a URL or a file.
+/// Sources of publications and the host list; each is a URL or a file.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct SourceSettings {
-    /// URL (http) of the publication at the configuration service.
+    /// HTTP URL of the publication at the configuration service.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub config_url: Option<SmolStr>,
     /// File with the publication, for small sites without a configuration service.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub config_file: Option<PathBuf>,
-    /// URL (http) of the host list.
+    /// HTTP URL of the host list.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hosts_url: Option<SmolStr>,
     /// File with the host list.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hosts_file: Option<PathBuf>,
-    /// Timing of reads.
+    /// Timing of reads from the sources.
     pub timing: SourceTiming,
 }
 
@@ -141,14 +142,15 @@
     /// Seconds that the configuration service is asked to hold a watch open.
     #[schemars(range(min = 1, max = 600))]
     pub watch_s: u64,
-    /// Milliseconds that an answer may take beyond the time a watch is held.
+    /// Timeout of a read, in milliseconds; for a watch, in addition to the time that it is held
+    /// open.
     #[schemars(range(min = 1, max = 600_000))]
     pub timeout_ms: u64,
-    /// Milliseconds before a failed read or watch is tried again; a quarter of it is added or
-    /// taken away at random.
+    /// Backoff before a failed read or watch is retried, in milliseconds, with a jitter of plus or
+    /// minus a quarter.
     #[schemars(range(min = 1, max = 600_000))]
     pub retry_ms: u64,
-    /// Milliseconds between two looks at a file.
+    /// Milliseconds between two checks of a file for changes.
     #[schemars(range(min = 1, max = 600_000))]
     pub file_poll_ms: u64,
     /// Milliseconds between two reads of the host list.
@@ -168,41 +170,42 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// The least level that is logged; can be changed at run time.
+    /// Lowest level that is logged; can be changed at run time.
     pub level: LogLevel,
 }
 
-/// A level of logs.
+/// Log level.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Faults that need somebody.
+    /// Faults that need an operator.
     Error,
-    /// Faults that the router gets along with.
+    /// Faults that the router handles itself.
     Warn,
     /// Changes of state.
     #[default]
     Info,
-    /// Each request.
+    /// Every request.
     Debug,
-    /// Each message.
+    /// Every message.
     Trace,
 }
 
-/// Shutdown.
+/// Graceful shutdown.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShutdownSettings {
-    /// Seconds that requests in flight have after the first signal; then they are cut and named
-    /// in the log.
+    /// Seconds after the first signal in which requests in flight may complete; after that they
+    /// are aborted and logged.
     #[schemars(range(min = 1, max = 86_400))]
     pub deadline_s: u64,
-    /// Milliseconds that the listener for callers stays open at least after the first signal, so
-    /// that a balancer which looks at readiness now and then sends nothing to a closed door.
+    /// Minimum time for which the listener for callers stays open after the first signal, in
+    /// milliseconds. Should exceed a load balancer's readiness interval, so that it stops sending
+    /// requests before the listener closes.
     #[schemars(range(min = 0, max = 600_000))]
     pub linger_ms: u64,
 }
@@ -217,7 +220,7 @@
 }
 
 impl ProcessSettings {
-    /// The address that other routers dial.
+    /// Returns the address to which other routers connect.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
         self.peers.dialled()
@@ -230,10 +233,11 @@
     }
 }
 
-/// Reads and checks settings.
+/// Reads and validates settings.
 ///
 /// # Errors
-/// Every fault of the text, each with the setting's path.
+/// Returns every fault, each with the path of its setting. For a text that is too long or not
+/// valid JSON, that is the only fault.
 pub fn read_settings(text: &[u8]) -> Result<ProcessSettings, FaultList> {
     if text.len() > MAX_SETTINGS_BYTES {
         let message = format!(
@@ -257,7 +261,8 @@
     }
 }
 
-/// A section whose shape is right, so that its rules are checked whatever is wrong elsewhere.
+/// Deserialises a section that matches its schema, so that its rules are checked even if other
+/// sections have faults.
 fn section<T: DeserializeOwned>(tree: &Value, name: &str, faults: &[DocumentFault]) -> Option<T> {
     if faults.iter().any(|fault| fault.path.starts_with(name)) {
         return None;
@@ -284,11 +289,11 @@
     if !dialled.ip().is_unspecified() && dialled.port() != 0 {
         return None;
     }
-    let message = format!("is {dialled}, which no peer can dial; set an IP number and a port");
+    let message = format!("is {dialled}; use an IP number and a port to which peers can connect");
     Some(DocumentFault::new("peers.advertised", message))
 }
 
-/// Each source is a URL or a file, and not both.
+/// Checks that a source is either a URL or a file, and that a URL is valid.
 fn one_source(path: &str, url: Option<&str>, file: bool) -> Option<DocumentFault> {
     match (url, file) {
         (None, false) => Some(DocumentFault::new(
@@ -297,7 +302,7 @@
         )),
         (Some(_), true) => Some(DocumentFault::new(
             format!("{path}_url"),
-            format!("stands beside {path}_file; set one of them"),
+            format!("conflicts with {path}_file; set only one of them"),
         )),
         (Some(url), false) => {
             let parsed = url.parse::<http::Uri>().ok();
--- a/src/units/moment.rs
+++ b/src/units/moment.rs
@@ -1,4 +1,4 @@
-//! Points in time and spans between them, in microseconds.
+//! Points in time and durations, in microseconds.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -6,16 +6,16 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Microseconds on the driver's monotonic clock; 0 is the driver's start.
+/// A point in time in microseconds on the driver's monotonic clock; 0 is the driver's start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(pub u64);
 
-/// A span of time in microseconds.
+/// A duration in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimeSpan(pub u64);
 
 impl Moment {
-    /// The span since `earlier`; zero if `earlier` is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(earlier.0))
@@ -23,19 +23,19 @@
 }
 
 impl TimeSpan {
-    /// A span of whole milliseconds.
+    /// Creates a span from whole milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Whole milliseconds, rounded down.
+    /// Returns the span in whole milliseconds, rounded down.
     #[must_use]
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// The span as the standard library's duration.
+    /// Converts the span to a [`Duration`].
     #[must_use]
     pub const fn as_duration(self) -> Duration {
         Duration::from_micros(self.0)
--- a/src/units/number.rs
+++ b/src/units/number.rs
@@ -1,4 +1,4 @@
-//! Numbers that must not be mixed up: ids, sizes, shares and service.
+//! Distinct types for numbers: ids, sizes, shares and service.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -40,23 +40,24 @@
 }
 
 number_type!(
-    /// A request as its entry router knows it; unique within one router incarnation.
+    /// A request at its entry router; unique within one router incarnation.
     RequestId, u64
 );
 number_type!(
-    /// An attempt of one request, counted from 1.
+    /// Number of an attempt of one request, counted from 1.
     AttemptNumber, u32
 );
 number_type!(
-    /// The source's revision of a publication.
+    /// Revision of a publication at its source.
     ConfigRevision, u64
 );
 number_type!(
-    /// One life of a router process; drawn at random at start.
+    /// One run of a router process, made of its start time and a random number.
     RouterIncarnation, u64
 );
 number_type!(
-    /// A number that grows with each change of orderer; engines may check it.
+    /// Fencing number of orders to an endpoint; grows with each change of the router that gives
+    /// them. Engines may check it.
     FenceNumber, u64
 );
 number_type!(
@@ -64,11 +65,11 @@
     ShareWeight, u32
 );
 number_type!(
-    /// Service in weighted tokens for engines and in calls times a weight for plain services.
+    /// Amount of service: weighted tokens for engines, calls times a weight for plain services.
     ServiceUnits, u64
 );
 number_type!(
-    /// Requests that may run at the same time.
+    /// Number of requests that may run concurrently.
     SlotCount, u32
 );
 number_type!(
@@ -76,33 +77,34 @@
     ByteSize, u64
 );
 number_type!(
-    /// A hash of what a request asks, to recognise its resends.
+    /// Hash of a request's content, by which resends of it are recognised.
     RequestFingerprint, u64
 );
 number_type!(
-    /// A team on the wire: the low 32 bits of the hash of its name.
+    /// Id of a team on the wire: the low 32 bits of the hash of its name.
     TeamId, u32
 );
 number_type!(
-    /// An endpoint on the wire: the low 32 bits of the hash of its name.
+    /// Id of an endpoint on the wire: the low 32 bits of the hash of its name.
     EndpointId, u32
 );
 number_type!(
-    /// A pool on the wire: the low 32 bits of the hash of its name.
+    /// Id of a pool on the wire: the low 32 bits of the hash of its name.
     PoolId, u32
 );
 
 impl RouterIncarnation {
-    /// The incarnation of a process that starts at this second. Later starts get higher numbers,
-    /// by which late news of an earlier life is known; the lower half tells apart two starts
-    /// within a second.
+    /// Returns the incarnation of a process that starts at this second. A later start gets a higher
+    /// number, so late messages about an earlier incarnation are recognised; the random lower half
+    /// distinguishes two starts within one second.
     #[must_use]
     pub fn drawn_at(unix_seconds: u64, random: u32) -> Self {
         Self(unix_seconds << 32 | u64::from(random))
     }
 }
 
-/// A publication in which two names share an id is refused, so the cut is safe.
+/// Returns the low 32 bits of a name's hash. Truncation is safe because a publication in which two
+/// names have the same id is refused.
 #[allow(clippy::cast_possible_truncation)]
 fn id_of(text: &str) -> u32 {
     xxh3_64(text.as_bytes()) as u32
--- a/src/units/text.rs
+++ b/src/units/text.rs
@@ -1,4 +1,4 @@
-//! Names that people write: teams, endpoints, hosts, domains, pools, kinds.
+//! Names in documents: teams, endpoints, hosts, domains, pools, kinds and templates.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -12,13 +12,13 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// What a name looks like, as the JSON schemas state it.
+/// Pattern of a name in the JSON schemas.
 pub const NAME_PATTERN: &str = "^[A-Za-z0-9._-]{1,64}$";
 
-/// Why a text is not a name.
+/// Error for a text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NameError {
     text: SmolStr,
@@ -59,7 +59,7 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -111,31 +111,31 @@
 }
 
 name_type!(
-    /// A team: who a request is charged to.
+    /// Name of a team, to which requests are charged.
     TeamName
 );
 name_type!(
-    /// An endpoint: a model engine or a plain service instance.
+    /// Name of an endpoint: a model engine or an instance of a plain service.
     EndpointName
 );
 name_type!(
-    /// A host that runs one router.
+    /// Name of a host that runs one router.
     HostName
 );
 name_type!(
-    /// A failure domain.
+    /// Name of a failure domain.
     DomainName
 );
 name_type!(
-    /// A pool: the endpoints that can all run the same requests.
+    /// Name of a pool: endpoints that can all run the same requests.
     PoolName
 );
 name_type!(
-    /// A kind of request, such as `review` or `tag`.
+    /// Name of a kind of request, such as `review` or `tag`.
     KindName
 );
 name_type!(
-    /// A team template.
+    /// Name of a team template.
     TemplateName
 );
 
