--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -1,20 +1,20 @@
-//! docs/CAPACITY.md against itself: each figure of its tables must follow from the sizes and
-//! slopes that the page states, by the arithmetic that the page shows.
+//! Consistency check of docs/CAPACITY.md: each figure in its tables must follow from the sizes and
+//! slopes that the page lists, by the formula that the page gives.
 
 use std::collections::BTreeMap;
 
 const PAGE: &str = include_str!("../docs/CAPACITY.md");
-/// Stated figures may differ from computed ones by rounding: one part in this many.
+/// Tolerance for rounding of stated figures: one part in this many of the computed figure.
 const ROUNDING: f64 = 100.0;
 
-/// A value at today's size and at the size to design for.
+/// A value at the current size and at the size that the design must support.
 #[derive(Debug, Clone, Copy)]
 struct SizedValue {
     today: f64,
     design: f64,
 }
 
-/// One row whose figures are worked out.
+/// A table row whose figures are computed by a formula.
 #[derive(Debug)]
 struct WorkedRow {
     name: String,
@@ -24,7 +24,7 @@
     verdict: String,
 }
 
-/// Splits table rows into cells, with backticks taken off.
+/// Splits a table row into cells without their backticks.
 fn cells(line: &str) -> Vec<String> {
     let inner = line.trim().trim_matches('|');
     inner
@@ -40,7 +40,7 @@
         .unwrap_or_else(|_| panic!("not a number: {text}"))
 }
 
-/// Rows of all tables that begin with these header cells.
+/// Returns the rows of all tables whose header begins with these cells.
 fn rows(headers: &[&str]) -> Vec<Vec<String>> {
     let mut found = Vec::new();
     let mut inside = false;
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// Works out sums, products and quotients of names and numbers.
+/// Evaluates sums, products and quotients of named values and numbers.
 struct Arithmetic<'a> {
     tokens: Vec<String>,
     place: usize,
@@ -116,7 +116,7 @@
         assert_eq!(
             self.place,
             self.tokens.len(),
-            "left over: {:?}",
+            "unparsed tokens: {:?}",
             self.tokens
         );
         value
@@ -155,7 +155,7 @@
     fn factor(&mut self) -> f64 {
         if self.takes("(") {
             let value = self.sum();
-            assert!(self.takes(")"), "a bracket is not closed");
+            assert!(self.takes(")"), "missing closing parenthesis");
             return value;
         }
         let token = self.tokens[self.place].clone();
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Publications reach every router, never go back, and a router that can't know says so.
+//! Distribution of publications: every router gets the newest, none goes back to an older one, and
+//! a router that can't know whether its revision is the newest reports that.
 
 mod cores;
 
@@ -17,8 +18,8 @@
 use self::cores::catalog;
 use self::cores::host;
 
-/// Milliseconds after which a publication that one router has is in force at all: the stated
-/// bound.
+/// Guaranteed time within which a publication that one router has is in force at all, in
+/// milliseconds.
 const BOUND_MS: u64 = 2_000;
 
 const HOUR_MS: u64 = 3_600_000;
@@ -29,7 +30,7 @@
     fleet
 }
 
-/// The service answers the routers that watch it.
+/// Makes the service answer all routers that watch it.
 fn answer(fleet: &mut CoreFleet) {
     for router in 0..8 {
         let watches = fleet.core(router).state().publication_sync.watching;
@@ -69,7 +70,7 @@
 }
 
 // The configuration service serves an old revision to some readers while others have the new
-// one. Nobody may go back to the old one, whichever comes first and however often.
+// one. No router may go back to the old one, in whatever order and however often they arrive.
 #[test]
 fn an_old_revision_for_some_readers_reverts_nothing() {
     let mut fleet = fleet();
@@ -85,9 +86,9 @@
     }
 }
 
-// The service is down for an hour. In that hour a router restarts with nothing in memory, and
-// another reads an old revision from a cache. Both must end at the newest, from their peers, and
-// the fleet must say that it can't know whether there is a newer one; then the service is back.
+// The service is down for an hour. Meanwhile one router restarts without a publication and another
+// restarts with an old revision from a cache. Both must get the newest from their peers, and all
+// routers must report that they can't know whether there is a newer one until the service is back.
 #[test]
 fn an_hour_without_the_service_and_a_restart_in_it() {
     let mut fleet = fleet();
@@ -122,8 +123,9 @@
     }
 }
 
-// A router restarts and reads an old revision first. It must not tell the balancer that it is
-// ready before its peers have told theirs; a peer that hangs delays that for a bounded time.
+// A router restarts and reads an old revision first. It must not report itself ready to the load
+// balancer before its peers have sent their revisions; a peer that hangs delays this only for a
+// bounded time.
 #[test]
 fn a_restarted_router_is_ready_only_with_the_newest() {
     let mut fleet = fleet();
@@ -146,8 +148,8 @@
     assert!(fleet.core(5).state().publication_sync.ready);
 }
 
-// The network parts, each side's readers get different revisions, a router on the lower side
-// restarts, and the parts join: the higher one wins everywhere.
+// During a partition the readers of each side get different revisions. After the partition heals,
+// the higher revision must be in force at all routers.
 #[test]
 fn a_partition_with_two_revisions_ends_at_the_higher() {
     let mut fleet = fleet();
@@ -169,8 +171,8 @@
     assert_eq!(revisions(&fleet), [8; 8]);
 }
 
-// A peer of another build has a publication in force that this router refuses. It must be
-// refused whole, the last good one stays, and it isn't fetched again and again.
+// A peer of another build has a publication in force that this router refuses. It must be refused
+// as a whole, the last valid one stays in force, and the refused one is not fetched repeatedly.
 #[test]
 fn a_bad_publication_is_refused_once() {
     let mut fleet = fleet();
@@ -178,14 +180,14 @@
     fleet.handle_event(0, bad);
     fleet.advance(60_000);
     assert_eq!(revisions(&fleet), [9, 1, 1, 1, 1, 1, 1, 1]);
-    assert_eq!(fleet.adoptions, 7, "each router looked at it once");
+    assert_eq!(fleet.adoptions, 7, "each router checked it once");
     publish(&mut fleet, 3, 10);
     fleet.advance(BOUND_MS);
     assert_eq!(revisions(&fleet), [10; 8]);
 }
 
-// A peer tells a revision and then hangs. The question goes to another one after a time, and a
-// text that nobody asked for is not taken.
+// A peer announces a revision and then hangs. After a timeout the fetch must go to another peer.
+// A publication that was not requested must not be accepted.
 #[test]
 fn a_peer_that_hangs_or_pushes_does_not_stop_the_others() {
     let mut fleet = fleet();
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -1,4 +1,4 @@
-//! Publications and settings that are wrong, and what their authors are told.
+//! Validation of publications and settings, and the faults that are reported.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 const KEY_A: &str = "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb";
 const KEY_B: &str = "3e23e8160039594a33894f6564e1b1348bbd7a0088d42c4acb73eeaed59c009d";
 
-/// A publication with two teams, in which one text is replaced by another.
+/// Returns a valid sample publication with two teams, with one text replaced by another.
 fn publication(from: &str, to: &str) -> String {
     let text = format!(
         r#"{{
@@ -39,7 +39,7 @@
       "fencing": "checked", "leaving": true}}}}
 }}"#
     );
-    assert!(text.contains(from), "the sample holds no {from}");
+    assert!(text.contains(from), "the sample does not contain {from}");
     text.replace(from, to)
 }
 
@@ -51,10 +51,10 @@
         .collect()
 }
 
-/// The faults of the sample with one text replaced by another.
+/// Returns the faults of the sample publication with one text replaced by another.
 fn faults(from: &str, to: &str) -> FaultList {
     let text = publication(from, to);
-    adopt(ConfigRevision(1), text.as_bytes()).expect_err("a faulty publication was taken")
+    adopt(ConfigRevision(1), text.as_bytes()).expect_err("a faulty publication was accepted")
 }
 
 #[test]
@@ -107,7 +107,7 @@
     assert!(faults.to_string().contains("1048577 bytes"), "{faults}");
 }
 
-/// An edit of the sample, and the paths of all faults that it makes.
+/// An edit of the sample (old text, new text) and the paths of all faults that it causes.
 type FaultyEdit<'a> = (&'a str, &'a str, &'a [&'a str]);
 
 fn assert_named(edits: &[FaultyEdit<'_>]) {
@@ -227,8 +227,8 @@
     ]);
 }
 
-// An operator mends one fault, publishes, and is told of the next: each costs a round while the
-// fleet stays on the old publication. So faults of the shape and of the rules come together.
+// If faults of the schema hid faults of the rules, an operator would have to fix and publish
+// repeatedly, while the fleet stays on the old publication. Both must be reported together.
 #[test]
 fn faults_of_all_steps_come_together() {
     let text = publication(
@@ -256,8 +256,9 @@
     assert_eq!(paths(&faults), ["teams.nadi-clinic"]);
 }
 
-// On the wire a team goes by 32 bits of its name's hash. Two teams with one hash would share a
-// queue and a ledger, and one would pay for the other; nobody could see why.
+// On the wire a team is identified by 32 bits of its name's hash. Two teams with the same hash
+// would share a queue and an account, so one would be charged for the other without any visible
+// cause.
 #[test]
 fn two_names_with_one_hash_are_refused() {
     let mut seen = BTreeMap::new();
@@ -316,8 +317,8 @@
 
 #[test]
 fn what_an_operator_reads_of_three_faults() {
-    // A first-week operator forgets a template, types a share of 0 and names a pool that is not
-    // there. One run of the check names all three with their places.
+    // Three independent faults: a misspelt template, a share of 0 and an unknown pool. One check
+    // must report all of them with their paths.
     let text = publication("\"share\": 30", "\"share\": 0")
         .replace(
             "\"template\": \"clinic\", \"keys\"",
--- a/tests/publication_properties.rs
+++ b/tests/publication_properties.rs
@@ -1,5 +1,5 @@
-//! Whatever bytes or JSON come in place of a publication, settings or a host list, they are read
-//! without panic, and two readings say the same.
+//! Property tests: any bytes or JSON are read as a publication, settings or a host list without
+//! panic, and reading a publication twice gives the same result.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Any JSON, with the words of a publication among its keys and texts.
+/// Generates arbitrary JSON whose keys and strings include the field names of a publication.
 fn any_json() -> impl Strategy<Value = Value> {
     let word = prop::sample::select(vec![
         "templates",
@@ -88,7 +88,7 @@
         let _ = HostList::read(text.as_bytes()).map(|list| list.event());
     }
 
-    /// One byte of a good publication is changed: it is refused, or it renders.
+    /// A valid publication with one byte changed must either be refused or rendered.
     #[test]
     fn a_changed_byte_never_panics(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let mut text = GOOD.as_bytes().to_vec();
--- a/tests/reference.rs
+++ b/tests/reference.rs
@@ -1,4 +1,4 @@
-//! The committed schemas and reference pages against the code.
+//! Checks that the committed schemas and reference pages match the code.
 
 use std::fs;
 use std::path::PathBuf;
@@ -16,7 +16,7 @@
 use verbenaturn::document::shape::HASH_PATTERN;
 use verbenaturn::units::NAME_PATTERN;
 
-/// Keywords that `document::shape` checks, or that say nothing about a value.
+/// Schema keywords that `document::shape` checks or that do not constrain a value.
 const KNOWN_KEYWORDS: [&str; 18] = [
     "$ref",
     "$schema",
@@ -44,7 +44,7 @@
         .join(path)
 }
 
-/// Fails at the first line in which a committed file is not what the code makes.
+/// Fails at the first line in which a committed file differs from what the code generates.
 fn assert_fresh(file: &str, made: &str) {
     let committed = fs::read_to_string(docs(file)).unwrap_or_default();
     let longest = committed.lines().count().max(made.lines().count());
@@ -74,8 +74,8 @@
     }
 }
 
-// A type gains a rule that the library writes in a keyword which the shape check does not know.
-// The rule would stand in the schema and hold nowhere.
+// Guards against a constraint that the schema library expresses in a keyword that the shape check
+// does not support: the schema would contain it, but it would never be enforced.
 #[test]
 fn the_shape_check_knows_every_keyword() {
     for document in REFERENCED {
@@ -117,12 +117,12 @@
     let page = fs::read_to_string(docs("reference/exit-codes.md")).unwrap();
     for kind in ExitKind::ALL {
         let row = format!("| {} | {} |", kind.code(), kind.meaning());
-        assert!(page.contains(&row), "no row {row}");
+        assert!(page.contains(&row), "missing row: {row}");
     }
     assert!(page.contains(&format!("| {EXIT_CUT} | A second signal")));
 }
 
-/// What the first-day page shows of commands that need no router is what the tool prints today.
+/// Checks the output of commands that need no router on the first-day page against the tool.
 #[test]
 fn the_first_day_shows_what_the_tool_prints() {
     let page = fs::read_to_string(docs("operators/first-day.md")).unwrap();
