--- a/src/daemon/process.rs
+++ b/src/daemon/process.rs
@@ -68,7 +68,7 @@
     Ok(RouterParts {
         host: settings.host.clone(),
         domain: settings.domain.clone(),
-        incarnation: RouterIncarnation::drawn_at(unix_seconds(), rand::random()),
+        incarnation: RouterIncarnation::from_start_time(unix_seconds(), rand::random()),
         callers: settings.callers.listen,
         peers: Some(peers),
         sources: Some(settings.sources.clone()),
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -265,7 +265,7 @@
     let plan = GossipPlan {
         listen: settings.peers.listen,
         seeds: settings.peers.seeds.clone(),
-        incarnation: RouterIncarnation::drawn_at(unix_seconds(), rand::random()).0,
+        incarnation: RouterIncarnation::from_start_time(unix_seconds(), rand::random()).0,
     };
     let socket = UdpSocket::from_std(listeners.gossip)?;
     tokio::spawn(run_gossip(Arc::clone(&shared), plan, socket));
--- a/src/units/number.rs
+++ b/src/units/number.rs
@@ -98,7 +98,7 @@
     /// number, so late messages about an earlier incarnation are recognised; the random lower half
     /// distinguishes two starts within one second.
     #[must_use]
-    pub fn drawn_at(unix_seconds: u64, random: u32) -> Self {
+    pub fn from_start_time(unix_seconds: u64, random: u32) -> Self {
         Self(unix_seconds << 32 | u64::from(random))
     }
 }
