--- a/src/document/tree.rs
+++ b/src/document/tree.rs
@@ -128,7 +128,7 @@
     use super::*;
 
     #[test]
-    fn doubled_names_are_named() {
+    fn duplicate_names_are_reported() {
         let faults = parse(br#"{"a": {"b": 1, "b": 2}, "a": []}"#).unwrap_err();
         let paths: Vec<&str> = faults.faults().iter().map(|f| f.path.as_str()).collect();
         assert_eq!(paths, ["a", "a.b"]);
