--- a/src/document/tree.rs
+++ b/src/document/tree.rs
@@ -135,7 +135,7 @@
     }
 
     #[test]
-    fn a_cut_text_says_where() {
+    fn truncated_text_reports_its_position() {
         let faults = parse(br#"{"a": "#).unwrap_err();
         assert!(faults.to_string().contains("line 1 column 6"), "{faults}");
     }
