--- a/src/document/shape.rs
+++ b/src/document/shape.rs
@@ -143,7 +143,7 @@
             let below = join(path, key);
             match properties.and_then(|known| known.get(key)) {
                 Some(part) => self.value(&below, part, value),
-                None => self.extra(&below, schema, key, value),
+                None => self.undeclared_field(&below, schema, key, value),
             }
         }
         let required = schema.get("required").and_then(Value::as_array);
@@ -154,7 +154,7 @@
         }
     }
 
-    fn extra(&mut self, path: &str, schema: &'a Value, key: &str, value: &Value) {
+    fn undeclared_field(&mut self, path: &str, schema: &'a Value, key: &str, value: &Value) {
         if let Some(patterns) = schema.get("patternProperties").and_then(Value::as_object) {
             for (pattern, part) in patterns {
                 self.pattern(path, pattern, key);
