--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -35,7 +35,7 @@
     let tree = tree::parse(text)?;
     let faults = shape::check(&schema_of::<T>(), &tree);
     if faults.is_empty() {
-        typed(tree)
+        deserialize_tree(tree)
     } else {
         Err(FaultList::from(faults))
     }
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// Returns the first value that the type rejects although the schema allows it.
-pub fn typed<T: DeserializeOwned>(tree: Value) -> Result<T, FaultList> {
+pub fn deserialize_tree<T: DeserializeOwned>(tree: Value) -> Result<T, FaultList> {
     serde_json::from_value(tree)
         .map_err(|error| FaultList::from(vec![DocumentFault::new("", error.to_string())]))
 }
--- a/src/publication/mod.rs
+++ b/src/publication/mod.rs
@@ -16,11 +16,11 @@
 use crate::catalog::FleetCatalog;
 use crate::document::DocumentFault;
 use crate::document::FaultList;
+use crate::document::deserialize_tree;
 use crate::document::fault::join;
 use crate::document::schema_of;
 use crate::document::shape;
 use crate::document::tree;
-use crate::document::typed;
 use crate::units::ConfigRevision;
 
 use self::document::PublicationDocument;
@@ -47,7 +47,7 @@
     let mut faults = shape::check(&schema, &tree);
     let declared = DeclaredNames::of(&tree);
     prune(&mut tree, &schema, &faults);
-    match typed::<PublicationDocument>(tree) {
+    match deserialize_tree::<PublicationDocument>(tree) {
         Ok(document) => {
             faults.extend(rules::check(&document, &declared));
             if faults.is_empty() {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -18,11 +18,11 @@
 use crate::configs::traffic::TrafficConfig;
 use crate::document::DocumentFault;
 use crate::document::FaultList;
+use crate::document::deserialize_tree;
 use crate::document::schema_of;
 use crate::document::shape;
 use crate::document::shape::ADDRESS_FORMAT;
 use crate::document::tree;
-use crate::document::typed;
 use crate::units::DomainName;
 use crate::units::HostName;
 
@@ -255,7 +255,7 @@
         faults.extend(peer_fault(&peers));
     }
     if faults.is_empty() {
-        typed(tree)
+        deserialize_tree(tree)
     } else {
         Err(FaultList::from(faults))
     }
