--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -223,12 +223,12 @@
     /// Returns the address to which other routers connect.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
-        self.peers.dialled()
+        self.peers.advertised_address()
     }
 }
 
 impl PeerSettings {
-    fn dialled(&self) -> SocketAddr {
+    fn advertised_address(&self) -> SocketAddr {
         self.advertised.unwrap_or(self.listen)
     }
 }
@@ -285,11 +285,12 @@
 }
 
 fn peer_fault(peers: &PeerSettings) -> Option<DocumentFault> {
-    let dialled = peers.dialled();
-    if !dialled.ip().is_unspecified() && dialled.port() != 0 {
+    let advertised_address = peers.advertised_address();
+    if !advertised_address.ip().is_unspecified() && advertised_address.port() != 0 {
         return None;
     }
-    let message = format!("is {dialled}; use an IP number and a port to which peers can connect");
+    let message =
+        format!("is {advertised_address}; use an IP number and a port to which peers can connect");
     Some(DocumentFault::new("peers.advertised", message))
 }
 
