--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -271,12 +271,12 @@
 }
 
 fn source_faults(sources: &SourceSettings) -> Vec<DocumentFault> {
-    let config = one_source(
+    let config = check_source(
         "sources.config",
         sources.config_url.as_deref(),
         sources.config_file.is_some(),
     );
-    let hosts = one_source(
+    let hosts = check_source(
         "sources.hosts",
         sources.hosts_url.as_deref(),
         sources.hosts_file.is_some(),
@@ -295,7 +295,7 @@
 }
 
 /// Checks that a source is either a URL or a file, and that a URL is valid.
-fn one_source(path: &str, url: Option<&str>, file: bool) -> Option<DocumentFault> {
+fn check_source(path: &str, url: Option<&str>, file: bool) -> Option<DocumentFault> {
     match (url, file) {
         (None, false) => Some(DocumentFault::new(
             format!("{path}_url"),
