--- a/src/publication/mod.rs
+++ b/src/publication/mod.rs
@@ -94,16 +94,16 @@
     let named = |path: &str| faults.iter().any(|fault| fault.path == path);
     map.retain(|key, part| {
         let below = join(path, key);
-        let named_here = match part {
+        let is_faulty = match part {
             Value::Array(_) => lies_within(faults, &below),
             _ => named(&below),
         };
-        if named_here && path.rsplit('.').next() == Some("kinds") {
+        if is_faulty && path.rsplit('.').next() == Some("kinds") {
             *part = Value::Object(Map::new());
             return true;
         }
         drop_faulty(&below, part, faults);
-        !named_here
+        !is_faulty
     });
 }
 
