--- a/src/publication/mod.rs
+++ b/src/publication/mod.rs
@@ -91,12 +91,12 @@
     let Some(map) = value.as_object_mut() else {
         return;
     };
-    let named = |path: &str| faults.iter().any(|fault| fault.path == path);
+    let has_fault = |path: &str| faults.iter().any(|fault| fault.path == path);
     map.retain(|key, part| {
         let below = join(path, key);
         let is_faulty = match part {
             Value::Array(_) => lies_within(faults, &below),
-            _ => named(&below),
+            _ => has_fault(&below),
         };
         if is_faulty && path.rsplit('.').next() == Some("kinds") {
             *part = Value::Object(Map::new());
