--- a/src/publication/mod.rs
+++ b/src/publication/mod.rs
@@ -79,7 +79,7 @@
     let entries = tree.as_object_mut().into_iter().flatten();
     for (section, value) in entries {
         if let Some(entries) = value.as_object_mut() {
-            entries.retain(|key, _| !lies_within(&rest, &join(section, key)));
+            entries.retain(|key, _| !has_fault_within(&rest, &join(section, key)));
         }
     }
 }
@@ -95,7 +95,7 @@
     map.retain(|key, part| {
         let below = join(path, key);
         let is_faulty = match part {
-            Value::Array(_) => lies_within(faults, &below),
+            Value::Array(_) => has_fault_within(faults, &below),
             _ => has_fault(&below),
         };
         if is_faulty && path.rsplit('.').next() == Some("kinds") {
@@ -108,7 +108,7 @@
 }
 
 /// Returns true if a fault is at a path or below it.
-fn lies_within(faults: &[DocumentFault], path: &str) -> bool {
+fn has_fault_within(faults: &[DocumentFault], path: &str) -> bool {
     faults.iter().any(|fault| {
         let rest = fault.path.strip_prefix(path);
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
