--- a/src/publication/mod.rs
+++ b/src/publication/mod.rs
@@ -74,7 +74,7 @@
     if !tree.is_object() {
         *tree = Value::Object(Map::new());
     }
-    drop_faulty("", tree, faults);
+    remove_faulty("", tree, faults);
     let rest = shape::check(schema, tree);
     let entries = tree.as_object_mut().into_iter().flatten();
     for (section, value) in entries {
@@ -87,7 +87,7 @@
 /// Removes values that have a fault. An array with a faulty item is removed as a whole, because
 /// removing the item would shift the indexes of the others. A faulty kind is emptied but kept, so
 /// that it is not reported as missing as well.
-fn drop_faulty(path: &str, value: &mut Value, faults: &[DocumentFault]) {
+fn remove_faulty(path: &str, value: &mut Value, faults: &[DocumentFault]) {
     let Some(map) = value.as_object_mut() else {
         return;
     };
@@ -102,7 +102,7 @@
             *part = Value::Object(Map::new());
             return true;
         }
-        drop_faulty(&below, part, faults);
+        remove_faulty(&below, part, faults);
         !is_faulty
     });
 }
