--- a/src/publication/render.rs
+++ b/src/publication/render.rs
@@ -117,7 +117,11 @@
     TeamEntry {
         name: name.clone(),
         share: ShareWeight(source.share.unwrap_or(template.share)),
-        key_hashes: source.keys.iter().filter_map(|key| hash(key)).collect(),
+        key_hashes: source
+            .keys
+            .iter()
+            .filter_map(|key| parse_hash(key))
+            .collect(),
         queue_limit: source.queue_limit.unwrap_or(template.queue_limit),
         kinds: merged_kinds(source, template)
             .iter()
@@ -145,7 +149,7 @@
 
 /// Parses a hash of 64 hexadecimal digits; returns `None` for any other text.
 #[must_use]
-pub fn hash(text: &str) -> Option<[u8; 32]> {
+pub fn parse_hash(text: &str) -> Option<[u8; 32]> {
     let mut bytes = [0; 32];
     if text.len() != 64 || !text.is_ascii() {
         return None;
