--- a/src/publication/render.rs
+++ b/src/publication/render.rs
@@ -36,7 +36,7 @@
 /// Default total time of a request, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 600_000;
 /// Default service-level objective: good answers per thousand.
-const DEFAULT_OBJECTIVE: u16 = 990;
+const DEFAULT_OBJECTIVE_PER_MILLE: u16 = 990;
 
 /// Renders a validated document. A team whose template does not exist is omitted; validation
 /// refuses such a document before.
@@ -141,7 +141,9 @@
         unrepeatable: kind.unrepeatable.unwrap_or(false),
         deadline: TimeSpan::from_millis(deadline_ms),
         goal: TimeSpan::from_millis(kind.goal_ms.unwrap_or(deadline_ms)),
-        objective_per_mille: kind.objective_per_mille.unwrap_or(DEFAULT_OBJECTIVE),
+        objective_per_mille: kind
+            .objective_per_mille
+            .unwrap_or(DEFAULT_OBJECTIVE_PER_MILLE),
         method: kind.method.clone(),
         path_prefix: kind.path_prefix.clone(),
     }
