--- a/src/publication/rendered.rs
+++ b/src/publication/rendered.rs
@@ -138,7 +138,7 @@
     RenderedTeam {
         share: entry.share.0,
         queue_limit: entry.queue_limit,
-        keys: entry.key_hashes.iter().map(hash_start).collect(),
+        keys: entry.key_hashes.iter().map(hash_prefix).collect(),
         default_kind: entry.default_kind.clone(),
         kinds: entry
             .kinds
@@ -148,7 +148,7 @@
     }
 }
 
-fn hash_start(hash: &[u8; 32]) -> String {
+fn hash_prefix(hash: &[u8; 32]) -> String {
     let mut text = String::new();
     for byte in &hash[..4] {
         let _ = write!(text, "{byte:02x}");
