--- a/src/publication/rules.rs
+++ b/src/publication/rules.rs
@@ -180,7 +180,7 @@
             if let Some(prefix) = self.pool_prefix(&path, pool) {
                 let clash = prefixes
                     .iter()
-                    .find(|(other, _)| within(&prefix, other) || within(other, &prefix));
+                    .find(|(other, _)| is_within(&prefix, other) || is_within(other, &prefix));
                 if let Some((other, owner)) = clash {
                     let message = if owner.is_empty() {
                         format!("is \"{prefix}\"; {other} is for engine pools")
@@ -289,7 +289,7 @@
 }
 
 /// Returns true if `path` is `prefix` or below it.
-fn within(path: &str, prefix: &str) -> bool {
+fn is_within(path: &str, prefix: &str) -> bool {
     let rest = path.strip_prefix(prefix);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
