--- a/src/publication/rules.rs
+++ b/src/publication/rules.rs
@@ -262,18 +262,18 @@
             .teams
             .keys()
             .map(|name| (TeamId::from(name).0, name));
-        self.clashes("teams", teams);
+        self.check_unique_ids("teams", teams);
         let pools = document
             .pools
             .keys()
             .map(|name| (PoolId::from(name).0, name));
-        self.clashes("pools", pools);
+        self.check_unique_ids("pools", pools);
         let endpoints = document.endpoints.keys();
         let endpoints = endpoints.map(|name| (EndpointId::from(name).0, name));
-        self.clashes("endpoints", endpoints);
+        self.check_unique_ids("endpoints", endpoints);
     }
 
-    fn clashes<'a, Name: Display + 'a>(
+    fn check_unique_ids<'a, Name: Display + 'a>(
         &mut self,
         section: &str,
         ids: impl Iterator<Item = (u32, &'a Name)>,
