--- a/src/publication/rules.rs
+++ b/src/publication/rules.rs
@@ -119,8 +119,8 @@
         merged: &BTreeMap<KindName, KindDocument>,
     ) {
         for (kind, source) in &team.kinds {
-            let whole = merged.get(kind).unwrap_or(source);
-            self.kind(&format!("{path}.kinds.{kind}"), source, whole);
+            let merged_kind = merged.get(kind).unwrap_or(source);
+            self.kind(&format!("{path}.kinds.{kind}"), source, merged_kind);
         }
     }
 
@@ -136,10 +136,10 @@
         }
     }
 
-    /// Checks a kind. `source` is the kind as written at `path`; `whole` also has the fields
+    /// Checks a kind. `source` is the kind as written at `path`; `merged_kind` also has the fields
     /// inherited from the template.
-    fn kind(&mut self, path: &str, source: &KindDocument, whole: &KindDocument) {
-        if let (Some(goal), Some(deadline)) = (whole.goal_ms, whole.deadline_ms)
+    fn kind(&mut self, path: &str, source: &KindDocument, merged_kind: &KindDocument) {
+        if let (Some(goal), Some(deadline)) = (merged_kind.goal_ms, merged_kind.deadline_ms)
             && goal > deadline
         {
             let message = format!("is {goal}, after the deadline of {deadline}");
