--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -110,7 +110,7 @@
 /// An edit of the sample (old text, new text) and the paths of all faults that it causes.
 type FaultyEdit<'a> = (&'a str, &'a str, &'a [&'a str]);
 
-fn assert_named(edits: &[FaultyEdit<'_>]) {
+fn assert_fault_paths(edits: &[FaultyEdit<'_>]) {
     for (from, to, expected) in edits {
         let faults = faults(from, to);
         assert_eq!(&paths(&faults), expected, "{from} to {to}:\n{faults}");
@@ -126,7 +126,7 @@
         "teams.nadi-clinic.template",
         "template",
     ];
-    assert_named(&[
+    assert_fault_paths(&[
         (
             "\"goal_ms\": 2000",
             "\"gaol_ms\": 2000",
@@ -182,7 +182,7 @@
         "endpoints.portal-1.pools.2",
         "endpoints.portal-1.pools.3",
     ];
-    assert_named(&[
+    assert_fault_paths(&[
         (
             "127.0.0.1:9002",
             "127.0.0.1:9001",
