--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn names_that_stand_twice_are_refused() {
+fn duplicate_names_are_refused() {
     let text = publication("\"labasa-clinic\"", "\"nadi-clinic\"");
     let faults = adopt(ConfigRevision(1), text.as_bytes()).unwrap_err();
     assert_eq!(paths(&faults), ["teams.nadi-clinic"]);
