--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn shares_out_of_range_are_named() {
+fn shares_out_of_range_are_reported() {
     for share in ["0", "-3", "1000001", "99999999999999999999", "1.5", "\"9\""] {
         let faults = faults("\"share\": 30", &format!("\"share\": {share}"));
         assert_eq!(paths(&faults), ["teams.labasa-clinic.share"], "{share}");
