--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn faults_of_teams_and_templates_are_named() {
+fn faults_of_teams_and_templates_are_reported() {
     let longer = format!("\"{KEY_B}\", \"{KEY_A}\"");
     let many = vec![format!("\"{KEY_B}\""); 5].join(", ");
     let named = [
