--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn faults_of_pools_and_endpoints_are_named() {
+fn faults_of_pools_and_endpoints_are_reported() {
     let pools = [
         "endpoints.portal-1.pools.0",
         "endpoints.portal-1.pools.2",
