--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -230,7 +230,7 @@
 // If faults of the schema hid faults of the rules, an operator would have to fix and publish
 // repeatedly, while the fleet stays on the old publication. Both must be reported together.
 #[test]
-fn faults_of_all_steps_come_together() {
+fn faults_of_all_steps_are_reported_together() {
     let text = publication(
         "\"method\": \"POST\"",
         "\"method\": \"post\", \"colour\": 1",
