--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -295,7 +295,7 @@
   "core": {"admission": {"queue_limit": -1}}}"#;
 
 #[test]
-fn every_fault_of_settings_is_named() {
+fn every_fault_of_settings_is_reported() {
     let faults = read_settings(SETTINGS.as_bytes()).unwrap_err();
     let expected = [
         "admin.listen",
