--- a/tests/publication_properties.rs
+++ b/tests/publication_properties.rs
@@ -10,7 +10,7 @@
 use verbenaturn::sources::HostList;
 use verbenaturn::units::ConfigRevision;
 
-const GOOD: &str = include_str!("../docs/operators/first-day/publication-2.json");
+const VALID_PUBLICATION: &str = include_str!("../docs/operators/first-day/publication-2.json");
 
 fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
@@ -91,7 +91,7 @@
     /// A valid publication with one byte changed must either be refused or rendered.
     #[test]
     fn a_changed_byte_never_panics(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
-        let mut text = GOOD.as_bytes().to_vec();
+        let mut text = VALID_PUBLICATION.as_bytes().to_vec();
         let at = at.index(text.len());
         text[at] = byte;
         if let Ok(catalog) = adopt(ConfigRevision(1), &text) {
