--- a/tests/reference.rs
+++ b/tests/reference.rs
@@ -45,7 +45,7 @@
 }
 
 /// Fails at the first line in which a committed file differs from what the code generates.
-fn assert_fresh(file: &str, made: &str) {
+fn assert_up_to_date(file: &str, made: &str) {
     let committed = fs::read_to_string(docs(file)).unwrap_or_default();
     let longest = committed.lines().count().max(made.lines().count());
     for line in 0..longest {
@@ -59,9 +59,9 @@
 fn schemas_and_pages_are_those_of_the_code() {
     for document in REFERENCED {
         let schema = schema_text(document).unwrap();
-        assert_fresh(&format!("reference/{document}.schema.json"), &schema);
+        assert_up_to_date(&format!("reference/{document}.schema.json"), &schema);
         let page = reference_text(document).unwrap();
-        assert_fresh(&format!("reference/{document}.md"), &page);
+        assert_up_to_date(&format!("reference/{document}.md"), &page);
     }
 }
 
