--- a/tests/reference.rs
+++ b/tests/reference.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn schemas_and_pages_are_those_of_the_code() {
+fn schemas_and_pages_match_the_code() {
     for document in REFERENCED {
         let schema = schema_text(document).unwrap();
         assert_up_to_date(&format!("reference/{document}.schema.json"), &schema);
