--- a/tests/reference.rs
+++ b/tests/reference.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn exit_codes_are_those_of_the_code() {
+fn exit_codes_match_the_code() {
     let page = fs::read_to_string(docs("reference/exit-codes.md")).unwrap();
     for kind in ExitKind::ALL {
         let row = format!("| {} | {} |", kind.code(), kind.meaning());
