--- a/tests/reference.rs
+++ b/tests/reference.rs
@@ -124,7 +124,7 @@
 
 /// Checks the output of commands that need no router on the first-day page against the tool.
 #[test]
-fn the_first_day_shows_what_the_tool_prints() {
+fn first_day_page_matches_the_output_of_the_tool() {
     let page = fs::read_to_string(docs("operators/first-day.md")).unwrap();
     let commands = page
         .lines()
