--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -16,7 +16,7 @@
 
 /// A table row whose figures are computed by a formula.
 #[derive(Debug)]
-struct WorkedRow {
+struct FormulaRow {
     name: String,
     formula: String,
     stated: SizedValue,
@@ -74,11 +74,11 @@
     sizes.chain(slopes).collect()
 }
 
-fn computed_rows() -> Vec<WorkedRow> {
+fn computed_rows() -> Vec<FormulaRow> {
     let headers = ["row", "arithmetic", "today", "design", "limit", "verdict"];
     let table = rows(&headers).into_iter();
     table
-        .map(|row| WorkedRow {
+        .map(|row| FormulaRow {
             name: row[0].clone(),
             formula: row[1].clone(),
             stated: SizedValue {
