--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -122,7 +122,7 @@
         value
     }
 
-    fn takes(&mut self, sign: &str) -> bool {
+    fn consume(&mut self, sign: &str) -> bool {
         let there = self
             .tokens
             .get(self.place)
@@ -133,7 +133,7 @@
 
     fn sum(&mut self) -> f64 {
         let mut value = self.product();
-        while self.takes("+") {
+        while self.consume("+") {
             value += self.product();
         }
         value
@@ -142,9 +142,9 @@
     fn product(&mut self) -> f64 {
         let mut value = self.factor();
         loop {
-            if self.takes("*") {
+            if self.consume("*") {
                 value *= self.factor();
-            } else if self.takes("/") {
+            } else if self.consume("/") {
                 value /= self.factor();
             } else {
                 return value;
@@ -153,9 +153,9 @@
     }
 
     fn factor(&mut self) -> f64 {
-        if self.takes("(") {
+        if self.consume("(") {
             let value = self.sum();
-            assert!(self.takes(")"), "missing closing parenthesis");
+            assert!(self.consume(")"), "missing closing parenthesis");
             return value;
         }
         let token = self.tokens[self.place].clone();
