--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_wrong_figure_would_be_seen() {
+fn a_wrong_figure_is_detected() {
     let values = BTreeMap::from([("rate".to_owned(), 2.5), ("nodes".to_owned(), 8.0)]);
     let formula = Arithmetic::new("rate * (nodes + 2) / 5", &values);
     let computed = formula.result();
