--- a/src/document/tree.rs
+++ b/src/document/tree.rs
@@ -23,10 +23,10 @@
 /// Returns the position of the first syntax error, or all names that are duplicated within an
 /// object.
 pub fn parse(text: &[u8]) -> Result<Value, FaultList> {
-    let doubles = RefCell::new(Vec::new());
+    let duplicate_faults = RefCell::new(Vec::new());
     let seed = ValueSeed {
         path: String::new(),
-        doubles: &doubles,
+        duplicate_faults: &duplicate_faults,
     };
     let mut deserializer = serde_json::Deserializer::from_slice(text);
     let value = seed
@@ -36,11 +36,11 @@
             let message = format!("not valid JSON: {error}");
             FaultList::from(vec![DocumentFault::new("", message)])
         })?;
-    let doubles = doubles.into_inner();
-    if doubles.is_empty() {
+    let duplicate_faults = duplicate_faults.into_inner();
+    if duplicate_faults.is_empty() {
         Ok(value)
     } else {
-        Err(FaultList::from(doubles))
+        Err(FaultList::from(duplicate_faults))
     }
 }
 
@@ -49,14 +49,14 @@
 /// be lost.
 struct ValueSeed<'a> {
     path: String,
-    doubles: &'a RefCell<Vec<DocumentFault>>,
+    duplicate_faults: &'a RefCell<Vec<DocumentFault>>,
 }
 
 impl ValueSeed<'_> {
     fn below(&self, part: &str) -> ValueSeed<'_> {
         ValueSeed {
             path: join(&self.path, part),
-            doubles: self.doubles,
+            duplicate_faults: self.duplicate_faults,
         }
     }
 }
@@ -116,7 +116,7 @@
             let value = access.next_value_seed(seed)?;
             if map.insert(key, value).is_some() {
                 let fault = DocumentFault::new(path, "is a duplicate name; keep one");
-                self.doubles.borrow_mut().push(fault);
+                self.duplicate_faults.borrow_mut().push(fault);
             }
         }
         Ok(Value::Object(map))
