--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -203,12 +203,12 @@
     fleet.handle_event(2, from_five(PeerBody::Publication(pushed)));
     assert_eq!(revision(&fleet, 2), 1);
     fleet.cut.insert((2, 5));
-    let told = GossipPing {
+    let announcement_ping = GossipPing {
         step: 1,
         revision: 60,
         ..GossipPing::default()
     };
-    fleet.handle_event(2, from_five(PeerBody::Gossip(told)));
+    fleet.handle_event(2, from_five(PeerBody::Gossip(announcement_ping)));
     publish(&mut fleet, 0, 7);
     fleet.advance(2 * BOUND_MS);
     assert_eq!(revision(&fleet, 2), 7);
