--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -123,12 +123,12 @@
     }
 
     fn consume(&mut self, sign: &str) -> bool {
-        let there = self
+        let is_next = self
             .tokens
             .get(self.place)
             .is_some_and(|token| token == sign);
-        self.place += usize::from(there);
-        there
+        self.place += usize::from(is_next);
+        is_next
     }
 
     fn sum(&mut self) -> f64 {
