--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -74,7 +74,7 @@
     sizes.chain(slopes).collect()
 }
 
-fn computed_rows() -> Vec<FormulaRow> {
+fn formula_rows() -> Vec<FormulaRow> {
     let headers = ["row", "arithmetic", "today", "design", "limit", "verdict"];
     let table = rows(&headers).into_iter();
     table
@@ -180,7 +180,7 @@
     };
     let (mut today, mut design) = (at(&|value| value.today), at(&|value| value.design));
     let mut faults = Vec::new();
-    for row in computed_rows() {
+    for row in formula_rows() {
         let computed = SizedValue {
             today: Arithmetic::new(&row.formula, &today).result(),
             design: Arithmetic::new(&row.formula, &design).result(),
