--- a/src/document/tree.rs
+++ b/src/document/tree.rs
@@ -1,4 +1,4 @@
-//! From text to a tree of JSON values, with names that stand twice in one object refused.
+//! Parsing of JSON text into a tree of values; duplicate names in an object are rejected.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -17,15 +17,16 @@
 use super::fault::FaultList;
 use super::fault::join;
 
-/// Reads JSON text.
+/// Parses JSON text.
 ///
 /// # Errors
-/// The place where the text stops being JSON, or all names that stand twice in their object.
+/// Returns the position of the first syntax error, or all names that are duplicated within an
+/// object.
 pub fn parse(text: &[u8]) -> Result<Value, FaultList> {
-    let doubles = RefCell::new(Vec::new());
+    let duplicate_faults = RefCell::new(Vec::new());
     let seed = ValueSeed {
         path: String::new(),
-        doubles: &doubles,
+        duplicate_faults: &duplicate_faults,
     };
     let mut deserializer = serde_json::Deserializer::from_slice(text);
     let value = seed
@@ -35,26 +36,27 @@
             let message = format!("not valid JSON: {error}");
             FaultList::from(vec![DocumentFault::new("", message)])
         })?;
-    let doubles = doubles.into_inner();
-    if doubles.is_empty() {
+    let duplicate_faults = duplicate_faults.into_inner();
+    if duplicate_faults.is_empty() {
         Ok(value)
     } else {
-        Err(FaultList::from(doubles))
+        Err(FaultList::from(duplicate_faults))
     }
 }
 
-/// Builds one value. A plain `Value` keeps the last of two equal names without a word, so that
-/// of two teams with one name the first would be lost.
+/// Deserialises one value and records duplicate names. The `Deserialize` implementation of `Value`
+/// silently keeps the last of two equal names, so the first of two teams with the same name would
+/// be lost.
 struct ValueSeed<'a> {
     path: String,
-    doubles: &'a RefCell<Vec<DocumentFault>>,
+    duplicate_faults: &'a RefCell<Vec<DocumentFault>>,
 }
 
 impl ValueSeed<'_> {
     fn below(&self, part: &str) -> ValueSeed<'_> {
         ValueSeed {
             path: join(&self.path, part),
-            doubles: self.doubles,
+            duplicate_faults: self.duplicate_faults,
         }
     }
 }
@@ -113,8 +115,8 @@
             let path = seed.path.clone();
             let value = access.next_value_seed(seed)?;
             if map.insert(key, value).is_some() {
-                let fault = DocumentFault::new(path, "stands twice; keep one");
-                self.doubles.borrow_mut().push(fault);
+                let fault = DocumentFault::new(path, "is a duplicate name; keep one");
+                self.duplicate_faults.borrow_mut().push(fault);
             }
         }
         Ok(Value::Object(map))
@@ -126,14 +128,14 @@
     use super::*;
 
     #[test]
-    fn doubled_names_are_named() {
+    fn duplicate_names_are_reported() {
         let faults = parse(br#"{"a": {"b": 1, "b": 2}, "a": []}"#).unwrap_err();
         let paths: Vec<&str> = faults.faults().iter().map(|f| f.path.as_str()).collect();
         assert_eq!(paths, ["a", "a.b"]);
     }
 
     #[test]
-    fn a_cut_text_says_where() {
+    fn truncated_text_reports_its_position() {
         let faults = parse(br#"{"a": "#).unwrap_err();
         assert!(faults.to_string().contains("line 1 column 6"), "{faults}");
     }
--- a/src/publication/mod.rs
+++ b/src/publication/mod.rs
@@ -1,9 +1,9 @@
-//! The publication: what operators write, how it is checked and how it becomes a catalog.
+//! The publication: its document, validation and rendering into a catalog.
 //!
-//! A publication is taken whole or refused whole. The way of one:
-//! [`read_publication`] (text to checked [`document::PublicationDocument`]), then
-//! [`render`](render::render) (to [`FleetCatalog`]). Both are pure; the same text and revision give the
-//! same catalog on every router.
+//! A publication is accepted or refused as a whole. [`read_publication`] parses and validates the
+//! text into a [`document::PublicationDocument`]; [`render`](render::render) turns that into a
+//! [`FleetCatalog`]. Both are pure: the same text and revision give the same catalog on every
+//! router.
 
 pub mod document;
 pub mod render;
@@ -16,24 +16,24 @@
 use crate::catalog::FleetCatalog;
 use crate::document::DocumentFault;
 use crate::document::FaultList;
+use crate::document::deserialize_tree;
 use crate::document::fault::join;
 use crate::document::schema_of;
 use crate::document::shape;
 use crate::document::tree;
-use crate::document::typed;
 use crate::units::ConfigRevision;
 
 use self::document::PublicationDocument;
 use self::rules::DeclaredNames;
 
-/// Largest publication, in bytes: what the source's service holds in one value.
+/// Maximum size of a publication, in bytes: the configuration service's limit for one value.
 pub const MAX_PUBLICATION_BYTES: usize = 1_048_576;
 
-/// Reads and checks a publication.
+/// Reads and validates a publication.
 ///
 /// # Errors
-/// Every fault of the text, each with its path, such as `teams.nadi-clinic.share`. A text that is
-/// too long or no JSON has that one fault.
+/// Returns every fault, each with its path, such as `teams.nadi-clinic.share`. For a text that is
+/// too long or not valid JSON, that is the only fault.
 pub fn read_publication(text: &[u8]) -> Result<PublicationDocument, FaultList> {
     if text.len() > MAX_PUBLICATION_BYTES {
         let message = format!(
@@ -47,7 +47,7 @@
     let mut faults = shape::check(&schema, &tree);
     let declared = DeclaredNames::of(&tree);
     prune(&mut tree, &schema, &faults);
-    match typed::<PublicationDocument>(tree) {
+    match deserialize_tree::<PublicationDocument>(tree) {
         Ok(document) => {
             faults.extend(rules::check(&document, &declared));
             if faults.is_empty() {
@@ -59,55 +59,56 @@
     Err(FaultList::from(faults))
 }
 
-/// Reads, checks and renders a publication.
+/// Reads, validates and renders a publication.
 ///
 /// # Errors
-/// Every fault of the text.
+/// Returns every fault, as [`read_publication`] does.
 pub fn adopt(revision: ConfigRevision, text: &[u8]) -> Result<FleetCatalog, FaultList> {
     read_publication(text).map(|document| render::render(revision, &document))
 }
 
-/// Takes out what has a wrong shape, so that the rules can be checked on the rest and an
-/// operator learns of all faults in one go: first the faulty values themselves, then the entries
-/// that can't be read without them.
+/// Removes values that do not match the schema, so that the rules can be checked on the rest and
+/// an operator gets all faults at once: first the faulty values themselves, then the entries that
+/// can't be deserialised without them.
 fn prune(tree: &mut Value, schema: &Value, faults: &[DocumentFault]) {
     if !tree.is_object() {
         *tree = Value::Object(Map::new());
     }
-    drop_faulty("", tree, faults);
+    remove_faulty("", tree, faults);
     let rest = shape::check(schema, tree);
     let entries = tree.as_object_mut().into_iter().flatten();
     for (section, value) in entries {
         if let Some(entries) = value.as_object_mut() {
-            entries.retain(|key, _| !lies_within(&rest, &join(section, key)));
+            entries.retain(|key, _| !has_fault_within(&rest, &join(section, key)));
         }
     }
 }
 
-/// Drops values that a fault names. A list goes whole, so that the places in it stay right; a
-/// kind stays without its parts, so that it does not show as missing as well.
-fn drop_faulty(path: &str, value: &mut Value, faults: &[DocumentFault]) {
+/// Removes values that have a fault. An array with a faulty item is removed as a whole, because
+/// removing the item would shift the indexes of the others. A faulty kind is emptied but kept, so
+/// that it is not reported as missing as well.
+fn remove_faulty(path: &str, value: &mut Value, faults: &[DocumentFault]) {
     let Some(map) = value.as_object_mut() else {
         return;
     };
-    let named = |path: &str| faults.iter().any(|fault| fault.path == path);
+    let has_fault = |path: &str| faults.iter().any(|fault| fault.path == path);
     map.retain(|key, part| {
         let below = join(path, key);
-        let named_here = match part {
-            Value::Array(_) => lies_within(faults, &below),
-            _ => named(&below),
+        let is_faulty = match part {
+            Value::Array(_) => has_fault_within(faults, &below),
+            _ => has_fault(&below),
         };
-        if named_here && path.rsplit('.').next() == Some("kinds") {
+        if is_faulty && path.rsplit('.').next() == Some("kinds") {
             *part = Value::Object(Map::new());
             return true;
         }
-        drop_faulty(&below, part, faults);
-        !named_here
+        remove_faulty(&below, part, faults);
+        !is_faulty
     });
 }
 
-/// True if a fault is at a path or below it.
-fn lies_within(faults: &[DocumentFault], path: &str) -> bool {
+/// Returns true if a fault is at a path or below it.
+fn has_fault_within(faults: &[DocumentFault], path: &str) -> bool {
     faults.iter().any(|fault| {
         let rest = fault.path.strip_prefix(path);
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
--- a/src/publication/render.rs
+++ b/src/publication/render.rs
@@ -1,4 +1,4 @@
-//! From a checked document to the catalog that the fleet runs on.
+//! Rendering of a validated document into the catalog that the fleet uses.
 
 use std::collections::BTreeMap;
 
@@ -33,13 +33,13 @@
 use super::document::TemplateDocument;
 use super::document::UrgencyDocument;
 
-/// Milliseconds that a request may take in all, unless its kind says otherwise.
+/// Default total time of a request, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 600_000;
-/// Answers in a thousand that shall be good, unless the kind says otherwise.
-const DEFAULT_OBJECTIVE: u16 = 990;
+/// Default service-level objective: good answers per thousand.
+const DEFAULT_OBJECTIVE_PER_MILLE: u16 = 990;
 
-/// Renders a checked document. A team whose template is not there is left out; the rules refuse
-/// such a document before.
+/// Renders a validated document. A team whose template does not exist is omitted; validation
+/// refuses such a document before.
 #[must_use]
 pub fn render(revision: ConfigRevision, document: &PublicationDocument) -> FleetCatalog {
     let mut pools: BTreeMap<PoolId, PoolEntry> = document
@@ -83,7 +83,7 @@
     }
 }
 
-/// The kinds of a team: its template's, with the team's parts in their place.
+/// Returns the kinds of a team: those of its template with the team's overrides applied.
 #[must_use]
 pub fn merged_kinds(
     team: &TeamDocument,
@@ -117,7 +117,11 @@
     TeamEntry {
         name: name.clone(),
         share: ShareWeight(source.share.unwrap_or(template.share)),
-        key_hashes: source.keys.iter().filter_map(|key| hash(key)).collect(),
+        key_hashes: source
+            .keys
+            .iter()
+            .filter_map(|key| parse_hash(key))
+            .collect(),
         queue_limit: source.queue_limit.unwrap_or(template.queue_limit),
         kinds: merged_kinds(source, template)
             .iter()
@@ -137,15 +141,17 @@
         unrepeatable: kind.unrepeatable.unwrap_or(false),
         deadline: TimeSpan::from_millis(deadline_ms),
         goal: TimeSpan::from_millis(kind.goal_ms.unwrap_or(deadline_ms)),
-        objective_per_mille: kind.objective_per_mille.unwrap_or(DEFAULT_OBJECTIVE),
+        objective_per_mille: kind
+            .objective_per_mille
+            .unwrap_or(DEFAULT_OBJECTIVE_PER_MILLE),
         method: kind.method.clone(),
         path_prefix: kind.path_prefix.clone(),
     }
 }
 
-/// The bytes of a hash in hexadecimal digits; nothing if it is none.
+/// Parses a hash of 64 hexadecimal digits; returns `None` for any other text.
 #[must_use]
-pub fn hash(text: &str) -> Option<[u8; 32]> {
+pub fn parse_hash(text: &str) -> Option<[u8; 32]> {
     let mut bytes = [0; 32];
     if text.len() != 64 || !text.is_ascii() {
         return None;
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -1,22 +1,22 @@
-//! docs/CAPACITY.md against itself: each figure of its tables must follow from the sizes and
-//! slopes that the page states, by the arithmetic that the page shows.
+//! Consistency check of docs/CAPACITY.md: each figure in its tables must follow from the sizes and
+//! slopes that the page lists, by the formula that the page gives.
 
 use std::collections::BTreeMap;
 
 const PAGE: &str = include_str!("../docs/CAPACITY.md");
-/// Stated figures may differ from computed ones by rounding: one part in this many.
+/// Tolerance for rounding of stated figures: one part in this many of the computed figure.
 const ROUNDING: f64 = 100.0;
 
-/// A value at today's size and at the size to design for.
+/// A value at the current size and at the size that the design must support.
 #[derive(Debug, Clone, Copy)]
 struct SizedValue {
     today: f64,
     design: f64,
 }
 
-/// One row whose figures are worked out.
+/// A table row whose figures are computed by a formula.
 #[derive(Debug)]
-struct WorkedRow {
+struct FormulaRow {
     name: String,
     formula: String,
     stated: SizedValue,
@@ -24,7 +24,7 @@
     verdict: String,
 }
 
-/// Splits table rows into cells, with backticks taken off.
+/// Splits a table row into cells without their backticks.
 fn cells(line: &str) -> Vec<String> {
     let inner = line.trim().trim_matches('|');
     inner
@@ -40,7 +40,7 @@
         .unwrap_or_else(|_| panic!("not a number: {text}"))
 }
 
-/// Rows of all tables that begin with these header cells.
+/// Returns the rows of all tables whose header begins with these cells.
 fn rows(headers: &[&str]) -> Vec<Vec<String>> {
     let mut found = Vec::new();
     let mut inside = false;
@@ -74,11 +74,11 @@
     sizes.chain(slopes).collect()
 }
 
-fn worked() -> Vec<WorkedRow> {
+fn formula_rows() -> Vec<FormulaRow> {
     let headers = ["row", "arithmetic", "today", "design", "limit", "verdict"];
     let table = rows(&headers).into_iter();
     table
-        .map(|row| WorkedRow {
+        .map(|row| FormulaRow {
             name: row[0].clone(),
             formula: row[1].clone(),
             stated: SizedValue {
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// Works out sums, products and quotients of names and numbers.
+/// Evaluates sums, products and quotients of named values and numbers.
 struct Arithmetic<'a> {
     tokens: Vec<String>,
     place: usize,
@@ -116,24 +116,24 @@
         assert_eq!(
             self.place,
             self.tokens.len(),
-            "left over: {:?}",
+            "unparsed tokens: {:?}",
             self.tokens
         );
         value
     }
 
-    fn takes(&mut self, sign: &str) -> bool {
-        let there = self
+    fn consume(&mut self, sign: &str) -> bool {
+        let is_next = self
             .tokens
             .get(self.place)
             .is_some_and(|token| token == sign);
-        self.place += usize::from(there);
-        there
+        self.place += usize::from(is_next);
+        is_next
     }
 
     fn sum(&mut self) -> f64 {
         let mut value = self.product();
-        while self.takes("+") {
+        while self.consume("+") {
             value += self.product();
         }
         value
@@ -142,9 +142,9 @@
     fn product(&mut self) -> f64 {
         let mut value = self.factor();
         loop {
-            if self.takes("*") {
+            if self.consume("*") {
                 value *= self.factor();
-            } else if self.takes("/") {
+            } else if self.consume("/") {
                 value /= self.factor();
             } else {
                 return value;
@@ -153,9 +153,9 @@
     }
 
     fn factor(&mut self) -> f64 {
-        if self.takes("(") {
+        if self.consume("(") {
             let value = self.sum();
-            assert!(self.takes(")"), "a bracket is not closed");
+            assert!(self.consume(")"), "missing closing parenthesis");
             return value;
         }
         let token = self.tokens[self.place].clone();
@@ -180,7 +180,7 @@
     };
     let (mut today, mut design) = (at(&|value| value.today), at(&|value| value.design));
     let mut faults = Vec::new();
-    for row in worked() {
+    for row in formula_rows() {
         let computed = SizedValue {
             today: Arithmetic::new(&row.formula, &today).result(),
             design: Arithmetic::new(&row.formula, &design).result(),
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_wrong_figure_would_be_seen() {
+fn a_wrong_figure_is_detected() {
     let values = BTreeMap::from([("rate".to_owned(), 2.5), ("nodes".to_owned(), 8.0)]);
     let formula = Arithmetic::new("rate * (nodes + 2) / 5", &values);
     let computed = formula.result();
--- a/tests/publication.rs
+++ b/tests/publication.rs
@@ -1,4 +1,4 @@
-//! Publications and settings that are wrong, and what their authors are told.
+//! Validation of publications and settings, and the faults that are reported.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 const KEY_A: &str = "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb";
 const KEY_B: &str = "3e23e8160039594a33894f6564e1b1348bbd7a0088d42c4acb73eeaed59c009d";
 
-/// A publication with two teams, in which one text is replaced by another.
+/// Returns a valid sample publication with two teams, with one text replaced by another.
 fn publication(from: &str, to: &str) -> String {
     let text = format!(
         r#"{{
@@ -39,7 +39,7 @@
       "fencing": "checked", "leaving": true}}}}
 }}"#
     );
-    assert!(text.contains(from), "the sample holds no {from}");
+    assert!(text.contains(from), "the sample does not contain {from}");
     text.replace(from, to)
 }
 
@@ -51,10 +51,10 @@
         .collect()
 }
 
-/// The faults of the sample with one text replaced by another.
+/// Returns the faults of the sample publication with one text replaced by another.
 fn faults(from: &str, to: &str) -> FaultList {
     let text = publication(from, to);
-    adopt(ConfigRevision(1), text.as_bytes()).expect_err("a faulty publication was taken")
+    adopt(ConfigRevision(1), text.as_bytes()).expect_err("a faulty publication was accepted")
 }
 
 #[test]
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn shares_out_of_range_are_named() {
+fn shares_out_of_range_are_reported() {
     for share in ["0", "-3", "1000001", "99999999999999999999", "1.5", "\"9\""] {
         let faults = faults("\"share\": 30", &format!("\"share\": {share}"));
         assert_eq!(paths(&faults), ["teams.labasa-clinic.share"], "{share}");
@@ -107,10 +107,10 @@
     assert!(faults.to_string().contains("1048577 bytes"), "{faults}");
 }
 
-/// An edit of the sample, and the paths of all faults that it makes.
+/// An edit of the sample (old text, new text) and the paths of all faults that it causes.
 type FaultyEdit<'a> = (&'a str, &'a str, &'a [&'a str]);
 
-fn assert_named(edits: &[FaultyEdit<'_>]) {
+fn assert_fault_paths(edits: &[FaultyEdit<'_>]) {
     for (from, to, expected) in edits {
         let faults = faults(from, to);
         assert_eq!(&paths(&faults), expected, "{from} to {to}:\n{faults}");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn faults_of_teams_and_templates_are_named() {
+fn faults_of_teams_and_templates_are_reported() {
     let longer = format!("\"{KEY_B}\", \"{KEY_A}\"");
     let many = vec![format!("\"{KEY_B}\""); 5].join(", ");
     let named = [
@@ -126,7 +126,7 @@
         "teams.nadi-clinic.template",
         "template",
     ];
-    assert_named(&[
+    assert_fault_paths(&[
         (
             "\"goal_ms\": 2000",
             "\"gaol_ms\": 2000",
@@ -175,14 +175,14 @@
 }
 
 #[test]
-fn faults_of_pools_and_endpoints_are_named() {
+fn faults_of_pools_and_endpoints_are_reported() {
     let pools = [
         "endpoints.portal-1.pools.0",
         "endpoints.portal-1.pools.2",
         "endpoints.portal-1.pools.2",
         "endpoints.portal-1.pools.3",
     ];
-    assert_named(&[
+    assert_fault_paths(&[
         (
             "127.0.0.1:9002",
             "127.0.0.1:9001",
@@ -227,10 +227,10 @@
     ]);
 }
 
-// An operator mends one fault, publishes, and is told of the next: each costs a round while the
-// fleet stays on the old publication. So faults of the shape and of the rules come together.
+// If faults of the schema hid faults of the rules, an operator would have to fix and publish
+// repeatedly, while the fleet stays on the old publication. Both must be reported together.
 #[test]
-fn faults_of_all_steps_come_together() {
+fn faults_of_all_steps_are_reported_together() {
     let text = publication(
         "\"method\": \"POST\"",
         "\"method\": \"post\", \"colour\": 1",
@@ -250,14 +250,15 @@
 }
 
 #[test]
-fn names_that_stand_twice_are_refused() {
+fn duplicate_names_are_refused() {
     let text = publication("\"labasa-clinic\"", "\"nadi-clinic\"");
     let faults = adopt(ConfigRevision(1), text.as_bytes()).unwrap_err();
     assert_eq!(paths(&faults), ["teams.nadi-clinic"]);
 }
 
-// On the wire a team goes by 32 bits of its name's hash. Two teams with one hash would share a
-// queue and a ledger, and one would pay for the other; nobody could see why.
+// On the wire a team is identified by 32 bits of its name's hash. Two teams with the same hash
+// would share a queue and an account, so one would be charged for the other without any visible
+// cause.
 #[test]
 fn two_names_with_one_hash_are_refused() {
     let mut seen = BTreeMap::new();
@@ -294,7 +295,7 @@
   "core": {"admission": {"queue_limit": -1}}}"#;
 
 #[test]
-fn every_fault_of_settings_is_named() {
+fn every_fault_of_settings_is_reported() {
     let faults = read_settings(SETTINGS.as_bytes()).unwrap_err();
     let expected = [
         "admin.listen",
@@ -316,8 +317,8 @@
 
 #[test]
 fn what_an_operator_reads_of_three_faults() {
-    // A first-week operator forgets a template, types a share of 0 and names a pool that is not
-    // there. One run of the check names all three with their places.
+    // Three independent faults: a misspelt template, a share of 0 and an unknown pool. One check
+    // must report all of them with their paths.
     let text = publication("\"share\": 30", "\"share\": 0")
         .replace(
             "\"template\": \"clinic\", \"keys\"",
