--- a/src/core/action.rs
+++ b/src/core/action.rs
@@ -21,7 +21,8 @@
 pub enum RefusalReason {
     /// The team's queue at this router is full.
     QueueFull,
-    /// The retry budget of the team or endpoint is used up.
+    /// The retry budget of the team is used up, or the request has used its maximum number of
+    /// attempts.
     RetryBudget,
     /// It would miss its deadline because too many requests are queued before it.
     Overloaded,
@@ -31,26 +32,27 @@
     Quarantined,
     /// The router is draining and no peer could take the request.
     Draining,
-    /// The router has no publication yet.
+    /// The publication in force does not list the team.
     NotReady,
-    /// The endpoint or the link failed and the request may not be repeated.
+    /// The endpoint or the link failed, and the request may not be repeated or its answer has begun
+    /// and can't be resumed.
     LinkLost,
     /// The router that minted the ticket is gone, or the answer is no longer stored.
     TicketGone,
-    /// The pool has no endpoint.
+    /// The pool was in no publication that this router has had, or there was none yet.
     NoEndpoint,
     /// The ticket was minted for a different team or request.
     TicketMismatch,
 }
 
-/// Whether a refused request was executed.
+/// What is known about the execution of a refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunOutcome {
-    /// It ran.
+    /// It was executed.
     Ran,
-    /// It did not run and will not run.
+    /// It was not executed and will not be.
     NotRun,
-    /// Execution can be neither proved nor ruled out.
+    /// It is not known whether it was executed.
     Unknown,
 }
 
@@ -67,7 +69,8 @@
         attempt: AttemptNumber,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Offset at which the answer continues: bytes or events that the caller already has.
+        /// Position at which the answer continues: the number of events (of an event stream) or
+        /// bytes (of another answer) that the caller already has.
         resume_at: u64,
         /// Last moment at which the first byte may be written.
         not_after: Moment,
@@ -90,8 +93,12 @@
         /// Delay before a retry; zero if a retry would not help.
         retry_after: TimeSpan,
     },
-    /// The whole answer was passed on; the core drops the request's state. A stored answer to a
-    /// request with a ticket stays until `ForgetAnswer`.
+    /// The request is answered; the core drops its state. A stored answer to a request with a
+    /// ticket stays until `ForgetAnswer`.
+    ///
+    /// For a request that was joined to another one with `JoinAnswer`, this means that the original
+    /// has ended with its whole answer. It can follow `JoinAnswer` at once, before any byte was
+    /// passed on; the driver then finishes passing on the stored answer.
     Complete {
         /// The request.
         request: RequestId,
@@ -147,10 +154,10 @@
         /// The peer.
         host: HostName,
     },
-    /// Start (true) or stop (false) watching the source's configuration service.
+    /// Start (true) or stop (false) watching the configuration service.
     WatchSource(bool),
-    /// Parse, check and render this publication. Answer with `Published` if it is valid, otherwise
-    /// with `PublicationRefused`.
+    /// Parse, check and convert this publication to a catalog. Answer with `Published` if it is
+    /// valid, otherwise with `PublicationRefused`.
     AdoptText {
         /// Its revision.
         revision: ConfigRevision,
--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -22,7 +22,7 @@
 use crate::units::TeamId;
 use crate::wire::PeerMessage;
 
-/// A ticket as read from a request: the incarnation that minted it and its number there.
+/// Identity of a ticket: the router incarnation that minted it, and its number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TicketName {
     /// The incarnation that minted it, which is the only one that may run the request.
@@ -40,7 +40,7 @@
     Unrepeatable(Option<TicketName>),
 }
 
-/// What the entry router knows of a request on arrival.
+/// What the entry router, the router at which a request entered the fleet, knows of it on arrival.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestFacts {
     /// Its id, unique within this router.
@@ -76,7 +76,8 @@
     Refused,
     /// The connection broke after the request was sent; no part of the answer was passed on.
     LostBeforeAnswer,
-    /// The connection broke during the answer, after this many bytes or events were passed on.
+    /// The connection broke during the answer, after this many events (of an event stream) or bytes
+    /// (of another answer) were passed on.
     CutAt(u64),
     /// The answer violated the protocol; no part of it was passed on.
     Garbage,
@@ -121,8 +122,8 @@
         service: ServiceUnits,
     },
     /// How much of the answer to a request with a ticket the driver stores for resends. Sent
-    /// whenever the stored part has grown considerably, once more just before `AttemptEnded`
-    /// reports the whole answer, and with `None` when the answer was discarded for its size.
+    /// whenever the stored part has grown by 32 KiB, once more just before `AttemptEnded` reports
+    /// the whole answer, and with `None` when the answer was discarded for its size.
     AnswerKept {
         /// The running request.
         request: RequestId,
@@ -137,9 +138,11 @@
         running: u32,
         /// Requests queued at the endpoint.
         waiting: u32,
-        /// The pool whose model it currently serves.
+        /// The pool whose model the endpoint serves now.
         active: PoolId,
-        /// Identifies the endpoint's process; changes with each restart.
+        /// Identifies the endpoint's process; changes with each restart. Unlike the endpoint's
+        /// generation in the host list, which increases each time the endpoint is put back after it
+        /// left.
         life: u64,
         /// Highest fencing token of the orders it has followed; 0 if it ignores fencing tokens.
         fence: u64,
@@ -150,7 +153,7 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// The source's host list, which lags behind the actual state.
+    /// The host list, which lags behind the actual state.
     HostsListed {
         /// Routers on the list.
         routers: Vec<ListedRouter>,
@@ -162,7 +165,7 @@
         /// The endpoints.
         live: Vec<(EndpointId, u64)>,
     },
-    /// A valid, rendered publication, with its text to pass on to peers.
+    /// A valid publication as a catalog, with its text to pass on to peers.
     Published {
         /// The catalog.
         catalog: Arc<FleetCatalog>,
@@ -204,7 +207,7 @@
     Tick,
 }
 
-/// A router on the source's host list.
+/// A router on the host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedRouter {
     /// Its host.
--- a/src/core/finish.rs
+++ b/src/core/finish.rs
@@ -1,5 +1,9 @@
-//! Ending requests. Every system that ends a request calls a function of this module, so that
-//! the end of each request is accounted exactly once.
+//! Ends requests that are in the request table with an answer or a refusal. All systems do that
+//! through this module, so that the request's ticket ends with it, exactly once.
+//!
+//! Other ends do not pass through here: requests that are refused or answered before they are added
+//! to the table (`tickets`, `draining`), that are forwarded to a peer (`draining`), or whose caller
+//! disconnected (`admission`).
 
 use crate::units::RequestId;
 use crate::units::TimeSpan;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -4,9 +4,14 @@
 //! the returned [`CoreAction`]s in order. Two cores with the same identity, settings and seed
 //! that handle the same events at the same times return the same actions.
 //!
+//! Terms: the router at which a request entered the fleet is its entry router. Each pool has one
+//! owner, the router that grants the pool's slots to the entry routers; both roles are held by any
+//! router. The host list names routers and endpoints, and the configuration service provides
+//! publications: the teams, pools and endpoints of the fleet, with a revision.
+//!
 //! Units: times are microseconds ([`Moment`]), service is weighted tokens or calls
-//! ([`crate::units::ServiceUnits`]). Time never goes backwards; after a pause the driver passes
-//! the current time.
+//! ([`crate::units::ServiceUnits`]). Time never goes backwards. After the process was suspended the
+//! driver passes the current time and does not make up for missed ticks.
 
 pub mod action;
 pub mod event;
--- a/src/core/share.rs
+++ b/src/core/share.rs
@@ -16,6 +16,7 @@
 #[must_use]
 pub fn water_fill(total: f64, claims: &[ShareClaim]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..claims.len()).collect();
+    // Claims that are satisfied at the lowest share per weight come first.
     let fullness = |index: usize| claims[index].demand / claims[index].weight;
     order.sort_by(|left, right| fullness(*left).total_cmp(&fullness(*right)));
     let mut shares = vec![0.0; claims.len()];
@@ -32,8 +33,9 @@
     shares
 }
 
-/// Rounds `shares` to whole numbers that add up to at most `total`, by the largest remainder
-/// method.
+/// Rounds `shares` to whole numbers by the largest remainder method. They add up to the rounded sum
+/// of `shares`, which must not exceed `total` by more than a rounding error, and to at most
+/// `total`.
 #[must_use]
 pub fn round_shares(total: u32, shares: &[f64]) -> Vec<u32> {
     let mut whole: Vec<u32> = shares.iter().map(|share| floor_to_u32(*share)).collect();
--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -107,8 +107,8 @@
     if full || crowded {
         return refusal(RefusalReason::QueueFull, soon);
     }
-    // A request that can't finish before its deadline would wait in vain and, once started, take
-    // a slot from one that can. It is refused at once, with the time after which to retry.
+    // A request that can't finish before its deadline would wait in vain and, once started, take a
+    // slot from one that can. It is refused at once, with the wait after which a retry may succeed.
     let needed = limits::time_to_end(state, facts, urgency_of(state, facts));
     let left = facts.deadline.since(state.now);
     if needed > left {
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -231,7 +231,7 @@
     }
 }
 
-/// Returns the last moment at which the first byte of an attempt may be written.
+/// Returns the latest time at which the first byte of an attempt that starts now may be written.
 #[must_use]
 pub fn write_limit(state: &CoreState, deadline: Moment) -> Moment {
     let span = TimeSpan::from_millis(state.config.dispatch.write_within_ms);
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -1,5 +1,7 @@
-//! Picks the next request to run: from the waiting team with the least virtual time, on a slot
-//! that this router already holds. Dispatching a request needs no message to another router.
+//! Picks the next request to run, on a slot that this router already holds. Among the teams with
+//! waiting requests, those whose running attempts are below their quota come first, then those with
+//! the least virtual time, less a credit for interactive requests. Dispatching a request needs no
+//! message to another router.
 
 use crate::core::action::CoreAction;
 use crate::core::event::CoreEvent;
@@ -22,10 +24,12 @@
 use crate::wire::PeerBody;
 use crate::wire::allotment::SlotAllotment;
 
-/// Virtual time per unit of the `lead` and `clock` fields of an allotment.
+/// Virtual time per unit of the fields `clock`, the pool's virtual time, and `lead`, by how much a
+/// team's virtual time exceeds it, of an allotment.
 pub const LEAD_STEP: i64 = 10_000;
 
-/// Divisor of the target that gives how many slots a router with a backlog may hold above it.
+/// A router with waiting requests may keep its target of slots and, beyond that, the target divided
+/// by this number.
 const EXCESS_DIVISOR: u32 = 8;
 
 /// Applies allotments, then dispatches waiting requests in every pool that changed.
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -43,8 +43,8 @@
     finish_drain_if_done(state);
 }
 
-/// Ends the drain once no request is left and all returned slots have been reported to their
-/// owners, or two reporting intervals have passed.
+/// Ends the drain once no request is left and, in addition, either all returned slots have been
+/// reported to their owners or two reporting intervals have passed.
 fn finish_drain_if_done(state: &mut CoreState) {
     let empty = state.requests.is_empty() && state.tickets.minter_waits.is_empty();
     if !empty || state.drained {
@@ -98,8 +98,8 @@
     }
 }
 
-/// Forwards every waiting request that another router may run to a peer. Without a connected peer
-/// the requests stay queued and run here.
+/// Forwards every waiting request that another router may run to a peer. Without a connected router
+/// in state `Alive` the requests stay queued and run here.
 fn hand_over(state: &mut CoreState) {
     let waiting: Vec<RequestId> = state
         .requests
@@ -128,7 +128,8 @@
     waits && entry.is_repeatable() && !entry.facts.forwarded && entry.passed_on == 0
 }
 
-/// Picks a connected live peer by request id, so that handed-over requests spread over all peers.
+/// Picks a connected router in state `Alive`, by request id, so that handed-over requests spread
+/// over all peers.
 fn pick_peer(state: &CoreState, request: RequestId) -> Option<HostName> {
     let peers: Vec<&HostName> = state
         .members
--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -1,8 +1,10 @@
-//! Endpoints that are leaving: no new work once any router knows of it.
+//! Endpoints that are leaving: a router starts no new work on them from the time at which it learns
+//! of it, and passes the update on to the other routers.
 //!
-//! An endpoint's generation comes from the host list. A generation that is leaving stays so: a
-//! stale list or a peer with older knowledge can't undo it, only a later generation can. A router
-//! that learns of it pushes it to a few peers at once, and pings spread it to the rest.
+//! An endpoint's generation comes from the host list and increases each time the endpoint is put
+//! back after it left. A generation that is leaving stays so: a stale list or a peer with older
+//! knowledge can't undo it, only a later generation can. A router that learns of it pushes it to a
+//! few peers at once, and pings spread it to the rest.
 
 use crate::core::event::CoreEvent;
 use crate::core::state::CoreState;
@@ -43,7 +45,7 @@
     }
 }
 
-/// Returns the news of leaving endpoints to send with one ping.
+/// Returns the leaving endpoints to announce with one ping.
 pub fn take_news(state: &mut CoreState) -> Vec<LeavingEndpoint> {
     let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
     let ids = state.leaving_gossip.take(state.config.leaving.news, limit);
@@ -52,7 +54,8 @@
         .collect()
 }
 
-/// Returns the leaving endpoints, up to the configured limit, for a router that just connected.
+/// Returns the known leaving endpoints, at most `leaving.greeting` of them, for a router that just
+/// connected.
 #[must_use]
 pub fn all_news(state: &CoreState) -> Vec<LeavingEndpoint> {
     let rows = state.endpoints.iter().filter(|(_, row)| row.leaving);
--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -1,6 +1,7 @@
-//! Limits on concurrent requests per endpoint: the published slots, or fewer while the endpoint
-//! shows pressure or runs requests that this side of a partition did not send. Also estimates how
-//! long a request would take, by which requests that can't finish in time are refused early.
+//! Limits on concurrent requests per endpoint: the published slots, or fewer while the endpoint is
+//! under pressure (it queues requests or answers late) or runs requests that this side of a
+//! partition did not send. Also estimates how long a request would take, by which requests that
+//! can't finish in time are refused early.
 
 use std::collections::BTreeSet;
 
@@ -84,8 +85,8 @@
     note_answer(state, pool_id, endpoint, late);
 }
 
-/// Counts one answer as late or in time; a refusal for lack of capacity counts as late. Schedules a
-/// report to the owner when the endpoint crosses the threshold for late answers.
+/// Counts one answer as late or in time; a refusal by the endpoint (503 or 429) counts as late.
+/// Schedules a report to the owner when the endpoint crosses the threshold for late answers.
 pub fn note_answer(state: &mut CoreState, pool_id: PoolId, endpoint: EndpointId, late: bool) {
     let tally = state.slot_limits.tallies.entry(endpoint).or_default();
     tally.note(late);
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -204,7 +204,7 @@
     if changed {
         state.detector.gossip_queue.add(host.clone());
     }
-    // In a large fleet connections are opened for single pings: the full news is sent only to a
+    // In a large fleet connections are opened for single pings: the full greeting is sent only to a
     // router that is new, or was considered dead or suspect.
     let whole = changed || is_small(state);
     probing::greet(state, host, whole);
@@ -396,6 +396,7 @@
         }
         MemberState::Dead => mark_dead(state, host),
         MemberState::Alive | MemberState::Leaving => {
+            // Gossip is no direct contact, which `clear_suspicion` would record.
             let last_contact_at = state.detector.peer_health_mut(host).last_contact_at;
             clear_suspicion(state, host);
             state.detector.peer_health_mut(host).last_contact_at = last_contact_at;
@@ -437,8 +438,8 @@
     forget_dead(state);
 }
 
-/// Restarts all timeouts after this process was suspended. Nobody could reach it in that time, so
-/// a timeout that expired meanwhile says nothing about the other routers.
+/// Restarts all timeouts after this process was suspended. It could not receive messages in that
+/// time, so a timeout that expired meanwhile is no evidence about the other routers.
 fn restart_timeouts(state: &mut CoreState) {
     let now = state.now;
     state.detector.round = None;
--- a/src/core/systems/mod.rs
+++ b/src/core/systems/mod.rs
@@ -35,8 +35,9 @@
     Tickets,
     /// Admits new requests to bounded queues and enforces deadlines.
     Admission,
-    /// Quarantines requests that crash endpoints. Runs before the systems that act on the same ends
-    /// of attempts and load reports.
+    /// Quarantines requests that crash endpoints. Runs before `Attempts`, which clears the running
+    /// attempt that ended, and before `Limits`, which overwrites an endpoint's last known `life`:
+    /// it needs both.
     Quarantine,
     /// Handles progress, ends and retries of attempts.
     Attempts,
--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -2,10 +2,11 @@
 //!
 //! The owner of a pool that lacks slots sends a wish: a request for one endpoint, addressed to the
 //! owner of the pool that the endpoint serves now. That owner knows the demand of its own pool, so
-//! it decides, and it alone sends the order. Endpoints that check fencing numbers reject stale
-//! orders. For endpoints that don't, a router must have owned the pool for longer than a previous
-//! owner can wrongly believe that it still does, and an endpoint keeps a model for a minimum time,
-//! so that two routers that both give orders cause at most one model load in each such time.
+//! it decides, and it alone sends the order. Endpoints that check fencing tokens reject stale
+//! orders. Some endpoints don't, so two more rules hold. A router gives orders only after it has
+//! owned the pool for `belief_ms`, which is longer than a previous owner can still assume to be the
+//! owner. An endpoint keeps a model for at least `residence_ms`, so that two routers that both give
+//! orders cause at most one model load in that time.
 
 use crate::catalog::FenceCheck;
 use crate::core::action::CoreAction;
@@ -45,9 +46,10 @@
     }
 }
 
-/// Updates the number of hosts by which the weight store's rate is split: the most ever known,
-/// whichever routers own pools in anyone's view. So the sum over all routers stays under the limit
-/// even if each router believes that it is alone.
+/// Updates the number of routers by which the rate of model loads is divided: the largest number
+/// that this router has known at any time, whether or not they are alive or own pools. The loads of
+/// all routers together so stay within the rate even if a partition makes each of them consider
+/// itself the only one.
 fn count_hosts(state: &mut CoreState) {
     let known = state.members.iter().count() as u64;
     let budget = &mut state.orders.budget;
@@ -74,7 +76,8 @@
     if fence > seen.fence {
         *seen = SeenFence { fence, since };
     }
-    // The order was followed, or superseded by a higher fencing number; there is nothing to repeat.
+    // The order was followed, or superseded by one with a higher fencing token; there is nothing to
+    // repeat.
     let highest_fence = seen.fence;
     let is_over = |order: &OpenOrder| order.pool == active || order.fence.0 < highest_fence;
     if orders.open.get(&endpoint).is_some_and(is_over) {
@@ -128,7 +131,7 @@
 }
 
 /// Resends open orders until a load report shows that they were followed. An order is idempotent:
-/// it is repeated with the same model and the same fencing number.
+/// it is repeated with the same model and the same fencing token.
 fn repeat_orders(state: &mut CoreState) {
     let now = state.now;
     let gap = TimeSpan::from_millis(state.config.orders.resend_ms);
@@ -168,14 +171,15 @@
     known.or(entry.pools.first().copied())
 }
 
-/// Returns true if this router has owned the pool for longer than a previous owner can wrongly
-/// believe that it still does.
+/// Returns true if this router has owned the pool for at least `belief_ms`, which is longer than a
+/// previous owner can still assume to be the owner.
 fn has_owned_long_enough(state: &CoreState, pool: PoolId) -> bool {
     let belief = TimeSpan::from_millis(state.config.orders.belief_ms);
     let since = state.orders.owner_since.get(&pool);
     since.is_some_and(|since| state.now.since(*since) >= belief)
 }
 
+/// Returns the demand and the number of slots of an owned pool; zeros if it is not owned here.
 fn demand_of(state: &CoreState, pool: PoolId) -> (u64, u64) {
     state.owned.get(&pool).map_or((0, 0), |pool| {
         let demand: u32 = pool.members.values().map(MemberClaim::demand).sum();
@@ -264,9 +268,10 @@
     }
 }
 
-/// Returns true if the requesting pool has much more demand per slot than the giving one, and still
-/// no less of it after the change. The second condition keeps the endpoint from being requested
-/// back.
+/// Returns true if the pool that wishes for the endpoint lacks slots, and its demand per slot is,
+/// compared with that of the giving pool without the endpoint, at least `pressure_percent` percent
+/// now and no less with the endpoint. The last condition keeps the endpoint from being requested
+/// back. A pool with demand does not give its last slots.
 fn is_transfer_justified(
     state: &CoreState,
     endpoint: EndpointId,
--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -1,9 +1,9 @@
 //! Allocation of the slots of the pools that this router owns.
 //!
 //! Entry routers report demand; the owner computes fair targets (weighted max-min by share, less
-//! for teams that are ahead), grants vacant slots and asks for surplus ones back. Slots and charges
-//! are sent as grow-only or absolute counters, so lost, duplicated and reordered messages do no
-//! harm.
+//! for teams whose virtual time is ahead of the pool's clock), grants vacant slots and asks for
+//! surplus ones back. Slots and charges are sent as grow-only or absolute counters, so lost,
+//! duplicated and reordered messages do no harm.
 
 mod accounts;
 mod allotments;
@@ -63,9 +63,9 @@
 
 /// Refills the byte budget that all allotments share, and each pool's own part of it.
 ///
-/// The part guards against idle slots in a pool of short calls: a pool with many routers and long
-/// queues would use up the shared budget, and the other pool would be reallocated only a few times
-/// a second.
+/// The parts guard against idle slots in a pool of short calls: another pool, with many routers and
+/// long queues, would use up the shared budget, and the pool of short calls would be reallocated
+/// only a few times a second.
 fn fill_budgets(state: &mut CoreState) {
     let rate = state.config.ownership.bytes_per_s;
     state.allotment_budget.fill(state.now, rate);
@@ -82,7 +82,7 @@
     report: &DemandReport,
 ) {
     // A report meant for an earlier incarnation of this router counts slots that this incarnation
-    // never granted. It is dropped; the sender begins a new epoch once it knows this incarnation.
+    // never granted. It is dropped; the sender begins a new term once it knows this incarnation.
     if report.epoch != epoch_of(state.identity.incarnation) {
         return;
     }
@@ -123,16 +123,15 @@
     update_urgency(pool, from);
 }
 
-/// Prepares the entry router's claim for the term of a report; returns false if the counts of the
-/// report can't be used.
+/// Prepares the state of the entry router for the term of a report; returns false if the counts of
+/// the report can't be used.
 ///
-/// Slot counts are valid only while both sides count from the same start. One side may restart
-/// its counts without the other: an entry router that switched to another owner and back, or an
-/// owner that dropped the claim of a silent router while that router was suspended. The result
-/// would be slots that each side assumes the other has, or slots that two routers use. So the entry
-/// router numbers its starts as terms: a report of a later term replaces the claim, a report of an
-/// earlier term is late and dropped, and counts whose start is missing make the owner ask for a new
-/// term.
+/// Slot counts are valid only while both sides count from the same start. One side may restart its
+/// counts without the other: an entry router that switched to another owner and back, or an owner
+/// that dropped the state of a silent router while that router was suspended. The result would be
+/// slots that each side assumes the other has, or slots that two routers use. So the entry router
+/// numbers its starts as terms: a report of a later term replaces the state, a report of an earlier
+/// term is late and dropped, and counts whose start is missing make the owner ask for a new term.
 fn sync_term(
     pool: &mut OwnedPool,
     from: &HostName,
@@ -206,8 +205,9 @@
             charged: *charged,
         };
         let before = member.teams.insert(team, demand);
-        // Charges from before this epoch are ignored: a new owner starts all teams at the same
-        // virtual time, which adds at most one bound to the fairness gap.
+        // Charges from before the first report to this owner are ignored: a new owner starts all
+        // teams at the same virtual time, which can widen the fairness gap between teams by at most
+        // its usual bound, once.
         let known = before.map_or(*charged, |old| old.charged);
         charges.push((team, (*charged - known) * CHARGE_STEP));
     }
--- a/src/core/systems/ownership/accounts.rs
+++ b/src/core/systems/ownership/accounts.rs
@@ -68,7 +68,7 @@
             account.time = clock;
         }
         // After a partition, an unbounded lead would starve its team, and an unbounded lag would
-        // starve the other teams; both are clamped.
+        // starve the other teams; both are clamped to `debt_units`.
         let most = virtual_time(debt, state.catalog.share_of(*team));
         account.time = account.time.clamp(clock - most, clock + most);
         account.waits_since = waits.then(|| account.waits_since.unwrap_or(now));
--- a/src/core/systems/ownership/allotments.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -39,6 +39,8 @@
             accounts.get(&team).map_or(clock, |row| row.time)
         });
         if host != state.identity.host {
+            // While the shared budget is open, a pool may use more than its even part of it, so its
+            // own part is charged only for what it sends beyond the shared budget.
             if !state.allotment_budget.is_open() {
                 pool.budget.spend(allotment.encoded_len());
             }
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -1,9 +1,9 @@
 //! Failure detection and gossip: pings other routers in turn and attaches news to each ping and
-//! answer.
+//! answer. News is what other routers should learn: updates of members and of leaving endpoints.
 //!
-//! Each period one router is pinged. The order is shuffled for each round over all routers, so that
-//! every router is pinged once per round and the load on a router does not grow with the fleet. If
-//! a router does not answer, a few others are asked to ping it before it is suspected.
+//! Each period one router is pinged. The order is shuffled for each pass over all routers, so that
+//! every router is pinged once per pass and the load on a router does not grow with the fleet. If a
+//! router does not answer, a few others are asked to ping it before it is suspected.
 
 use rand::seq::SliceRandom;
 
@@ -26,11 +26,11 @@
 use crate::wire::gossip::GossipPing;
 use crate::wire::gossip::MemberUpdate;
 
-/// Step of a ping that expects an answer.
+/// Value of `step` for a ping that expects an answer.
 const PING: u32 = 0;
-/// Step of an answer, or of unsolicited news (sequence 0).
+/// Value of `step` for an answer, or for unsolicited news (sequence 0).
 const ANSWER: u32 = 1;
-/// Step of a request to ping another router (indirect ping).
+/// Value of `step` for a request to ping another router (indirect ping).
 const PING_REQUEST: u32 = 2;
 
 /// Maximum number of other members in a greeting.
@@ -55,8 +55,10 @@
     }
 }
 
-/// Sends a router that just connected news of this one and, if `include_others`, of other members
-/// and of leaving endpoints, as a newly started router needs.
+/// Sends news to a router that just connected: this router's own state and the queued news. With
+/// `include_others`, the queued news is replaced by the state of up to `MAX_GREETING_MEMBERS` other
+/// members and by all known leaving endpoints up to the configured limit, as a newly started router
+/// needs. The queue still counts the replaced news as sent once.
 pub fn greet(state: &mut CoreState, host: &HostName, include_others: bool) {
     let mut ping = ping_with_news(state, host);
     ping.step = ANSWER;
@@ -232,7 +234,7 @@
     loop {
         if let Some(host) = state.detector.ping_order.pop() {
             let known = state.members.get(&host);
-            // In a small fleet, dead routers are redialed continuously anyway.
+            // In a small fleet the driver keeps dialing dead routers, so a ping would add nothing.
             let skip = is_small(state) && known.is_some_and(|row| row.state == MemberState::Dead);
             if known.is_some() && !skip {
                 return Some(host);
@@ -255,7 +257,8 @@
     }
 }
 
-/// Ends the ping round to a router whose connection just opened: the handshake counts as answer.
+/// Ends the wait for an answer to the ping of a router whose connection just opened: the handshake
+/// counts as the answer.
 fn opened(state: &mut CoreState, host: &HostName) {
     if state
         .detector
@@ -331,7 +334,8 @@
     }
 }
 
-/// Builds a ping for `host` with news. If `host` is suspect or dead here, that news comes first.
+/// Builds a ping for `host` with queued news. If `host` itself is suspect or dead here, that news
+/// comes first, so that it can refute it.
 fn ping_with_news(state: &mut CoreState, host: &HostName) -> GossipPing {
     let most = state.config.probing.news;
     let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -1,8 +1,9 @@
 //! Keeps the newest publication that any router has in force, and never goes back to an older one.
 //!
-//! Only a few routers watch the service that provides publications: by default, in each failure
-//! domain, the two live routers of highest rendezvous rank. Pings carry the sender's revision; a
-//! router that learns of a higher one fetches the publication from that peer.
+//! Only a few routers, the readers, watch the configuration service, which provides publications:
+//! by default, in each failure domain, the two live routers of highest rendezvous rank. Pings
+//! contain the sender's revision; a router that learns of a higher one fetches the publication from
+//! that peer.
 
 use std::sync::Arc;
 
@@ -25,11 +26,11 @@
 use crate::wire::publication::PublicationOffer;
 use crate::wire::publication::PublicationRequest;
 
-/// Seed of the hash by which the routers of a domain are ranked as readers.
+/// Seed of the hash that ranks the routers of a domain as readers; the bytes spell "read" in ASCII.
 const READER_SEED: u64 = 0x7265_6164;
 
 /// Handles publications and peers' revisions, fetches newer publications, decides whether this
-/// router watches the service, and updates readiness.
+/// router watches the configuration service, and updates readiness.
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     let now = state.now;
     state.publication_sync.started.get_or_insert(now);
@@ -75,9 +76,9 @@
     }
 }
 
-/// Returns the milliseconds since the service last answered any router, as far as this one knows,
-/// plus one; 0 if it never did. Pings carry it, so that routers that don't watch the service know
-/// how old their information is.
+/// Returns the milliseconds since the configuration service last answered any router, as far as
+/// this one knows, plus one; 0 if it never did. Pings contain it, so that routers that don't watch
+/// the service know how old their information is.
 #[must_use]
 pub fn service_age(state: &CoreState) -> u64 {
     state
@@ -86,8 +87,8 @@
         .map_or(0, |seen| state.now.since(seen).as_millis() + 1)
 }
 
-/// Returns the routers that watch the service for a domain: its `count` live routers of highest
-/// rendezvous rank.
+/// Returns the routers that watch the configuration service for a domain: its `count` live routers
+/// of highest rendezvous rank.
 #[must_use]
 pub fn readers_of(members: &MemberTable, domain: &DomainName, count: usize) -> Vec<HostName> {
     let seed = xxh3_64_with_seed(domain.as_str().as_bytes(), READER_SEED);
@@ -131,8 +132,8 @@
     {
         state.publication_sync.fetch = None;
     }
-    // A lagging source may deliver an old revision after a newer one, which would revert shares.
-    // Revisions only increase, so ignoring one that is not higher is always safe.
+    // A lagging configuration service may deliver an old revision after a newer one, which would
+    // revert shares. Revisions only increase, so ignoring one that is not higher is always safe.
     if catalog.revision <= state.catalog.revision {
         return;
     }
@@ -256,10 +257,11 @@
     });
 }
 
-/// Marks this router as ready once the host list has been read and every other router that is
-/// connected or was never seen has announced its revision, none of them higher, or once the
-/// deadline has passed. Without this, a router that restarts without state could serve with an old
-/// revision from a lagging service.
+/// Marks this router, once it has a publication, as ready in one of two cases: the host list has
+/// been read, every other router that is connected or whose incarnation is not known yet has
+/// announced its revision, and none is higher than that in force; or `ready_ms` have passed since
+/// the start. Without this, a router that restarts without state could serve with an old revision
+/// from a lagging configuration service.
 fn update_readiness(state: &mut CoreState) {
     if state.publication_sync.ready || state.catalog.revision == ConfigRevision(0) {
         return;
@@ -286,7 +288,7 @@
     use crate::core::tables::members::MemberState;
     use crate::units::RouterIncarnation;
 
-    /// Default duration of a watch on the service, in seconds.
+    /// Default duration of a watch on the configuration service, in seconds.
     const WATCH_S: usize = 30;
 
     fn members(routers: usize, domains: usize) -> MemberTable {
@@ -326,7 +328,7 @@
         assert_eq!(reader_count(8, 4), 8);
         assert_eq!(reader_count(1_300, 21), 42);
         // A long-poll watch counts as one read and ends after 30 s, and each of 8,800 changes a day
-        // ends every watch once more: 5.7 reads/s for the large fleet, out of 2,000.
+        // ends every watch once more: 5.7 reads/s for the large fleet, out of 2,000 reads/s.
         let reads_per_day = |readers: usize| readers * (86_400 / WATCH_S + 8_800);
         assert!(reads_per_day(reader_count(8, 4)) < 2 * 86_400);
         assert!(reads_per_day(reader_count(1_300, 21)) < 6 * 86_400);
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -4,7 +4,7 @@
 //! identified by its fingerprint. Suspects of the same crash are isolated from each other: all
 //! copies of one suspect run on the same endpoint, one after the other, so that harmless requests
 //! are cleared by completing and a harmful one crashes only one more endpoint. A request that was
-//! running in two crashes is refused for a time, at all routers.
+//! running in `config.crashes` crashes, two by default, is refused for `refuse_ms`, at all routers.
 //!
 //! From the loss of a copy until it is known whether its endpoint crashed, all routers hold back
 //! the other copies.
@@ -67,6 +67,8 @@
     TimeSpan::from_millis(state.config.quarantine.evidence_ms)
 }
 
+/// Returns how long a lost attempt waits for a sign of whether its endpoint crashed. Leases of
+/// isolated runs have the same duration.
 fn check_window(state: &CoreState) -> TimeSpan {
     TimeSpan::from_millis(state.config.quarantine.check_ms)
 }
@@ -100,8 +102,7 @@
 }
 
 /// Records a lost attempt. On its own it may be a network failure; it counts only together with a
-/// sign that the endpoint itself crashed: its port refuses connections, or it reports a new
-/// incarnation.
+/// sign that the endpoint itself crashed: its port refuses connections, or it reports a new `life`.
 fn lost(state: &mut CoreState, endpoint: EndpointId, fingerprint: RequestFingerprint) {
     let (now, window) = (state.now, evidence_window(state));
     let known = state.crashes.find_record(endpoint, 0, now, window);
@@ -124,9 +125,10 @@
     }
 }
 
-/// Requests the incarnation of an endpoint that is about to be used for the first time.
+/// Starts polling the load of an endpoint whose `life`, the identity of its process, is not known
+/// yet. Called before the endpoint is used for the first time.
 ///
-/// A router that first reads the incarnation after a loss there may get the one that follows the
+/// A router that first reads the `life` after a loss there may get that of the process after the
 /// crash, and then can't distinguish the crash from a network failure.
 pub fn watch_first_incarnation(state: &mut CoreState, endpoint: EndpointId) {
     if endpoint_incarnation(state, endpoint) == 0 {
@@ -230,7 +232,7 @@
     }
 }
 
-/// Moves the requests queued here with these fingerprints out of the common queue into isolation.
+/// Moves the requests queued here with these fingerprints out of their team's queue into isolation.
 fn isolate_queued(state: &mut CoreState, fingerprints: &BTreeSet<RequestFingerprint>) {
     if fingerprints.is_empty() {
         return;
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -17,8 +17,8 @@
 const MAX_LOSSES_PER_NOTICE: usize = 64;
 
 /// Sends one notice for each crash with new suspects, and one for all other changes, to each live
-/// router. Notices are not passed on, so one crash costs at most two notices for each pair of
-/// routers and tick in which attempts were lost.
+/// router. Their receivers do not pass them on. A crash thus costs each pair of routers at most two
+/// notices per tick in which attempts were lost.
 pub fn send_notices(state: &mut CoreState) {
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -19,8 +19,10 @@
 use crate::wire::PeerBody;
 use crate::wire::quarantine::QuarantineNotice;
 
-/// Reports to the homes which copies ended. The loss of a copy is sent one tick earlier, so that no
-/// home grants the lease for the next copy before it knows of the loss.
+/// Reports to the homes which copies ended. A copy that is found to have ended is reported on the
+/// next tick, because those recorded before are taken first. The loss of a copy is sent one tick
+/// earlier, by `send_notices`, so that no home grants the lease for the next copy before it knows
+/// of the loss.
 pub fn report_ended_copies(state: &mut CoreState) {
     let ended = state.trials.take_ended();
     notify_homes(state, ended, |notice, fingerprint| {
@@ -40,8 +42,9 @@
 }
 
 /// Starts waiting suspects on their own endpoints, and requests the leases for that from their
-/// homes. A suspect uses none of the allocated slots: an endpoint runs at most one additional
-/// request for it.
+/// homes. A suspect needs no granted slot: an endpoint runs at most one request beyond its granted
+/// slots. It still counts as busy, so a free slot of that endpoint held by this router can't be
+/// used meanwhile.
 pub fn start_isolated(state: &mut CoreState) {
     let span = super::check_window(state);
     let mut asked: BTreeSet<RequestFingerprint> =
@@ -101,9 +104,9 @@
     }
 }
 
-/// Returns true once this router knows an incarnation of the endpoint chosen for a suspect; before
-/// that it could not distinguish a crash there from a network failure. An endpoint that reports no
-/// incarnation delays a suspect for `check_ms` at most.
+/// Returns true once this router knows a `life` of the endpoint chosen for a suspect; before that
+/// it could not distinguish a crash there from a network failure. An endpoint that reports no
+/// `life` delays a suspect for `check_ms` at most.
 fn knows_incarnation(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
     if super::endpoint_incarnation(state, endpoint) != 0 {
         return true;
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -39,8 +39,8 @@
 }
 
 /// Switches to the pool's current owner. With a new owner, only the slots of running attempts are
-/// kept: free slots that the old owner granted are dropped, so that the grants of two owners never
-/// add up to more than the running attempts.
+/// kept, which the next report counts as carried over. Free slots that the old owner granted are
+/// dropped, since the new owner doesn't count them and may grant them to others.
 fn update_owner(state: &mut CoreState, pool_id: PoolId) {
     let version = state.members.version();
     let Some(pool) = state.entries.get_mut(&pool_id) else {
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -2,9 +2,8 @@
 //!
 //! A ticket names the router incarnation that minted it, and only that incarnation runs it. A
 //! single process thus decides alone, without consensus: no clock, quorum or shared state is
-//! involved, and a partition, a pause or a restart can't lead to a second execution. An outcome
-//! that this incarnation has forgotten, or that can't be asked for because it is gone, is
-//! "unknown".
+//! involved, and a partition, a pause or a restart can't lead to a second execution. If the minter
+//! no longer stores the outcome, or is gone and can't be asked, the outcome is "unknown".
 
 use crate::core::action::CoreAction;
 use crate::core::action::RefusalReason;
@@ -69,8 +68,8 @@
     }
 }
 
-/// Offers a ticket if its request would be admitted now, and refuses it otherwise, so that callers
-/// learn of a full queue on the first try.
+/// Offers a ticket if the request would be admitted now, and refuses the request otherwise, so that
+/// its caller learns of a full queue on the first try.
 fn offer_or_refuse(state: &mut CoreState, facts: &RequestFacts) {
     if state.draining {
         draining::refuse(state, facts.request);
--- a/src/core/tables/byte_budget.rs
+++ b/src/core/tables/byte_budget.rs
@@ -54,6 +54,7 @@
         for millis in 0..10_000 {
             budget.fill(Moment(millis * 1_000), 2_000);
             if budget.is_open() {
+                // 92 bytes and 8 of framing make 100.
                 budget.spend(92);
                 sent += 100;
             }
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -42,7 +42,7 @@
 /// A request that was running on an endpoint when it crashed.
 #[derive(Debug, Clone, Default)]
 pub struct SuspectRow {
-    /// Numbers of these crashes in the table.
+    /// Numbers of the crashes in which it was running, as in `CrashTable`.
     pub crashes: BTreeSet<u64>,
     /// When the row expires.
     pub until: Moment,
@@ -56,15 +56,15 @@
     fingerprint: RequestFingerprint,
 }
 
-/// All crashes and suspects known to this router. Both are bounded in number; the oldest are
-/// removed first.
+/// All crashes and suspects known to this router. Both are bounded in number. Above the bounds, the
+/// crashes that were recorded first and the suspects that expire first are removed.
 #[derive(Debug, Default)]
 pub struct CrashTable {
     records: BTreeMap<u64, CrashRecord>,
     counted: u64,
     suspects: BTreeMap<RequestFingerprint, SuspectRow>,
     losses: BTreeMap<EndpointId, Vec<LostAttempt>>,
-    /// Requests of which other routers lost copies, and when that was last reported.
+    /// Requests of which another router lost a copy, and when a loss was last reported here.
     remote_losses: BTreeMap<RequestFingerprint, Moment>,
     /// Requests of which a copy was lost here, not yet announced to peers.
     pub unannounced_losses: BTreeSet<RequestFingerprint>,
@@ -107,8 +107,9 @@
         self.losses.get(&endpoint)?.last().map(|loss| loss.at)
     }
 
-    /// True if a copy of a request was lost since `oldest`, here or at another router, and it is
-    /// not known yet whether its endpoint crashed.
+    /// True if a copy of a request was lost since `oldest`, either here, and it is not known yet
+    /// whether its endpoint crashed, or at another router; what that router found out is not
+    /// considered.
     #[must_use]
     pub fn has_unexplained_loss(&self, fingerprint: RequestFingerprint, oldest: Moment) -> bool {
         let reported_at = self.remote_losses.get(&fingerprint);
@@ -211,7 +212,8 @@
 
     /// True if a request was running in as many crashes as `config.crashes`. At most one
     /// unconfirmed crash counts, and only in addition to a confirmed one, so that broken
-    /// connections alone never quarantine a request.
+    /// connections alone never quarantine a request. A crash whose record was removed counts as
+    /// confirmed.
     fn meets_crash_limit(
         &self,
         fingerprint: RequestFingerprint,
@@ -329,7 +331,8 @@
         free
     }
 
-    /// Removes expired rows, and the oldest ones above the configured bounds.
+    /// Removes expired rows. Above the configured bounds, removes the crashes that were recorded
+    /// first, the suspects that expire first, and losses at other routers by lowest fingerprint.
     pub fn shrink(&mut self, now: Moment, config: &QuarantineConfig) {
         let evidence = TimeSpan::from_millis(config.evidence_ms);
         let suspicion = TimeSpan::from_millis(config.suspect_ms);
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -10,7 +10,7 @@
 use super::gossip_queue::GossipQueue;
 use super::members::MemberState;
 
-/// Failure detection state of one router.
+/// Failure detection state of one other router.
 #[derive(Debug, Default)]
 pub struct PeerHealth {
     /// When this router last received a message or handshake from it directly.
@@ -19,8 +19,8 @@
     pub suspect_since: Option<Moment>,
     /// Other routers that reported the same suspicion.
     pub confirmers: BTreeSet<HostName>,
-    /// Since when this router lacks a connection to it that it wants to keep; cleared once the
-    /// member is marked as not reachable.
+    /// Since when this router has had no connection to the peer although it wants to keep one;
+    /// cleared once the peer is marked as not reachable.
     pub lost_at: Option<Moment>,
     /// When it was declared dead.
     pub dead_since: Option<Moment>,
@@ -75,7 +75,8 @@
     pub relays: BTreeMap<u32, RelayedPing>,
     /// Membership updates to gossip.
     pub gossip_queue: GossipQueue<HostName>,
-    /// Local health score as in Lifeguard: 0 while this router's own pings are answered in time.
+    /// Local health score as in Lifeguard, an extension of the SWIM failure detector: 0 while this
+    /// router's own pings are answered in time, higher the slower this router is.
     pub health_score: u32,
     /// Time of the last tick.
     pub last_tick: Moment,
@@ -125,7 +126,8 @@
         self.sequence
     }
 
-    /// Raises the health score after an indication that this router itself is slow or isolated.
+    /// Raises the health score (a higher score is worse) after an indication that this router
+    /// itself is slow or isolated.
     pub fn raise_health_score(&mut self) {
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -1,5 +1,10 @@
 //! An entry router's state of a pool: waiting requests, the slots it holds, and the order of teams
 //! according to the pool's owner.
+//!
+//! Entry router and owner count the granted and returned slots in terms. The entry router begins a
+//! new term, with a higher number, when the owner changes or asks for it; both then count from the
+//! slots of the attempts that are running at that time. An epoch is a router's incarnation
+//! truncated to 32 bits, by which messages for an earlier incarnation are recognised.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,7 +28,7 @@
     charge.saturating_mul(VIRTUAL_SCALE) / i64::from(share.0.max(1))
 }
 
-/// A router's incarnation as sent in messages, truncated to 32 bits.
+/// The epoch of a router: its incarnation truncated to 32 bits.
 #[must_use]
 #[allow(clippy::cast_possible_truncation)]
 pub fn epoch_of(incarnation: RouterIncarnation) -> u32 {
@@ -33,7 +38,7 @@
 /// Slots of one endpoint held by this router.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotHold {
-    /// Slots already held when the owner's epoch began.
+    /// Slots already held when the term began.
     pub carried: u32,
     /// Slots granted since then.
     pub granted: u64,
@@ -41,7 +46,7 @@
     pub returned: u64,
     /// Number of running attempts of this router on the endpoint.
     pub busy: u32,
-    /// Sequence number of the first report that carries the endpoint's current values.
+    /// Sequence number of the first report that contains the endpoint's current values.
     pub first_sent_in: u64,
 }
 
@@ -90,7 +95,7 @@
     /// Report sequence numbers and the values of `charged` sent in them, from the last acknowledged
     /// report on.
     pub sent_charges: Vec<(u64, i64)>,
-    /// Sequence number of the first report that carries the current values.
+    /// Sequence number of the first report that contains the current values.
     pub first_sent_in: u64,
     /// The team's key in `EntryPool::order`, if it has waiting requests.
     pub rank: Option<TeamRank>,
@@ -101,7 +106,7 @@
 pub struct OwnerLink {
     /// Its host.
     pub host: HostName,
-    /// Its incarnation, truncated as in messages.
+    /// Its epoch.
     pub epoch: u32,
 }
 
@@ -131,7 +136,7 @@
     pub scarce: bool,
     /// The pool's virtual time according to the owner.
     pub clock: i64,
-    /// Number of times that this router restarted its slot counts with an owner.
+    /// The current term: the number of times that this router restarted its slot counts.
     pub term: u32,
     /// Sequence number of the last report sent.
     pub report_sequence: u64,
@@ -255,7 +260,7 @@
     }
 }
 
-/// A request taken from a queue for dispatch, with its team.
+/// A request to be started next, with its team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextRequest {
     /// The request.
--- a/src/core/tables/members.rs
+++ b/src/core/tables/members.rs
@@ -22,7 +22,7 @@
     Suspect,
     /// It is draining: it gets no new work, and owns no pools as long as there is a live router.
     Leaving,
-    /// It is considered failed.
+    /// It is considered failed, or it is only known from the host list and was never connected.
     Dead,
 }
 
@@ -46,20 +46,21 @@
     pub reachable: bool,
 }
 
-/// A gossiped claim about a router's state. The greater claim takes precedence: a later
-/// incarnation first, then a later refutation, then the worse state.
+/// A router's state as gossiped. The greater value takes precedence: a later incarnation first,
+/// then a later refutation, then the worse state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberRank {
-    /// The incarnation that the claim is about.
+    /// The incarnation that has the state.
     pub incarnation: RouterIncarnation,
     /// Refutation count of that incarnation.
     pub refutation: u32,
-    /// The claimed state.
+    /// The state.
     pub state: MemberState,
 }
 
 impl MemberEntry {
-    /// The known state as a claim for gossip; `None` for a router known only from the host list.
+    /// The known state in the form used for gossip; `None` for a router known only from the host
+    /// list.
     #[must_use]
     pub fn rank(&self) -> Option<MemberRank> {
         Some(MemberRank {
@@ -71,8 +72,8 @@
 }
 
 impl MemberRank {
-    /// Merges two claims. Commutative, associative and idempotent, so the order and repetition of
-    /// gossip do not matter.
+    /// Merges two states of a router. Commutative, associative and idempotent, so the order and
+    /// repetition of gossip do not matter.
     #[must_use]
     pub fn merge(self, other: Self) -> Self {
         self.max(other)
--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -1,4 +1,10 @@
 //! Model-load orders to endpoints, and the state needed to decide on them.
+//!
+//! A wish is a message by which the owner of a pool that lacks slots requests an endpoint from the
+//! owner of another pool. An order makes an endpoint load the model of another pool. It has a
+//! fencing token: a term in the upper 32 bits and a tag of the incarnation that issued it in the
+//! lower 32 bits. An endpoint that checks tokens rejects an order with a lower token than it has
+//! seen.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +16,8 @@
 use crate::units::RouterIncarnation;
 use crate::units::TimeSpan;
 
-/// Cost of one model load in units of [`LoadBudget`]: microseconds times loads per minute.
+/// Cost of one model load in units of [`LoadBudget`]. The bucket gains `loads_per_minute` units per
+/// microsecond, so a load costs the 60,000,000 microseconds of a minute.
 const LOAD_COST: u64 = 60_000_000;
 
 /// An order that the endpoint has not carried out yet.
@@ -42,13 +49,14 @@
     pub since: Moment,
 }
 
-/// This router's part of the rate at which models may be loaded from the weight store, as a token
-/// bucket.
+/// This router's part of the rate at which endpoints may load models from the weight store, the
+/// storage of model weights that all endpoints share, as a token bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadBudget {
     saved: u64,
     refilled: Moment,
-    /// The largest number of hosts that this router has ever known; the rate is divided by it.
+    /// The largest number of routers, dead ones included, that this router's member table has ever
+    /// had; the rate is divided by it.
     pub hosts: u64,
 }
 
@@ -110,9 +118,9 @@
 
 /// The fencing token for the next order of a router incarnation. Its term is at least the
 /// publication's revision and the term that the endpoint reports, and greater than the latter if
-/// that token came from another incarnation. Two incarnations never issue the same token, so once
-/// an endpoint that checks tokens has followed an order of one incarnation, it rejects orders that
-/// another one issued without knowing of it.
+/// that token came from another incarnation. Two incarnations issue different tokens unless the 32
+/// bits of their tags are equal, so once an endpoint that checks tokens has followed an order of
+/// one incarnation, it rejects orders that another one issued without knowing of it.
 #[must_use]
 pub fn next_fence(
     revision: ConfigRevision,
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -25,7 +25,7 @@
 /// Slots of one endpoint that are assigned to one entry router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotClaim {
-    /// Slots held when the epoch began.
+    /// Slots held when the term began.
     pub carried: u32,
     /// Slots granted since then.
     pub granted: u64,
@@ -47,7 +47,7 @@
 /// The owner's state of one entry router in the pool.
 #[derive(Debug, Clone)]
 pub struct MemberClaim {
-    /// Its incarnation. A new incarnation starts a new claim.
+    /// Its incarnation. A new incarnation gets a new state.
     pub incarnation: RouterIncarnation,
     /// Sequence number of the newest report processed.
     pub report_seen: u64,
@@ -82,7 +82,7 @@
 }
 
 impl MemberClaim {
-    /// Creates the claim of a router that has not reported in this epoch.
+    /// Creates the state of a router that has not reported to this owner yet.
     #[must_use]
     pub fn new(incarnation: RouterIncarnation) -> Self {
         Self {
@@ -142,9 +142,10 @@
 /// A pool owned by this router.
 #[derive(Debug)]
 pub struct OwnedPool {
-    /// No slots are granted before this time.
+    /// No slots are granted before this time, so that the entry routers can first report the slots
+    /// that they still use from an earlier owner.
     pub settles_at: Moment,
-    /// Claims of the entry routers.
+    /// State of each entry router.
     pub members: BTreeMap<HostName, MemberClaim>,
     /// Removed entry routers; one entry per host, so the size is bounded by the host list.
     pub removed: BTreeMap<HostName, RemovedMember>,
@@ -226,7 +227,8 @@
         });
     }
 
-    /// Changes one member's claim on an endpoint and updates the totals.
+    /// Changes the slots of one endpoint that are assigned to an entry router and updates the
+    /// totals.
     pub fn change_claim(
         &mut self,
         host: &HostName,
@@ -263,7 +265,7 @@
         self.urgent = true;
     }
 
-    /// The claim of an entry router, created if missing.
+    /// The state of an entry router, created if missing.
     ///
     /// After a partition, a router's charges include the service it provided meanwhile. Its earlier
     /// charges are kept so that the difference is counted, and teams that were served more on the
--- a/src/core/tables/requests.rs
+++ b/src/core/tables/requests.rs
@@ -14,7 +14,8 @@
 /// Stage of a request's processing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Just arrived; no system has decided yet.
+    /// Not queued and not running: it just arrived, or its attempt ended or was cancelled, and no
+    /// system has decided about it yet.
     New,
     /// In its team's queue.
     Waiting,
@@ -59,7 +60,8 @@
     pub charged: i64,
     /// The endpoint of the last attempt; a retry prefers another one.
     pub last_endpoint: Option<EndpointId>,
-    /// True once a byte of an attempt may have reached an endpoint.
+    /// True once an attempt has ended of which a byte may have reached an endpoint. Not yet set
+    /// while the first attempt runs.
     pub may_have_run: bool,
 }
 
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -1,5 +1,8 @@
 //! Concurrency limits of endpoints, kept by pool owners, and counts of late first bytes, kept by
 //! entry routers.
+//!
+//! The foreign load of an endpoint is the number of its requests beyond the slots that this router,
+//! as the owner, has granted: during a partition another owner grants slots of the same endpoint.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,9 +23,9 @@
 /// The concurrency limit of one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct SlotLimit {
-    /// Requests that may run at once; `None` while the limit is not below the published slots.
+    /// Number of requests that may run at once; `None` if it is that of the published slots.
     pub allowed: Option<f64>,
-    /// True if the engine queued requests since the last adjustment of the limit.
+    /// True if the endpoint queued requests since the last adjustment of the limit.
     pub engine_queued: bool,
     /// Entry routers that report late answers from the endpoint.
     pub late_reporters: BTreeSet<HostName>,
@@ -32,8 +35,8 @@
 }
 
 impl SlotLimit {
-    /// Records an estimate of the foreign load: requests that run there without a slot granted by
-    /// this owner.
+    /// Records an estimate of the foreign load: requests that run or wait at the endpoint without a
+    /// slot granted by this owner.
     pub fn note_foreign(&mut self, running: u32, now: Moment) {
         self.foreign[self.next_sample] = running;
         self.next_sample = (self.next_sample + 1) % FOREIGN_LOAD_SAMPLES;
--- a/src/core/tables/team_eviction.rs
+++ b/src/core/tables/team_eviction.rs
@@ -1,12 +1,12 @@
-//! Eviction order for items that all teams store within a common bound. Items of the team that
-//! uses the most are evicted first, so that a flood by one team evicts only its own items.
+//! Eviction order of items of many teams that share one bound. Items of the team with the greatest
+//! total weight are evicted first, so that a flood by one team evicts only its own items.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 use crate::units::TeamId;
 
-/// Numbered items per team, each with a weight.
+/// Numbered items per team, each with a weight in a unit that the user of the index chooses.
 #[derive(Debug, Default)]
 pub struct TeamEvictionIndex {
     items: BTreeMap<TeamId, BTreeMap<u64, u64>>,
--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -55,9 +55,12 @@
 pub struct TicketTable {
     minted: u64,
     rows: BTreeMap<u64, TicketRow>,
+    /// Rows that no request holds, which may be evicted; each has weight 1.
     idle: TeamEvictionIndex,
     outcomes: VecDeque<RunOutcome>,
+    /// Rows with a stored answer; the weight is its size in bytes.
     answers: TeamEvictionIndex,
+    /// Ticket number by request, for requests that hold a ticket or whose answer is stored.
     holders: BTreeMap<RequestId, u64>,
     joined: BTreeMap<RequestId, u64>,
     /// Requests that wait for the incarnation that minted their ticket to become known.
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -1,9 +1,10 @@
-//! Isolated runs of suspects, outside the teams' queues. The fleet runs at most one copy of a
-//! request at a time, which is enforced by leases.
+//! Isolated runs of suspects, outside the teams' queues. The fleet runs one copy of a request at a
+//! time, which is enforced by leases as long as the router that grants them answers.
 //!
 //! One router, the home of a request's fingerprint, grants the lease to one router at a time. A
 //! lease that isn't renewed expires, so a holder that dies blocks the others only for that long. A
-//! home that doesn't answer blocks them no longer than that either.
+//! home that doesn't answer for the duration of a lease blocks them no longer: a router then runs
+//! its copy without a lease.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -57,7 +58,7 @@
 /// the leases that it holds or requests.
 #[derive(Debug, Default)]
 pub struct TrialTable {
-    /// Requests that wait for an isolated run, and since when.
+    /// Requests at this router that wait for their isolated run, and since when.
     pub isolated: BTreeMap<RequestId, Moment>,
     running: BTreeMap<EndpointId, RunningTrial>,
     ended: BTreeSet<RequestFingerprint>,
--- a/src/core/tables/wait_estimator.rs
+++ b/src/core/tables/wait_estimator.rs
@@ -8,8 +8,8 @@
 /// and the average has to span several of them.
 const SMOOTHING: u64 = 32;
 
-/// Moving averages of the time between two starts of a backlogged team and of the run time of its
-/// attempts.
+/// Moving averages, in microseconds, of the time between two starts while the team has a backlog
+/// (`gap`) and of the run time of its attempts (`run`).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WaitEstimator {
     last: Option<Moment>,
@@ -40,9 +40,9 @@
         self.run = Some(smooth(self.run, span.0));
     }
 
-    /// Estimated time until a request with `ahead` others before it ends. Zero if none is ahead of
-    /// it: otherwise an estimate that is too high would refuse every request and never get new
-    /// samples to correct it.
+    /// Estimated time, waiting and running, until the end of a request that has `ahead` others
+    /// before it in its team's queue. Zero if there are none: with an estimate that is too high,
+    /// every request would otherwise be refused, and no new sample would correct it.
     #[must_use]
     pub fn time_to_end(&self, ahead: usize, now: Moment) -> TimeSpan {
         let Some(gap) = self.gap.filter(|_| ahead > 0) else {
