--- a/examples/measure/state_bytes.rs
+++ b/examples/measure/state_bytes.rs
@@ -54,7 +54,7 @@
     let members = map::<HostName, MemberEntry>(state.members.len());
     let peer_health = map::<HostName, PeerHealth>(state.detector.peer_health.len());
     StateBytes {
-        entry: state.entries.values().map(entry_bytes).sum(),
+        entry: state.entry_pools.values().map(entry_bytes).sum(),
         owned: state.owned.values().map(owned_bytes).sum(),
         requests: map::<RequestId, RequestEntry>(state.requests.len())
             + map::<(Moment, RequestId), ()>(state.requests.len()),
--- a/src/admin/team_view.rs
+++ b/src/admin/team_view.rs
@@ -55,7 +55,7 @@
 }
 
 fn pools(state: &CoreState, team: TeamId) -> Vec<TeamPoolStatus> {
-    let pools = state.entries.iter();
+    let pools = state.entry_pools.iter();
     let mut pools: Vec<TeamPoolStatus> = pools
         .filter_map(|(id, pool)| pool_status(state, team, *id, pool))
         .collect();
--- a/src/admin/views.rs
+++ b/src/admin/views.rs
@@ -131,7 +131,7 @@
 }
 
 fn pool(state: &CoreState, id: PoolId, entry: &PoolEntry) -> PoolStatus {
-    let here = state.entries.get(&id);
+    let here = state.entry_pools.get(&id);
     let number = |read: fn(&EntryPool) -> u32| here.map_or(0, read);
     PoolStatus {
         name: entry.name.clone(),
@@ -176,7 +176,7 @@
     let row = state.endpoints.get(id).cloned().unwrap_or_default();
     let holds = || {
         state
-            .entries
+            .entry_pools
             .values()
             .filter_map(|pool| pool.slots.get(&id))
     };
@@ -200,7 +200,7 @@
 #[must_use]
 pub fn teams(state: &CoreState) -> Vec<TeamSummary> {
     let mut sums: BTreeMap<TeamId, (u32, u32, i64)> = BTreeMap::new();
-    for pool in state.entries.values() {
+    for pool in state.entry_pools.values() {
         for (team, usage) in &pool.teams {
             let sum = sums.entry(*team).or_default();
             sum.0 += u32::try_from(usage.queue.len()).unwrap_or(u32::MAX);
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -72,7 +72,7 @@
     /// Tickets that this process minted.
     pub tickets: TicketTable,
     /// Pools that this router uses as an entry router.
-    pub entries: BTreeMap<PoolId, EntryPool>,
+    pub entry_pools: BTreeMap<PoolId, EntryPool>,
     /// Pools that this router owns.
     pub owned: BTreeMap<PoolId, OwnedPool>,
     /// Model-load orders to endpoints.
@@ -119,7 +119,7 @@
             crashes: CrashTable::default(),
             trials: TrialTable::default(),
             tickets: TicketTable::default(),
-            entries: BTreeMap::new(),
+            entry_pools: BTreeMap::new(),
             owned: BTreeMap::new(),
             orders: OrderTable::default(),
             slot_limits: SlotLimits::default(),
--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -86,7 +86,7 @@
             retry_after,
         })
     };
-    let Some(pool) = state.entries.get(&facts.pool) else {
+    let Some(pool) = state.entry_pools.get(&facts.pool) else {
         return refusal(RefusalReason::NoEndpoint, soon);
     };
     let Some(team) = state.catalog.teams.get(&facts.team) else {
@@ -137,7 +137,7 @@
     if quarantine::isolate_if_suspect(state, request) {
         return;
     }
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     let usage = pool.teams.entry(team).or_default();
@@ -165,7 +165,7 @@
         return;
     };
     let (team, pool_id, urgency) = (entry.facts.team, entry.facts.pool, entry.urgency);
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     let Some(usage) = pool.teams.get_mut(&team) else {
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -80,7 +80,7 @@
     if difference == 0 {
         return;
     }
-    if let Some(pool) = state.entries.get_mut(&pool_id) {
+    if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
         pool.charge(team, difference);
         dispatch::rank_team(state, pool_id, team);
     }
@@ -117,7 +117,7 @@
 
 fn record_run(state: &mut CoreState, pool_id: PoolId, team: TeamId, since: Moment) {
     let span = state.now.since(since);
-    let pool = state.entries.get_mut(&pool_id);
+    let pool = state.entry_pools.get_mut(&pool_id);
     if let Some(usage) = pool.and_then(|pool| pool.teams.get_mut(&team)) {
         usage.wait_estimate.record_run(span);
     }
@@ -134,7 +134,7 @@
     entry.stage = RequestStage::New;
     entry.charged = 0;
     let (team, pool_id) = (entry.facts.team, entry.facts.pool);
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     if let Some(usage) = pool.teams.get_mut(&team) {
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -55,7 +55,7 @@
 pub fn rank_team(state: &mut CoreState, pool_id: PoolId, team: TeamId) {
     let share = state.catalog.share_of(team);
     let credit = i64::try_from(state.config.dispatch.express_units).unwrap_or(i64::MAX);
-    if let Some(pool) = state.entries.get_mut(&pool_id) {
+    if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
         pool.rank(team, share, virtual_time(credit, share));
     }
 }
@@ -73,7 +73,7 @@
     if is_for_earlier_incarnation {
         return;
     }
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     // A delayed allotment of an earlier owner or epoch would bring back slots that the new owner
@@ -144,7 +144,7 @@
 
 fn dispatch_waiting(state: &mut CoreState, pool_id: PoolId) {
     loop {
-        let Some(pool) = state.entries.get(&pool_id) else {
+        let Some(pool) = state.entry_pools.get(&pool_id) else {
             return;
         };
         let Some((_, team)) = pool.order.first().copied() else {
@@ -165,7 +165,7 @@
 }
 
 fn take_next(state: &mut CoreState, pool_id: PoolId, team: TeamId) -> Option<NextRequest> {
-    let pool = state.entries.get_mut(&pool_id)?;
+    let pool = state.entry_pools.get_mut(&pool_id)?;
     let usage = pool.teams.get_mut(&team)?;
     let request = usage.queue.pop()?;
     pool.waiting -= 1;
@@ -175,7 +175,7 @@
 /// Picks the endpoint that last ran this prefix if it has a free slot, else the one with the most
 /// free slots. Avoids the endpoint of the request's last attempt while there is another.
 fn pick_endpoint(state: &CoreState, pool_id: PoolId, next: NextRequest) -> Option<EndpointId> {
-    let pool = state.entries.get(&pool_id)?;
+    let pool = state.entry_pools.get(&pool_id)?;
     let entry = state.requests.get(next.request)?;
     let usable = |endpoint: EndpointId| state.endpoints.is_open(endpoint, state.now);
     let warm = pool.prefixes.get(&entry.facts.prefix).copied();
@@ -218,7 +218,7 @@
         since: now,
     };
     let (deadline, resume_at, prefix) = (entry.facts.deadline, entry.passed_on, entry.facts.prefix);
-    if let Some(pool) = state.entries.get_mut(&pool_id) {
+    if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
         let usage = pool.teams.entry(team).or_default();
         usage.running += 1;
         usage
@@ -262,7 +262,7 @@
 }
 
 fn give_back_while(state: &mut CoreState, pool_id: PoolId, wanted: impl Fn(&EntryPool) -> bool) {
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     while wanted(pool) {
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -53,7 +53,7 @@
     }
     let since = *state.drain_idle_since.get_or_insert(state.now);
     let is_reported = state
-        .entries
+        .entry_pools
         .values()
         .all(|pool| pool.held == 0 && !pool.changed);
     let report_wait = TimeSpan::from_millis(2 * state.config.reporting.interval_ms);
@@ -92,7 +92,7 @@
 
 /// Makes reports urgent for all pools, since reports announce the drain to the owners.
 fn mark_reports_urgent(state: &mut CoreState) {
-    for (pool_id, pool) in &mut state.entries {
+    for (pool_id, pool) in &mut state.entry_pools {
         pool.urgent = true;
         state.touched_pools.insert(*pool_id);
     }
@@ -148,13 +148,13 @@
 /// Returns free slots of pools without waiting requests to their owners at once.
 fn give_back_idle(state: &mut CoreState) {
     let idle: Vec<PoolId> = state
-        .entries
+        .entry_pools
         .iter()
         .filter(|(_, pool)| pool.waiting == 0 && !pool.open.is_empty())
         .map(|(pool, _)| *pool)
         .collect();
     for pool_id in idle {
-        let Some(pool) = state.entries.get_mut(&pool_id) else {
+        let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
             continue;
         };
         while let Some((_, endpoint)) = pool.open.first().copied() {
--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -123,13 +123,13 @@
 /// by this router.
 fn give_back(state: &mut CoreState, endpoint: EndpointId) {
     let pools: Vec<PoolId> = state
-        .entries
+        .entry_pools
         .iter()
         .filter(|(_, pool)| pool.slots.contains_key(&endpoint))
         .map(|(pool, _)| *pool)
         .collect();
     for pool_id in pools {
-        if let Some(pool) = state.entries.get_mut(&pool_id) {
+        if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
             while pool
                 .slots
                 .get(&endpoint)
--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -95,7 +95,7 @@
         return;
     }
     tally.reported_late = is_late;
-    if let Some(pool) = state.entries.get_mut(&pool_id) {
+    if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
         let next = pool.report_sequence + 1;
         pool.change_slots(endpoint, |hold| hold.first_sent_in = next);
     }
@@ -269,7 +269,7 @@
 /// no request is ahead of it in its team's queue.
 #[must_use]
 pub fn time_to_end(state: &CoreState, facts: &RequestFacts, urgency: UrgencyClass) -> TimeSpan {
-    let pool = state.entries.get(&facts.pool);
+    let pool = state.entry_pools.get(&facts.pool);
     let Some(usage) = pool.and_then(|pool| pool.teams.get(&facts.team)) else {
         return TimeSpan(0);
     };
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -124,7 +124,7 @@
     }
     if state.detector.connections_version != state.members.version() {
         state.detector.connections_version = state.members.version();
-        let pools: Vec<PoolId> = state.entries.keys().copied().collect();
+        let pools: Vec<PoolId> = state.entry_pools.keys().copied().collect();
         let owners: Vec<HostName> = pools
             .iter()
             .filter_map(|pool| state.members.owner_of(*pool).cloned())
@@ -145,7 +145,7 @@
         .collect();
     for host in idle {
         let owns = state
-            .entries
+            .entry_pools
             .values()
             .any(|pool| pool.owner.as_ref().is_some_and(|owner| owner.host == host));
         if owns {
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -140,7 +140,7 @@
     state.catalog = Arc::clone(catalog);
     state.publication_text = text.clone();
     for pool in state.catalog.pools.keys() {
-        state.entries.entry(*pool).or_default();
+        state.entry_pools.entry(*pool).or_default();
         state.touched_pools.insert(*pool);
     }
     probing::push(state);
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -24,7 +24,7 @@
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     if matches!(event, CoreEvent::Tick) {
         refill(state);
-        let pools: Vec<PoolId> = state.entries.keys().copied().collect();
+        let pools: Vec<PoolId> = state.entry_pools.keys().copied().collect();
         state.touched_pools.extend(pools);
     }
     for pool in std::mem::take(&mut state.touched_pools) {
@@ -43,7 +43,7 @@
 /// dropped, since the new owner doesn't count them and may grant them to others.
 fn update_owner(state: &mut CoreState, pool_id: PoolId) {
     let version = state.members.version();
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     if pool.owner_version == version {
@@ -98,7 +98,7 @@
 fn report_if_due(state: &mut CoreState, pool_id: PoolId) {
     let now = state.now;
     let config = &state.config.reporting;
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     let wants = pool.has_new_demand && pool.waiting > 0 && pool.open.is_empty();
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -43,7 +43,7 @@
     }));
     fleet.advance(500);
     assert_eq!(fleet.take(0), vec![CoreAction::Drained]);
-    assert_eq!(fleet.core(0).state().entries[&cores::pool()].held, 0);
+    assert_eq!(fleet.core(0).state().entry_pools[&cores::pool()].held, 0);
 }
 
 #[test]
--- a/tests/earlier_lives.rs
+++ b/tests/earlier_lives.rs
@@ -25,7 +25,7 @@
 }
 
 fn entry_pool(fleet: &CoreFleet, router: usize) -> &EntryPool {
-    &fleet.core(router).state().entries[&pool()]
+    &fleet.core(router).state().entry_pools[&pool()]
 }
 
 /// Slots held, and the sequence numbers of the last allotment seen and the last report
