--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -90,7 +90,10 @@
     }
     for fingerprint in fingerprints(&notice.refused) {
         let config = &state.config.quarantine;
-        if state.crashes.refuse(fingerprint, state.now, config) {
+        if state
+            .crashes
+            .put_in_quarantine(fingerprint, state.now, config)
+        {
             super::refuse_waiting(state, fingerprint);
         }
     }
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -207,7 +207,8 @@
         row.until = row
             .until
             .max(now + TimeSpan::from_millis(config.suspect_ms));
-        self.meets_crash_limit(fingerprint, config) && self.refuse(fingerprint, now, config)
+        self.meets_crash_limit(fingerprint, config)
+            && self.put_in_quarantine(fingerprint, now, config)
     }
 
     /// True if a request was running in as many crashes as `config.crashes`. At most one
@@ -251,14 +252,15 @@
         suspects
             .into_iter()
             .filter(|suspect| {
-                self.meets_crash_limit(*suspect, config) && self.refuse(*suspect, now, config)
+                self.meets_crash_limit(*suspect, config)
+                    && self.put_in_quarantine(*suspect, now, config)
             })
             .collect()
     }
 
     /// Quarantines a request for `config.refuse_ms`; false if it was in quarantine already. It
     /// stays a suspect for the same time afterwards, so that one more crash quarantines it again.
-    pub fn refuse(
+    pub fn put_in_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Moment,
