--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -92,7 +92,10 @@
     let Some(team) = state.catalog.teams.get(&facts.team) else {
         return refusal(RefusalReason::NotReady, soon);
     };
-    if let Some(until) = state.crashes.refused_until(facts.fingerprint, state.now) {
+    if let Some(until) = state
+        .crashes
+        .quarantined_until(facts.fingerprint, state.now)
+    {
         let later = until.since(state.now);
         return refusal(RefusalReason::Quarantined, later);
     }
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -218,7 +218,7 @@
 
 /// Refuses the requests waiting here that have a refused fingerprint.
 fn refuse_waiting(state: &mut CoreState, fingerprint: RequestFingerprint) {
-    let Some(until) = state.crashes.refused_until(fingerprint, state.now) else {
+    let Some(until) = state.crashes.quarantined_until(fingerprint, state.now) else {
         return;
     };
     let later = until.since(state.now);
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -139,7 +139,12 @@
 ) {
     let refused: Vec<u64> = suspects
         .iter()
-        .filter(|suspect| state.crashes.refused_until(**suspect, state.now).is_some())
+        .filter(|suspect| {
+            state
+                .crashes
+                .quarantined_until(**suspect, state.now)
+                .is_some()
+        })
         .map(|suspect| suspect.0)
         .collect();
     if refused.is_empty() || *from == state.identity.host {
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -71,7 +71,7 @@
     // was not among the waiting copies refused then, and would crash one endpoint after another.
     if state
         .crashes
-        .refused_until(fingerprint, state.now)
+        .quarantined_until(fingerprint, state.now)
         .is_some()
     {
         state.trials.isolated.remove(&request);
@@ -174,7 +174,7 @@
         let is_held = super::has_unexplained_loss(state, fingerprint)
             || state
                 .crashes
-                .refused_until(fingerprint, state.now)
+                .quarantined_until(fingerprint, state.now)
                 .is_some();
         if !is_held && state.trials.grant_lease(fingerprint, from, state.now, span) {
             answer.lease_granted.push(fingerprint.0);
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -47,7 +47,7 @@
     /// When the row expires.
     pub until: Moment,
     /// End of its quarantine, if it was ever quarantined.
-    pub refused_until: Option<Moment>,
+    pub quarantined_until: Option<Moment>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -268,16 +268,20 @@
     ) -> bool {
         let span = TimeSpan::from_millis(config.refuse_ms);
         let row = self.suspects.entry(fingerprint).or_default();
-        let fresh = row.refused_until.is_none_or(|until| until <= now);
-        row.refused_until = Some(now + span);
+        let fresh = row.quarantined_until.is_none_or(|until| until <= now);
+        row.quarantined_until = Some(now + span);
         row.until = now + span + span;
         fresh
     }
 
     /// The end of a request's quarantine, if it is in quarantine.
     #[must_use]
-    pub fn refused_until(&self, fingerprint: RequestFingerprint, now: Moment) -> Option<Moment> {
-        let until = self.suspects.get(&fingerprint)?.refused_until?;
+    pub fn quarantined_until(
+        &self,
+        fingerprint: RequestFingerprint,
+        now: Moment,
+    ) -> Option<Moment> {
+        let until = self.suspects.get(&fingerprint)?.quarantined_until?;
         (until > now).then_some(until)
     }
 
@@ -293,7 +297,7 @@
         let innocent = self
             .suspects
             .get(&fingerprint)
-            .is_some_and(|row| row.refused_until.is_none());
+            .is_some_and(|row| row.quarantined_until.is_none());
         innocent && self.suspects.remove(&fingerprint).is_some()
     }
 
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -119,7 +119,7 @@
     /// Time for which a request is still refused; `None` if it is not refused.
     #[must_use]
     pub fn refused_for(&self, now: Moment, fingerprint: RequestFingerprint) -> Option<TimeSpan> {
-        let until = self.table.refused_until(fingerprint, now)?;
+        let until = self.table.quarantined_until(fingerprint, now)?;
         Some(until.since(now))
     }
 
--- a/tests/crashing_copies.rs
+++ b/tests/crashing_copies.rs
@@ -235,7 +235,7 @@
     let refused = fleet.core(2).state();
     let until = refused
         .crashes
-        .refused_until(RequestFingerprint(7), fleet.now);
+        .quarantined_until(RequestFingerprint(7), fleet.now);
     assert!(until.is_some());
 }
 
