--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -131,7 +131,7 @@
         .collect();
     state
         .crashes
-        .places_for(fingerprint, &serving)
+        .isolation_endpoints(fingerprint, &serving)
         .into_iter()
         .find(|endpoint| state.endpoints.is_open(*endpoint, state.now))
 }
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -306,7 +306,7 @@
     /// endpoint if there are enough, and all copies of a request, at whichever router they arrive,
     /// get the same one.
     #[must_use]
-    pub fn places_for(
+    pub fn isolation_endpoints(
         &self,
         fingerprint: RequestFingerprint,
         endpoints: &[EndpointId],
@@ -404,7 +404,7 @@
         let endpoints: Vec<_> = (0..6).map(EndpointId).collect();
         let places: BTreeSet<_> = suspects
             .iter()
-            .map(|suspect| table.places_for(*suspect, &endpoints)[0])
+            .map(|suspect| table.isolation_endpoints(*suspect, &endpoints)[0])
             .collect();
         assert_eq!(places.len(), 5);
         assert!(!places.contains(&EndpointId(0)));
