--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -324,12 +324,12 @@
                 .iter()
                 .take_while(|other| **other < fingerprint);
             for other in before {
-                let ranked = ranked_places(*other, endpoints, crashed);
+                let ranked = ranked_endpoints(*other, endpoints, crashed);
                 let place = ranked.iter().find(|place| !taken.contains(*place));
                 taken.extend(place.copied());
             }
         }
-        let ranked = ranked_places(fingerprint, endpoints, crashed);
+        let ranked = ranked_endpoints(fingerprint, endpoints, crashed);
         let (mut free, shared): (Vec<_>, Vec<_>) =
             ranked.into_iter().partition(|place| !taken.contains(place));
         free.extend(shared);
@@ -374,7 +374,7 @@
 }
 
 /// The endpoints in rendezvous order for one request, without the one that crashed.
-fn ranked_places(
+fn ranked_endpoints(
     fingerprint: RequestFingerprint,
     endpoints: &[EndpointId],
     crashed: Option<EndpointId>,
