--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -15,7 +15,7 @@
 use crate::core::systems::membership::is_small;
 use crate::core::systems::membership::news_of;
 use crate::core::systems::publication;
-use crate::core::tables::detector::PingRound;
+use crate::core::tables::detector::PendingPing;
 use crate::core::tables::detector::RelayedPing;
 use crate::core::tables::gossip_queue::retransmit_limit;
 use crate::core::tables::members::MemberState;
@@ -221,7 +221,7 @@
     }
     // A dead router is dialed in case it is back, without expecting an answer.
     if !dead {
-        state.detector.round = Some(PingRound {
+        state.detector.round = Some(PendingPing {
             target,
             sequence,
             sent_at: state.now,
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -28,7 +28,7 @@
 
 /// A ping that awaits its answer.
 #[derive(Debug)]
-pub struct PingRound {
+pub struct PendingPing {
     /// The router that was pinged.
     pub target: HostName,
     /// Sequence number that matches the answer to the ping.
@@ -66,7 +66,7 @@
     /// Routers still to be pinged in the current pass over all routers, in random order.
     pub ping_order: Vec<HostName>,
     /// The ping that awaits its answer.
-    pub round: Option<PingRound>,
+    pub round: Option<PendingPing>,
     /// When the next ping is due.
     pub next_ping: Moment,
     /// Sequence number of the last ping.
