--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -442,7 +442,7 @@
 /// time, so a timeout that expired meanwhile is no evidence about the other routers.
 fn restart_timeouts(state: &mut CoreState) {
     let now = state.now;
-    state.detector.round = None;
+    state.detector.pending_ping = None;
     state.detector.raise_health_score();
     let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
     for host in pending {
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -100,8 +100,8 @@
 
 /// Asks a few routers to ping one that this router can't reach (indirect ping).
 pub fn ask_helpers(state: &mut CoreState, target: &HostName) {
-    let sequence = match &state.detector.round {
-        Some(round) if round.target == *target => round.sequence,
+    let sequence = match &state.detector.pending_ping {
+        Some(pending_ping) if pending_ping.target == *target => pending_ping.sequence,
         _ => state.detector.next_sequence(),
     };
     let count = state.config.probing.helpers;
@@ -179,28 +179,28 @@
 fn check_round(state: &mut CoreState) {
     let now = state.now;
     let timeout_multiplier = state.detector.timeout_multiplier();
-    let Some(round) = &state.detector.round else {
+    let Some(pending_ping) = &state.detector.pending_ping else {
         return;
     };
-    let waited = now.since(round.sent_at);
-    let target = round.target.clone();
+    let waited = now.since(pending_ping.sent_at);
+    let target = pending_ping.target.clone();
     let answer_limit = TimeSpan::from_millis(state.config.probing.answer_ms * timeout_multiplier);
-    if !round.indirect_sent && waited >= answer_limit {
+    if !pending_ping.indirect_sent && waited >= answer_limit {
         ask_helpers(state, &target);
-        if let Some(round) = &mut state.detector.round {
-            round.indirect_sent = true;
+        if let Some(pending_ping) = &mut state.detector.pending_ping {
+            pending_ping.indirect_sent = true;
         }
         return;
     }
     if waited >= TimeSpan(period(state).0 * timeout_multiplier) {
-        state.detector.round = None;
+        state.detector.pending_ping = None;
         state.detector.raise_health_score();
         membership::suspect(state, &target);
     }
 }
 
 fn begin_round(state: &mut CoreState) {
-    if state.detector.round.is_some() {
+    if state.detector.pending_ping.is_some() {
         return;
     }
     let Some(target) = next_target(state) else {
@@ -221,7 +221,7 @@
     }
     // A dead router is dialed in case it is back, without expecting an answer.
     if !dead {
-        state.detector.round = Some(PendingPing {
+        state.detector.pending_ping = Some(PendingPing {
             target,
             sequence,
             sent_at: state.now,
@@ -262,11 +262,11 @@
 fn opened(state: &mut CoreState, host: &HostName) {
     if state
         .detector
-        .round
+        .pending_ping
         .as_ref()
-        .is_some_and(|round| round.target == *host)
+        .is_some_and(|pending_ping| pending_ping.target == *host)
     {
-        state.detector.round = None;
+        state.detector.pending_ping = None;
     }
 }
 
@@ -294,11 +294,11 @@
     }
     if state
         .detector
-        .round
+        .pending_ping
         .as_ref()
-        .is_some_and(|round| round.sequence == sequence)
+        .is_some_and(|pending_ping| pending_ping.sequence == sequence)
     {
-        state.detector.round = None;
+        state.detector.pending_ping = None;
         state.detector.lower_health_score();
     }
 }
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -66,7 +66,7 @@
     /// Routers still to be pinged in the current pass over all routers, in random order.
     pub ping_order: Vec<HostName>,
     /// The ping that awaits its answer.
-    pub round: Option<PendingPing>,
+    pub pending_ping: Option<PendingPing>,
     /// When the next ping is due.
     pub next_ping: Moment,
     /// Sequence number of the last ping.
@@ -97,7 +97,7 @@
             kept_connections: BTreeMap::new(),
             unknown_peers: BTreeMap::new(),
             ping_order: Vec::new(),
-            round: None,
+            pending_ping: None,
             next_ping: Moment(0),
             sequence: 0,
             relays: BTreeMap::new(),
