--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -160,7 +160,7 @@
 fn tick(state: &mut CoreState) {
     let now = state.now;
     state.detector.relays.retain(|_, relay| relay.expires > now);
-    check_round(state);
+    check_pending_ping(state);
     if now >= state.detector.next_ping {
         state.detector.next_ping = now + period(state);
         begin_round(state);
@@ -176,7 +176,7 @@
     })
 }
 
-fn check_round(state: &mut CoreState) {
+fn check_pending_ping(state: &mut CoreState) {
     let now = state.now;
     let timeout_multiplier = state.detector.timeout_multiplier();
     let Some(pending_ping) = &state.detector.pending_ping else {
