--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -163,7 +163,7 @@
     check_pending_ping(state);
     if now >= state.detector.next_ping {
         state.detector.next_ping = now + period(state);
-        begin_round(state);
+        begin_ping(state);
     }
 }
 
@@ -199,7 +199,7 @@
     }
 }
 
-fn begin_round(state: &mut CoreState) {
+fn begin_ping(state: &mut CoreState) {
     if state.detector.pending_ping.is_some() {
         return;
     }
