--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -88,7 +88,7 @@
             .change(host, |entry| entry.state = MemberState::Suspect);
         state.detector.gossip_queue.add(host.clone());
     }
-    state.detector.pending.insert(host.clone());
+    state.detector.running_timeouts.insert(host.clone());
     let watch = state.detector.peer_health_mut(host);
     watch.suspect_since.get_or_insert(now);
 }
@@ -159,7 +159,7 @@
         let connected = state.members.get(host).is_some_and(|row| row.connected);
         if !connected {
             state.detector.peer_health_mut(host).lost_at = Some(now);
-            state.detector.pending.insert(host.clone());
+            state.detector.running_timeouts.insert(host.clone());
         }
     }
 }
@@ -199,7 +199,7 @@
     clear_suspicion(state, host);
     let watch = state.detector.peer_health_mut(host);
     watch.lost_at = None;
-    state.detector.pending.remove(host);
+    state.detector.running_timeouts.remove(host);
     let changed = state.members.get(host).and_then(MemberEntry::rank) != before;
     if changed {
         state.detector.gossip_queue.add(host.clone());
@@ -231,7 +231,7 @@
         .peer_health_mut(host)
         .lost_at
         .get_or_insert(now);
-    state.detector.pending.insert(host.clone());
+    state.detector.running_timeouts.insert(host.clone());
     let knew = state
         .members
         .get(host)
@@ -270,7 +270,7 @@
     watch.dead_since = None;
     watch.confirmers.clear();
     if watch.lost_at.is_none() {
-        state.detector.pending.remove(host);
+        state.detector.running_timeouts.remove(host);
     }
 }
 
@@ -430,8 +430,8 @@
         restart_timeouts(state);
     }
     announce_own_state(state);
-    let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
-    for host in pending {
+    let running_timeouts: Vec<HostName> = state.detector.running_timeouts.iter().cloned().collect();
+    for host in running_timeouts {
         check_timeouts(state, &host);
     }
     probing::keep_connections(state);
@@ -444,8 +444,8 @@
     let now = state.now;
     state.detector.pending_ping = None;
     state.detector.raise_health_score();
-    let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
-    for host in pending {
+    let running_timeouts: Vec<HostName> = state.detector.running_timeouts.iter().cloned().collect();
+    for host in running_timeouts {
         let watch = state.detector.peer_health_mut(&host);
         watch.suspect_since = watch.suspect_since.map(|_| now);
         watch.lost_at = watch.lost_at.map(|_| now);
@@ -469,7 +469,7 @@
     let config = &state.config.membership;
     let timeout_multiplier = state.detector.timeout_multiplier();
     let Some(watch) = state.detector.peer_health.get(host) else {
-        state.detector.pending.remove(host);
+        state.detector.running_timeouts.remove(host);
         return;
     };
     let confirmed = watch.confirmers.len() >= config.confirmations;
@@ -493,7 +493,7 @@
     }
     let watch = state.detector.peer_health_mut(host);
     if watch.suspect_since.is_none() && watch.lost_at.is_none() {
-        state.detector.pending.remove(host);
+        state.detector.running_timeouts.remove(host);
     }
 }
 
@@ -527,7 +527,7 @@
         state.members.remove(&host);
         state.detector.peer_health.remove(&host);
         state.detector.dead.remove(&host);
-        state.detector.pending.remove(&host);
+        state.detector.running_timeouts.remove(&host);
         if state.detector.kept_connections.remove(&host).is_some() {
             state.act(CoreAction::Disconnect { host });
         }
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -56,7 +56,7 @@
     /// Failure detection state per router.
     pub peer_health: BTreeMap<HostName, PeerHealth>,
     /// Routers with a running suspicion or reachability timeout.
-    pub pending: BTreeSet<HostName>,
+    pub running_timeouts: BTreeSet<HostName>,
     /// Dead routers.
     pub dead: BTreeSet<HostName>,
     /// Routers to which this one keeps a connection open, and when each was last needed.
@@ -92,7 +92,7 @@
     fn default() -> Self {
         Self {
             peer_health: BTreeMap::new(),
-            pending: BTreeSet::new(),
+            running_timeouts: BTreeSet::new(),
             dead: BTreeSet::new(),
             kept_connections: BTreeMap::new(),
             unknown_peers: BTreeMap::new(),
