--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -89,8 +89,8 @@
         state.detector.gossip_queue.add(host.clone());
     }
     state.detector.running_timeouts.insert(host.clone());
-    let watch = state.detector.peer_health_mut(host);
-    watch.suspect_since.get_or_insert(now);
+    let health = state.detector.peer_health_mut(host);
+    health.suspect_since.get_or_insert(now);
 }
 
 /// Returns what is known of a router as gossip to pass on; `None` if no incarnation is known.
@@ -197,8 +197,8 @@
         entry.reachable = true;
     });
     clear_suspicion(state, host);
-    let watch = state.detector.peer_health_mut(host);
-    watch.lost_at = None;
+    let health = state.detector.peer_health_mut(host);
+    health.lost_at = None;
     state.detector.running_timeouts.remove(host);
     let changed = state.members.get(host).and_then(MemberEntry::rank) != before;
     if changed {
@@ -264,12 +264,12 @@
 fn clear_suspicion(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     state.detector.dead.remove(host);
-    let watch = state.detector.peer_health_mut(host);
-    watch.last_contact_at = Some(now);
-    watch.suspect_since = None;
-    watch.dead_since = None;
-    watch.confirmers.clear();
-    if watch.lost_at.is_none() {
+    let health = state.detector.peer_health_mut(host);
+    health.last_contact_at = Some(now);
+    health.suspect_since = None;
+    health.dead_since = None;
+    health.confirmers.clear();
+    if health.lost_at.is_none() {
         state.detector.running_timeouts.remove(host);
     }
 }
@@ -325,7 +325,7 @@
         .detector
         .peer_health
         .get(host)
-        .and_then(|watch| watch.last_contact_at);
+        .and_then(|health| health.last_contact_at);
     last_contact_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(RECENT_CONTACT_MS))
 }
 
@@ -446,9 +446,9 @@
     state.detector.raise_health_score();
     let running_timeouts: Vec<HostName> = state.detector.running_timeouts.iter().cloned().collect();
     for host in running_timeouts {
-        let watch = state.detector.peer_health_mut(&host);
-        watch.suspect_since = watch.suspect_since.map(|_| now);
-        watch.lost_at = watch.lost_at.map(|_| now);
+        let health = state.detector.peer_health_mut(&host);
+        health.suspect_since = health.suspect_since.map(|_| now);
+        health.lost_at = health.lost_at.map(|_| now);
     }
 }
 
@@ -468,17 +468,17 @@
     let now = state.now;
     let config = &state.config.membership;
     let timeout_multiplier = state.detector.timeout_multiplier();
-    let Some(watch) = state.detector.peer_health.get(host) else {
+    let Some(health) = state.detector.peer_health.get(host) else {
         state.detector.running_timeouts.remove(host);
         return;
     };
-    let confirmed = watch.confirmers.len() >= config.confirmations;
+    let confirmed = health.confirmers.len() >= config.confirmations;
     let limit = if confirmed {
         TimeSpan::from_millis(config.confirmed_ms)
     } else {
         TimeSpan::from_millis(config.suspicion_ms * timeout_multiplier)
     };
-    let (suspect_since, lost_at) = (watch.suspect_since, watch.lost_at);
+    let (suspect_since, lost_at) = (health.suspect_since, health.lost_at);
     if suspect_since.is_some_and(|since| now.since(since) >= limit) {
         state
             .members
@@ -491,18 +491,18 @@
         state.members.change(host, |entry| entry.reachable = false);
         state.detector.peer_health_mut(host).lost_at = None;
     }
-    let watch = state.detector.peer_health_mut(host);
-    if watch.suspect_since.is_none() && watch.lost_at.is_none() {
+    let health = state.detector.peer_health_mut(host);
+    if health.suspect_since.is_none() && health.lost_at.is_none() {
         state.detector.running_timeouts.remove(host);
     }
 }
 
 fn mark_dead(state: &mut CoreState, host: &HostName) {
     let now = state.now;
-    let watch = state.detector.peer_health_mut(host);
-    watch.suspect_since = None;
-    watch.confirmers.clear();
-    watch.dead_since = Some(now);
+    let health = state.detector.peer_health_mut(host);
+    health.suspect_since = None;
+    health.confirmers.clear();
+    health.dead_since = Some(now);
     state.detector.dead.insert(host.clone());
 }
 
@@ -518,7 +518,7 @@
             let since = detector
                 .peer_health
                 .get(*host)
-                .and_then(|watch| watch.dead_since);
+                .and_then(|health| health.dead_since);
             since.is_some_and(|since| now.since(since) >= limit)
         })
         .cloned()
