--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -232,12 +232,12 @@
         .lost_at
         .get_or_insert(now);
     state.detector.running_timeouts.insert(host.clone());
-    let knew = state
+    let was_member = state
         .members
         .get(host)
         .is_some_and(|row| row.state <= MemberState::Suspect);
     suspect(state, host);
-    if knew {
+    if was_member {
         probing::ask_helpers(state, host);
     }
 }
