--- a/examples/measure/state_bytes.rs
+++ b/examples/measure/state_bytes.rs
@@ -93,7 +93,7 @@
     map::<TeamId, TeamUsage>(pool.teams.len())
         + map::<(TeamRank, TeamId), ()>(pool.order.len())
         + map::<EndpointId, SlotHold>(pool.slots.len())
-        + map::<(u32, EndpointId), ()>(pool.open.len())
+        + map::<(u32, EndpointId), ()>(pool.free_endpoints.len())
         + map::<u64, EndpointId>(pool.prefixes.len())
         + waiting
 }
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -150,7 +150,7 @@
         let Some((_, team)) = pool.order.first().copied() else {
             return;
         };
-        if pool.open.is_empty() {
+        if pool.free_endpoints.is_empty() {
             return;
         }
         let Some(next) = take_next(state, pool_id, team) else {
@@ -189,15 +189,15 @@
     {
         return Some(endpoint);
     }
-    let mut open = pool
-        .open
+    let mut free_endpoints = pool
+        .free_endpoints
         .iter()
         .rev()
         .map(|(_, endpoint)| *endpoint)
         .filter(|endpoint| usable(*endpoint));
-    let first = open.next()?;
+    let first = free_endpoints.next()?;
     if entry.last_endpoint == Some(first) {
-        return open.next().or(Some(first));
+        return free_endpoints.next().or(Some(first));
     }
     Some(first)
 }
@@ -266,7 +266,7 @@
         return;
     };
     while wanted(pool) {
-        let Some((_, endpoint)) = pool.open.first().copied() else {
+        let Some((_, endpoint)) = pool.free_endpoints.first().copied() else {
             return;
         };
         pool.give_back(endpoint);
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -150,14 +150,14 @@
     let idle: Vec<PoolId> = state
         .entry_pools
         .iter()
-        .filter(|(_, pool)| pool.waiting == 0 && !pool.open.is_empty())
+        .filter(|(_, pool)| pool.waiting == 0 && !pool.free_endpoints.is_empty())
         .map(|(pool, _)| *pool)
         .collect();
     for pool_id in idle {
         let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
             continue;
         };
-        while let Some((_, endpoint)) = pool.open.first().copied() {
+        while let Some((_, endpoint)) = pool.free_endpoints.first().copied() {
             pool.give_back(endpoint);
         }
         state.touched_pools.insert(pool_id);
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -101,7 +101,7 @@
     let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
-    let wants = pool.has_new_demand && pool.waiting > 0 && pool.open.is_empty();
+    let wants = pool.has_new_demand && pool.waiting > 0 && pool.free_endpoints.is_empty();
     let urgent = (pool.urgent || wants) && state.report_budget.is_open();
     let passed = now.since(pool.reported_at);
     let due = match (urgent, pool.changed) {
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -125,7 +125,7 @@
     /// Slots held by this router, per endpoint.
     pub slots: BTreeMap<EndpointId, SlotHold>,
     /// Endpoints with free slots, ordered by the number of free slots.
-    pub open: BTreeSet<(u32, EndpointId)>,
+    pub free_endpoints: BTreeSet<(u32, EndpointId)>,
     /// Number of slots that this router should keep according to the owner.
     pub target: u32,
     /// Total number of slots held.
@@ -159,7 +159,7 @@
 }
 
 impl EntryPool {
-    /// Changes the slots held on an endpoint and updates the totals and `open`.
+    /// Changes the slots held on an endpoint and updates the totals and `free_endpoints`.
     pub fn change_slots(&mut self, endpoint: EndpointId, change: impl FnOnce(&mut SlotHold)) {
         let hold = self.slots.entry(endpoint).or_default();
         let before = (hold.held(), hold.busy, hold.free());
@@ -168,10 +168,10 @@
         self.busy = self.busy - before.1 + hold.busy;
         let free_now = hold.free();
         if before.2 > 0 {
-            self.open.remove(&(before.2, endpoint));
+            self.free_endpoints.remove(&(before.2, endpoint));
         }
         if free_now > 0 {
-            self.open.insert((free_now, endpoint));
+            self.free_endpoints.insert((free_now, endpoint));
         }
         self.changed = true;
     }
@@ -281,6 +281,6 @@
         pool.change_slots(endpoint, |hold| hold.busy += 1);
         pool.give_back(endpoint);
         assert_eq!((pool.held, pool.busy), (2, 1));
-        assert_eq!(pool.open.iter().next(), Some(&(1, endpoint)));
+        assert_eq!(pool.free_endpoints.iter().next(), Some(&(1, endpoint)));
     }
 }
