--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -213,8 +213,8 @@
     }
 
     /// Updates a team's position in the order, or removes the team if it has no waiting requests.
-    /// `express` is the credit for interactive requests in virtual time.
-    pub fn rank(&mut self, team: TeamId, share: ShareWeight, express: i64) {
+    /// `interactive_credit` is the credit for interactive requests in virtual time.
+    pub fn rank(&mut self, team: TeamId, share: ShareWeight, interactive_credit: i64) {
         let time = self.local_virtual_time(team, share);
         let Some(usage) = self.teams.get_mut(&team) else {
             return;
@@ -226,7 +226,7 @@
             return;
         }
         let credit = if usage.queue.has_interactive() {
-            express
+            interactive_credit
         } else {
             0
         };
