--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -87,7 +87,7 @@
     }
     if allotment.restart {
         if let Some(owner) = pool.owner.clone() {
-            reporting::begin_epoch(pool, owner);
+            reporting::begin_term(pool, owner);
         }
         state.touched_pools.insert(pool_id);
         return;
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -61,12 +61,12 @@
         epoch: epoch_of(incarnation),
     };
     if pool.owner.as_ref() != Some(&link) {
-        begin_epoch(pool, link);
+        begin_term(pool, link);
     }
 }
 
 /// Restarts slot accounting with an owner, with only the slots of running attempts carried over.
-pub fn begin_epoch(pool: &mut EntryPool, link: OwnerLink) {
+pub fn begin_term(pool: &mut EntryPool, link: OwnerLink) {
     pool.owner = Some(link);
     pool.term += 1;
     let endpoints: Vec<_> = pool.slots.keys().copied().collect();
