--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -87,12 +87,12 @@
         return;
     }
     let now = state.now;
-    let settles_at = now + TimeSpan::from_millis(state.config.ownership.settle_ms);
+    let grants_from = now + TimeSpan::from_millis(state.config.ownership.settle_ms);
     let catalog = state.catalog.clone();
     let pool = state
         .owned
         .entry(PoolId(report.pool))
-        .or_insert_with(|| OwnedPool::new(settles_at));
+        .or_insert_with(|| OwnedPool::new(grants_from));
     if !sync_term(pool, from, incarnation, report) {
         request_restart(state, from, incarnation, report);
         return;
@@ -266,7 +266,7 @@
         (true, false) => config.share_out_ms,
         (false, _) => config.refresh_ms,
     };
-    if now < pool.settles_at || now.since(pool.shared_at) < TimeSpan::from_millis(wait) {
+    if now < pool.grants_from || now.since(pool.shared_at) < TimeSpan::from_millis(wait) {
         return;
     }
     set_limits(state, pool_id);
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -144,7 +144,7 @@
 pub struct OwnedPool {
     /// No slots are granted before this time, so that the entry routers can first report the slots
     /// that they still use from an earlier owner.
-    pub settles_at: Moment,
+    pub grants_from: Moment,
     /// State of each entry router.
     pub members: BTreeMap<HostName, MemberClaim>,
     /// Removed entry routers; one entry per host, so the size is bounded by the host list.
@@ -177,9 +177,9 @@
 impl OwnedPool {
     /// Creates the state of a pool that this router starts to own.
     #[must_use]
-    pub fn new(settles_at: Moment) -> Self {
+    pub fn new(grants_from: Moment) -> Self {
         Self {
-            settles_at,
+            grants_from,
             members: BTreeMap::new(),
             removed: BTreeMap::new(),
             accounts: BTreeMap::new(),
