--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -281,9 +281,9 @@
     update_accounts(state, &mut pool, &demands);
     set_targets(state, &mut pool, &demands);
     let refresh = TimeSpan::from_millis(state.config.ownership.refresh_ms);
-    let spread = now.since(pool.spread_at) >= refresh;
+    let spread = now.since(pool.spare_granted_at) >= refresh;
     if spread {
-        pool.spread_at = now;
+        pool.spare_granted_at = now;
     }
     grant_vacant(&mut pool, spread);
     grant_leftover(&mut pool);
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -165,7 +165,7 @@
     /// When targets and grants were last computed.
     pub shared_at: Moment,
     /// When spare slots were last distributed over entry routers without waiting requests.
-    pub spread_at: Moment,
+    pub spare_granted_at: Moment,
     /// This pool's own part of the byte budget of allotments.
     pub budget: ByteBudget,
     /// True if targets and grants should be computed soon.
@@ -189,7 +189,7 @@
             claimed: BTreeMap::new(),
             vacant: BTreeSet::new(),
             shared_at: Moment(0),
-            spread_at: Moment(0),
+            spare_granted_at: Moment(0),
             budget: ByteBudget::default(),
             urgent: false,
             scarce: false,
