--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -255,7 +255,7 @@
         && has_owned_long_enough(state, active)
         && can_serve(state, endpoint, pool)
         && !state.orders.open.contains_key(&endpoint)
-        && state.orders.is_settled(endpoint, state.now, residence)
+        && state.orders.has_resided_for(endpoint, state.now, residence)
         && is_transfer_justified(state, endpoint, active, wish);
     if !may {
         return;
--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -140,7 +140,7 @@
 impl OrderTable {
     /// True if the endpoint has served its current pool for at least `least`.
     #[must_use]
-    pub fn is_settled(&self, endpoint: EndpointId, now: Moment, least: TimeSpan) -> bool {
+    pub fn has_resided_for(&self, endpoint: EndpointId, now: Moment, least: TimeSpan) -> bool {
         self.residences
             .get(&endpoint)
             .is_some_and(|residence| now.since(residence.since) >= least)
