--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -43,7 +43,7 @@
     if draining::redirect_or_refuse(state, facts) {
         return;
     }
-    if tickets::check_ticket(state, facts) == TicketDecision::Settled {
+    if tickets::check_ticket(state, facts) == TicketDecision::Handled {
         return;
     }
     let urgency = urgency_of(state, facts);
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -30,7 +30,7 @@
     Admit,
     /// The request was answered, joined to another one, forwarded, or waits until the minter of its
     /// ticket is known.
-    Settled,
+    Handled,
 }
 
 /// Handles kept answers, callers that disconnect, and ticks.
@@ -56,14 +56,14 @@
         RepeatRule::Repeatable => TicketDecision::Admit,
         RepeatRule::Unrepeatable(None) => {
             offer_or_refuse(state, facts);
-            TicketDecision::Settled
+            TicketDecision::Handled
         }
         RepeatRule::Unrepeatable(Some(ticket)) => {
             if ticket.minter == state.identity.incarnation {
                 return check_own_ticket(state, facts, ticket.number);
             }
             forward_to_minter(state, facts, ticket.minter);
-            TicketDecision::Settled
+            TicketDecision::Handled
         }
     }
 }
@@ -103,14 +103,14 @@
     let request = facts.request;
     let Some(row) = state.tickets.get(number) else {
         answer_ended(state, facts, state.tickets.outcome_of(number));
-        return TicketDecision::Settled;
+        return TicketDecision::Handled;
     };
     if row.team != facts.team || row.fingerprint != facts.fingerprint {
         // With a ticket of another request, the caller would get the answer to a request that is
         // not its own. The request that the ticket was minted for is not affected.
         let reason = RefusalReason::TicketMismatch;
         refuse(state, request, reason, RunOutcome::NotRun);
-        return TicketDecision::Settled;
+        return TicketDecision::Handled;
     }
     match (row.stage, row.answer) {
         (TicketStage::Offered, _) => {
@@ -124,7 +124,7 @@
         }
         (TicketStage::Ended(outcome), _) => answer_ended(state, facts, outcome),
     }
-    TicketDecision::Settled
+    TicketDecision::Handled
 }
 
 fn join(state: &mut CoreState, number: u64, request: RequestId, original: RequestId) {
