--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -56,7 +56,7 @@
     minted: u64,
     rows: BTreeMap<u64, TicketRow>,
     /// Rows that no request holds, which may be evicted; each has weight 1.
-    idle: TeamEvictionIndex,
+    unheld: TeamEvictionIndex,
     outcomes: VecDeque<RunOutcome>,
     /// Rows with a stored answer; the weight is its size in bytes.
     answers: TeamEvictionIndex,
@@ -79,7 +79,7 @@
             answer: None,
         };
         self.rows.insert(self.minted, row);
-        self.idle.put(facts.team, self.minted, 1);
+        self.unheld.put(facts.team, self.minted, 1);
         self.outcomes.push_back(RunOutcome::Unknown);
         if self.outcomes.len() > config.max_outcomes as usize {
             self.outcomes.pop_front();
@@ -115,7 +115,7 @@
             return;
         };
         row.stage = TicketStage::Held(request);
-        self.idle.take(row.team, number);
+        self.unheld.take(row.team, number);
         self.holders.insert(request, number);
     }
 
@@ -154,7 +154,7 @@
             self.holders.remove(&request);
         }
         row.stage = stage;
-        self.idle.put(row.team, number, 1);
+        self.unheld.put(row.team, number, 1);
     }
 
     /// Makes a later request wait for the answer to the ticket's holder.
@@ -216,8 +216,8 @@
             self.answers.take(team, number);
             forgotten.extend(self.forget_answer(number));
         }
-        while self.idle.count() > config.max_tickets as usize {
-            let Some((_, number)) = self.idle.eviction_candidate() else {
+        while self.unheld.count() > config.max_tickets as usize {
+            let Some((_, number)) = self.unheld.eviction_candidate() else {
                 break;
             };
             forgotten.extend(self.drop_row(number));
@@ -239,7 +239,7 @@
     fn drop_row(&mut self, number: u64) -> Option<RequestId> {
         let forgotten = self.forget_answer(number);
         let row = self.rows.remove(&number)?;
-        self.idle.take(row.team, number);
+        self.unheld.take(row.team, number);
         self.answers.take(row.team, number);
         let outcome = match row.stage {
             TicketStage::Offered => RunOutcome::NotRun,
