--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -87,7 +87,10 @@
         return None;
     }
     let span = super::check_window(state);
-    match state.trials.lease_state(fingerprint, state.now, span) {
+    match state
+        .trials
+        .check_or_request_lease(fingerprint, state.now, span)
+    {
         LeaseState::Requested => None,
         LeaseState::MustRequest => Some(fingerprint),
         LeaseState::Granted => {
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -108,7 +108,7 @@
 
     /// Whether a copy of a request may run under a lease of duration `span`. If the result is
     /// `MustRequest`, the lease counts as requested now.
-    pub fn lease_state(
+    pub fn check_or_request_lease(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Moment,
