--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -39,7 +39,7 @@
     if matches!(event, CoreEvent::Tick) {
         hand_over(state);
     }
-    give_back_idle(state);
+    give_back_all_free(state);
     finish_drain_if_done(state);
 }
 
@@ -146,7 +146,7 @@
 }
 
 /// Returns free slots of pools without waiting requests to their owners at once.
-fn give_back_idle(state: &mut CoreState) {
+fn give_back_all_free(state: &mut CoreState) {
     let idle: Vec<PoolId> = state
         .entry_pools
         .iter()
