--- a/src/core/systems/ownership/targets.rs
+++ b/src/core/systems/ownership/targets.rs
@@ -27,8 +27,8 @@
             continue;
         };
         let known = state.endpoints.get(*endpoint);
-        let home = row.pools.first().copied();
-        let active = known.and_then(|known| known.active).or(home);
+        let default_pool = row.pools.first().copied();
+        let active = known.and_then(|known| known.active).or(default_pool);
         let leaving = row.leaving || known.is_some_and(|known| known.leaving);
         let open = active == Some(pool_id) && !leaving;
         let allowed = limits::allowed_slots(state, *endpoint, row.slots.0);
