--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -174,12 +174,12 @@
     }
     let mut answer = QuarantineNotice::default();
     for fingerprint in notice.wanted.iter().copied().map(RequestFingerprint) {
-        let is_held = super::has_unexplained_loss(state, fingerprint)
+        let is_withheld = super::has_unexplained_loss(state, fingerprint)
             || state
                 .crashes
                 .quarantined_until(fingerprint, state.now)
                 .is_some();
-        if !is_held && state.trials.grant_lease(fingerprint, from, state.now, span) {
+        if !is_withheld && state.trials.grant_lease(fingerprint, from, state.now, span) {
             answer.lease_granted.push(fingerprint.0);
         } else {
             answer.lease_denied.push(fingerprint.0);
