--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -198,8 +198,10 @@
         .iter()
         .map(|lease_granted| (*lease_granted, true));
     let lease_denied = notice.lease_denied.iter().map(|held| (*held, false));
-    for (fingerprint, is_lent) in lease_granted.chain(lease_denied) {
+    for (fingerprint, is_granted) in lease_granted.chain(lease_denied) {
         let fingerprint = RequestFingerprint(fingerprint);
-        state.trials.answered(fingerprint, is_lent, state.now, span);
+        state
+            .trials
+            .answered(fingerprint, is_granted, state.now, span);
     }
 }
