--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -118,7 +118,7 @@
 
 fn endpoint_refused(state: &mut CoreState, endpoint: EndpointId) {
     let (now, window) = (state.now, evidence_window(state));
-    let life = endpoint_incarnation(state, endpoint);
+    let life = endpoint_life(state, endpoint);
     let known = state.crashes.find_record(endpoint, life, now, window);
     if known.is_some() || state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, life, CrashEvidence::Confirmed);
@@ -131,17 +131,17 @@
 /// A router that first reads the `life` after a loss there may get that of the process after the
 /// crash, and then can't distinguish the crash from a network failure.
 pub fn watch_first_incarnation(state: &mut CoreState, endpoint: EndpointId) {
-    if endpoint_incarnation(state, endpoint) == 0 {
+    if endpoint_life(state, endpoint) == 0 {
         limits::watch_load(state, endpoint, LoadWatcher::FirstLife, true);
     }
 }
 
-fn endpoint_incarnation(state: &CoreState, endpoint: EndpointId) -> u64 {
+fn endpoint_life(state: &CoreState, endpoint: EndpointId) -> u64 {
     state.endpoints.get(endpoint).map_or(0, |row| row.life)
 }
 
 fn incarnation_seen(state: &mut CoreState, endpoint: EndpointId, life: u64) {
-    let before = endpoint_incarnation(state, endpoint);
+    let before = endpoint_life(state, endpoint);
     limits::watch_load(state, endpoint, LoadWatcher::FirstLife, false);
     if before == 0 && state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, 0, CrashEvidence::Unconfirmed);
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -111,7 +111,7 @@
 /// it could not distinguish a crash there from a network failure. An endpoint that reports no
 /// `life` delays a suspect for `check_ms` at most.
 fn knows_incarnation(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
-    if super::endpoint_incarnation(state, endpoint) != 0 {
+    if super::endpoint_life(state, endpoint) != 0 {
         return true;
     }
     super::watch_first_incarnation(state, endpoint);
