--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -230,7 +230,7 @@
         pool.remember_prefix(prefix, endpoint, most);
     }
     rank_team(state, pool_id, team);
-    quarantine::watch_first_incarnation(state, endpoint);
+    quarantine::watch_first_life(state, endpoint);
     let not_after = attempts::write_limit(state, deadline);
     state.act(CoreAction::Dispatch {
         request,
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -130,7 +130,7 @@
 ///
 /// A router that first reads the `life` after a loss there may get that of the process after the
 /// crash, and then can't distinguish the crash from a network failure.
-pub fn watch_first_incarnation(state: &mut CoreState, endpoint: EndpointId) {
+pub fn watch_first_life(state: &mut CoreState, endpoint: EndpointId) {
     if endpoint_life(state, endpoint) == 0 {
         limits::watch_load(state, endpoint, LoadWatcher::FirstLife, true);
     }
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -114,7 +114,7 @@
     if super::endpoint_life(state, endpoint) != 0 {
         return true;
     }
-    super::watch_first_incarnation(state, endpoint);
+    super::watch_first_life(state, endpoint);
     let since = state.trials.isolated.get(&request);
     let waited = since.map_or(TimeSpan(0), |since| state.now.since(*since));
     waited >= super::check_window(state)
