--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -47,7 +47,7 @@
             ..
         } => attempt_ended(state, *request, *attempt, *outcome),
         CoreEvent::EndpointRefused { endpoint } => endpoint_refused(state, *endpoint),
-        CoreEvent::EndpointLoad { endpoint, life, .. } => incarnation_seen(state, *endpoint, *life),
+        CoreEvent::EndpointLoad { endpoint, life, .. } => life_seen(state, *endpoint, *life),
         CoreEvent::Message { from, message, .. } => {
             if let Some(PeerBody::Quarantine(notice)) = &message.body {
                 notices::handle_notice(state, from, notice);
@@ -140,7 +140,7 @@
     state.endpoints.get(endpoint).map_or(0, |row| row.life)
 }
 
-fn incarnation_seen(state: &mut CoreState, endpoint: EndpointId, life: u64) {
+fn life_seen(state: &mut CoreState, endpoint: EndpointId, life: u64) {
     let before = endpoint_life(state, endpoint);
     limits::watch_load(state, endpoint, LoadWatcher::FirstLife, false);
     if before == 0 && state.crashes.has_losses(endpoint) {
