--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -79,7 +79,7 @@
         return None;
     }
     let endpoint = endpoint_for(state, pool_id, fingerprint)?;
-    let is_known = knows_incarnation(state, request, endpoint);
+    let is_known = knows_life(state, request, endpoint);
     if !is_known || super::has_unexplained_loss(state, fingerprint) {
         return None;
     }
@@ -110,7 +110,7 @@
 /// Returns true once this router knows a `life` of the endpoint chosen for a suspect; before that
 /// it could not distinguish a crash there from a network failure. An endpoint that reports no
 /// `life` delays a suspect for `check_ms` at most.
-fn knows_incarnation(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
+fn knows_life(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
     if super::endpoint_life(state, endpoint) != 0 {
         return true;
     }
