--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -69,7 +69,7 @@
     // lowering the limit as well would leave the endpoint idle long after. Queued requests
     // therefore count as pressure only while the endpoint has no more requests than published
     // slots.
-    limit.engine_queued |= *waiting > 0 && present <= published;
+    limit.endpoint_queued |= *waiting > 0 && present <= published;
 }
 
 /// Counts whether the first byte of an attempt came within its latency goal.
@@ -220,17 +220,17 @@
     let Some(limit) = state.slot_limits.limits.get_mut(&endpoint) else {
         return;
     };
-    let engine_queued = std::mem::take(&mut limit.engine_queued);
+    let endpoint_queued = std::mem::take(&mut limit.endpoint_queued);
     let late = !limit.late_reporters.is_empty();
     let allowed = limit.allowed.unwrap_or(published);
     // Late answers alone may be due to long prompts, which fewer slots would not fix, so they lower
     // the limit only to a higher minimum.
-    let least = if engine_queued {
+    let least = if endpoint_queued {
         part(config.least_percent)
     } else {
         part(config.least_late_percent)
     };
-    let next = if engine_queued || late {
+    let next = if endpoint_queued || late {
         let down = allowed * f64::from(config.step_down_percent) / 100.0;
         down.max(least.min(allowed))
     } else {
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -26,7 +26,7 @@
     /// Number of requests that may run at once; `None` if it is that of the published slots.
     pub allowed: Option<f64>,
     /// True if the endpoint queued requests since the last adjustment of the limit.
-    pub engine_queued: bool,
+    pub endpoint_queued: bool,
     /// Entry routers that report late answers from the endpoint.
     pub late_reporters: BTreeSet<HostName>,
     foreign: [u32; FOREIGN_LOAD_SAMPLES],
