--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -26,7 +26,7 @@
 
 /// Virtual time per unit of the fields `clock`, the pool's virtual time, and `lead`, by how much a
 /// team's virtual time exceeds it, of an allotment.
-pub const LEAD_STEP: i64 = 10_000;
+pub const VIRTUAL_TIME_STEP: i64 = 10_000;
 
 /// A router with waiting requests may keep its target of slots and, beyond that, the target divided
 /// by this number.
@@ -120,7 +120,7 @@
     let rows = allotment.teams.iter().zip(&allotment.lead);
     for ((team, lead), quota) in rows.zip(&allotment.quota) {
         let usage = pool.teams.entry(TeamId(*team)).or_default();
-        usage.owner_time = pool.clock + lead.saturating_mul(LEAD_STEP);
+        usage.owner_time = pool.clock + lead.saturating_mul(VIRTUAL_TIME_STEP);
         usage.quota = Some(*quota);
         let known = usage
             .sent_charges
@@ -139,7 +139,7 @@
 fn steps_to_time(steps: u64) -> i64 {
     i64::try_from(steps)
         .unwrap_or(i64::MAX)
-        .saturating_mul(LEAD_STEP)
+        .saturating_mul(VIRTUAL_TIME_STEP)
 }
 
 fn dispatch_waiting(state: &mut CoreState, pool_id: PoolId) {
--- a/src/core/systems/ownership/allotments.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -4,7 +4,7 @@
 
 use crate::core::share::ceil_to_u32;
 use crate::core::state::CoreState;
-use crate::core::systems::dispatch::LEAD_STEP;
+use crate::core::systems::dispatch::VIRTUAL_TIME_STEP;
 use crate::core::tables::entry_pool::epoch_of;
 use crate::core::tables::owned_pool::MemberClaim;
 use crate::core::tables::owned_pool::OwnedPool;
@@ -85,7 +85,9 @@
     for (team, demand) in &member.teams {
         if demand.waiting > 0 {
             allotment.teams.push(team.0);
-            allotment.lead.push((time_of(*team) - clock) / LEAD_STEP);
+            allotment
+                .lead
+                .push((time_of(*team) - clock) / VIRTUAL_TIME_STEP);
             let quota = member.quotas.get(team).copied().unwrap_or(0.0);
             allotment.quota.push(ceil_to_u32(quota));
         }
@@ -94,5 +96,5 @@
 }
 
 fn to_lead_steps(time: i64) -> u64 {
-    u64::try_from(time / LEAD_STEP).unwrap_or(0)
+    u64::try_from(time / VIRTUAL_TIME_STEP).unwrap_or(0)
 }
--- a/src/wire/allotment.rs
+++ b/src/wire/allotment.rs
@@ -32,8 +32,8 @@
     /// Teams that the entries of `lead` and `quota` refer to, in the same order.
     #[prost(fixed32, repeated, tag = "8")]
     pub teams: Vec<u32>,
-    /// How far the team's virtual time is ahead of `clock`, in `LEAD_STEP` units, per entry of
-    /// `teams`.
+    /// How far the team's virtual time is ahead of `clock`, in `VIRTUAL_TIME_STEP` units, per entry
+    /// of `teams`.
     #[prost(sint64, repeated, tag = "9")]
     pub lead: Vec<i64>,
     /// Slots of the team's fair share that fall to this router, per entry of `teams`.
@@ -43,7 +43,7 @@
     /// slots.
     #[prost(bool, tag = "10")]
     pub scarce: bool,
-    /// The pool's virtual time in `LEAD_STEP` units.
+    /// The pool's virtual time in `VIRTUAL_TIME_STEP` units.
     #[prost(uint64, tag = "11")]
     pub clock: u64,
     /// The term of the reports that this allotment answers.
