--- a/src/core/systems/ownership/allotments.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -73,7 +73,7 @@
         acked: member.report_seen,
         target: member.target,
         scarce,
-        clock: to_lead_steps(clock),
+        clock: time_to_steps(clock),
         ..SlotAllotment::default()
     };
     for (endpoint, claim) in &member.slots {
@@ -95,6 +95,6 @@
     allotment
 }
 
-fn to_lead_steps(time: i64) -> u64 {
+fn time_to_steps(time: i64) -> u64 {
     u64::try_from(time / VIRTUAL_TIME_STEP).unwrap_or(0)
 }
