--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -233,7 +233,7 @@
 
 /// Returns the latest time at which the first byte of an attempt that starts now may be written.
 #[must_use]
-pub fn write_limit(state: &CoreState, deadline: Moment) -> Moment {
+pub fn latest_write_at(state: &CoreState, deadline: Moment) -> Moment {
     let span = TimeSpan::from_millis(state.config.dispatch.write_within_ms);
     (state.now + span).min(deadline)
 }
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -231,7 +231,7 @@
     }
     rank_team(state, pool_id, team);
     quarantine::watch_first_life(state, endpoint);
-    let not_after = attempts::write_limit(state, deadline);
+    let not_after = attempts::latest_write_at(state, deadline);
     state.act(CoreAction::Dispatch {
         request,
         attempt,
