--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -178,8 +178,8 @@
     let pool = state.entry_pools.get(&pool_id)?;
     let entry = state.requests.get(next.request)?;
     let usable = |endpoint: EndpointId| state.endpoints.is_open(endpoint, state.now);
-    let warm = pool.prefixes.get(&entry.facts.prefix).copied();
-    if let Some(endpoint) = warm
+    let prefix_endpoint = pool.prefixes.get(&entry.facts.prefix).copied();
+    if let Some(endpoint) = prefix_endpoint
         && pool
             .slots
             .get(&endpoint)
