--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -79,7 +79,7 @@
 /// Returns why a request can't be admitted now, or `None` if it can.
 #[must_use]
 pub fn reason_to_refuse(state: &CoreState, facts: &RequestFacts) -> Option<EarlyRefusal> {
-    let soon = TimeSpan::from_millis(state.config.admission.retry_after_ms);
+    let usual_delay = TimeSpan::from_millis(state.config.admission.retry_after_ms);
     let refusal = |reason, retry_after| {
         Some(EarlyRefusal {
             reason,
@@ -87,10 +87,10 @@
         })
     };
     let Some(pool) = state.entry_pools.get(&facts.pool) else {
-        return refusal(RefusalReason::NoEndpoint, soon);
+        return refusal(RefusalReason::NoEndpoint, usual_delay);
     };
     let Some(team) = state.catalog.teams.get(&facts.team) else {
-        return refusal(RefusalReason::NotReady, soon);
+        return refusal(RefusalReason::NotReady, usual_delay);
     };
     if let Some(until) = state
         .crashes
@@ -108,14 +108,14 @@
     let full = waiting >= team.queue_limit as usize;
     let crowded = state.requests.len() > state.config.admission.queue_limit as usize;
     if full || crowded {
-        return refusal(RefusalReason::QueueFull, soon);
+        return refusal(RefusalReason::QueueFull, usual_delay);
     }
     // A request that can't finish before its deadline would wait in vain and, once started, take a
     // slot from one that can. It is refused at once, with the wait after which a retry may succeed.
     let needed = limits::time_to_end(state, facts, urgency_of(state, facts));
     let left = facts.deadline.since(state.now);
     if needed > left {
-        let later = TimeSpan(needed.0 - left.0).max(soon);
+        let later = TimeSpan(needed.0 - left.0).max(usual_delay);
         return refusal(RefusalReason::Overloaded, later);
     }
     None
