--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -106,8 +106,8 @@
         .get(&facts.team)
         .map_or(0, |usage| usage.queue.len());
     let full = waiting >= team.queue_limit as usize;
-    let crowded = state.requests.len() > state.config.admission.queue_limit as usize;
-    if full || crowded {
+    let router_full = state.requests.len() > state.config.admission.queue_limit as usize;
+    if full || router_full {
         return refusal(RefusalReason::QueueFull, usual_delay);
     }
     // A request that can't finish before its deadline would wait in vain and, once started, take a
