--- a/src/core/systems/ownership/accounts.rs
+++ b/src/core/systems/ownership/accounts.rs
@@ -55,7 +55,7 @@
     // While no team waits, no team is owed service: all are reset to the clock.
     let none_waiting = demands.values().all(|demand| demand.waiting == 0);
     let (now, clock) = (state.now, pool.clock);
-    let debt = i64::try_from(state.config.ownership.debt_units).unwrap_or(i64::MAX);
+    let max_lead = i64::try_from(state.config.ownership.debt_units).unwrap_or(i64::MAX);
     for (team, demand) in demands {
         let account = pool.accounts.entry(*team).or_default();
         let waits = demand.waiting > 0;
@@ -69,7 +69,7 @@
         }
         // After a partition, an unbounded lead would starve its team, and an unbounded lag would
         // starve the other teams; both are clamped to `debt_units`.
-        let most = virtual_time(debt, state.catalog.share_of(*team));
+        let most = virtual_time(max_lead, state.catalog.share_of(*team));
         account.time = account.time.clamp(clock - most, clock + most);
         account.waits_since = waits.then(|| account.waits_since.unwrap_or(now));
     }
