--- a/src/core/share.rs
+++ b/src/core/share.rs
@@ -17,8 +17,8 @@
 pub fn water_fill(total: f64, claims: &[ShareClaim]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..claims.len()).collect();
     // Claims that are satisfied at the lowest share per weight come first.
-    let fullness = |index: usize| claims[index].demand / claims[index].weight;
-    order.sort_by(|left, right| fullness(*left).total_cmp(&fullness(*right)));
+    let demand_per_weight = |index: usize| claims[index].demand / claims[index].weight;
+    order.sort_by(|left, right| demand_per_weight(*left).total_cmp(&demand_per_weight(*right)));
     let mut shares = vec![0.0; claims.len()];
     let mut left_total = total;
     let mut left_weight: f64 = claims.iter().map(|claim| claim.weight).sum();
