--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -63,7 +63,7 @@
         .map_or(0, |row| row.slots.0);
     let limit = state.slot_limits.limits.entry(*endpoint).or_default();
     let present = running + waiting;
-    limit.note_foreign(present.saturating_sub(ours), now);
+    limit.note_foreign_load(present.saturating_sub(ours), now);
     // During a partition two owners may give the endpoint up to twice its slots, and it queues
     // requests for that reason alone. Subtracting foreign load corrects that within seconds;
     // lowering the limit as well would leave the endpoint idle long after. Queued requests
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -37,7 +37,7 @@
 impl SlotLimit {
     /// Records an estimate of the foreign load: requests that run or wait at the endpoint without a
     /// slot granted by this owner.
-    pub fn note_foreign(&mut self, running: u32, now: Moment) {
+    pub fn note_foreign_load(&mut self, running: u32, now: Moment) {
         self.foreign[self.next_sample] = running;
         self.next_sample = (self.next_sample + 1) % FOREIGN_LOAD_SAMPLES;
         self.foreign_at = Some(now);
@@ -106,11 +106,11 @@
     fn one_lagging_report_is_not_foreign_load() {
         let mut limit = SlotLimit::default();
         for running in [9, 2, 0, 7, 8] {
-            limit.note_foreign(running, Moment(1));
+            limit.note_foreign_load(running, Moment(1));
         }
         assert_eq!(limit.foreign(), 0);
-        limit.note_foreign(7, Moment(2));
-        limit.note_foreign(6, Moment(3));
+        limit.note_foreign_load(7, Moment(2));
+        limit.note_foreign_load(6, Moment(3));
         assert_eq!(limit.foreign(), 6);
     }
 
