--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -105,7 +105,7 @@
     repeat_orders(state);
     let scarce: Vec<PoolId> = state.orders.scarce_since.keys().copied().collect();
     for pool in scarce {
-        wish_if_due(state, pool);
+        send_wish_if_due(state, pool);
     }
 }
 
@@ -189,7 +189,7 @@
 
 /// Sends a wish if the pool has lacked slots for long enough. While the shortage lasts, successive
 /// wishes go through the candidate endpoints in turn.
-fn wish_if_due(state: &mut CoreState, pool: PoolId) {
+fn send_wish_if_due(state: &mut CoreState, pool: PoolId) {
     let now = state.now;
     let config = &state.config.orders;
     let lacks = state.orders.scarce_since.get(&pool).copied();
