--- a/examples/measure/state_bytes.rs
+++ b/examples/measure/state_bytes.rs
@@ -16,8 +16,8 @@
 use verbenaturn::core::tables::entry_pool::TeamRank;
 use verbenaturn::core::tables::entry_pool::TeamUsage;
 use verbenaturn::core::tables::members::MemberEntry;
-use verbenaturn::core::tables::owned_pool::MemberClaim;
 use verbenaturn::core::tables::owned_pool::OwnedPool;
+use verbenaturn::core::tables::owned_pool::PoolMember;
 use verbenaturn::core::tables::owned_pool::SlotClaim;
 use verbenaturn::core::tables::owned_pool::TeamAccount;
 use verbenaturn::core::tables::owned_pool::TeamDemand;
@@ -104,7 +104,7 @@
             + map::<TeamId, f64>(member.quotas.len())
             + map::<EndpointId, SlotClaim>(member.slots.len())
     });
-    map::<HostName, MemberClaim>(pool.members.len())
+    map::<HostName, PoolMember>(pool.members.len())
         + map::<TeamId, TeamAccount>(pool.accounts.len())
         + 2.0 * map::<EndpointId, u32>(pool.limits.len())
         + claims.sum::<f64>()
--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -18,7 +18,7 @@
 use crate::core::tables::orders::fence_tag;
 use crate::core::tables::orders::next_fence;
 use crate::core::tables::orders::tag_of;
-use crate::core::tables::owned_pool::MemberClaim;
+use crate::core::tables::owned_pool::PoolMember;
 use crate::units::EndpointId;
 use crate::units::Moment;
 use crate::units::PoolId;
@@ -182,7 +182,7 @@
 /// Returns the demand and the number of slots of an owned pool; zeros if it is not owned here.
 fn demand_of(state: &CoreState, pool: PoolId) -> (u64, u64) {
     state.owned.get(&pool).map_or((0, 0), |pool| {
-        let demand: u32 = pool.members.values().map(MemberClaim::demand).sum();
+        let demand: u32 = pool.members.values().map(PoolMember::demand).sum();
         (demand.into(), pool.total().into())
     })
 }
--- a/src/core/systems/ownership/allotments.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -6,8 +6,8 @@
 use crate::core::state::CoreState;
 use crate::core::systems::dispatch::VIRTUAL_TIME_STEP;
 use crate::core::tables::entry_pool::epoch_of;
-use crate::core::tables::owned_pool::MemberClaim;
 use crate::core::tables::owned_pool::OwnedPool;
+use crate::core::tables::owned_pool::PoolMember;
 use crate::units::HostName;
 use crate::units::Moment;
 use crate::units::PoolId;
@@ -51,7 +51,7 @@
 }
 
 fn build(
-    member: &mut MemberClaim,
+    member: &mut PoolMember,
     pool_id: PoolId,
     epoch: u32,
     clock: i64,
--- a/src/core/systems/ownership/targets.rs
+++ b/src/core/systems/ownership/targets.rs
@@ -8,8 +8,8 @@
 use crate::core::share::water_fill;
 use crate::core::state::CoreState;
 use crate::core::systems::limits;
-use crate::core::tables::owned_pool::MemberClaim;
 use crate::core::tables::owned_pool::OwnedPool;
+use crate::core::tables::owned_pool::PoolMember;
 use crate::core::tables::owned_pool::TeamDemand;
 use crate::units::EndpointId;
 use crate::units::PoolId;
@@ -119,7 +119,7 @@
 /// Returns an entry router's part of each team's share, in proportion to its part of the team's
 /// demand.
 fn member_quotas(
-    member: &MemberClaim,
+    member: &PoolMember,
     shares: &BTreeMap<TeamId, f64>,
     demands: &BTreeMap<TeamId, u32>,
 ) -> BTreeMap<TeamId, f64> {
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -46,7 +46,7 @@
 
 /// The owner's state of one entry router in the pool.
 #[derive(Debug, Clone)]
-pub struct MemberClaim {
+pub struct PoolMember {
     /// Its incarnation. A new incarnation gets a new state.
     pub incarnation: RouterIncarnation,
     /// Sequence number of the newest report processed.
@@ -81,7 +81,7 @@
     pub urgent: bool,
 }
 
-impl MemberClaim {
+impl PoolMember {
     /// Creates the state of a router that has not reported to this owner yet.
     #[must_use]
     pub fn new(incarnation: RouterIncarnation) -> Self {
@@ -146,7 +146,7 @@
     /// that they still use from an earlier owner.
     pub grants_from: Moment,
     /// State of each entry router.
-    pub members: BTreeMap<HostName, MemberClaim>,
+    pub members: BTreeMap<HostName, PoolMember>,
     /// Removed entry routers; one entry per host, so the size is bounded by the host list.
     pub removed: BTreeMap<HostName, RemovedMember>,
     /// Accounts of the teams.
@@ -274,10 +274,10 @@
         &mut self,
         host: &HostName,
         incarnation: RouterIncarnation,
-    ) -> &mut MemberClaim {
+    ) -> &mut PoolMember {
         let removed = &mut self.removed;
         self.members.entry(host.clone()).or_insert_with(|| {
-            let mut claim = MemberClaim::new(incarnation);
+            let mut claim = PoolMember::new(incarnation);
             let known = removed.remove(host);
             let known = known.filter(|known| known.incarnation == incarnation);
             for (team, charged) in known.into_iter().flat_map(|known| known.charged) {
@@ -323,7 +323,7 @@
         let endpoint = EndpointId(3);
         pool.set_limit(endpoint, 4);
         pool.members
-            .insert(host.clone(), MemberClaim::new(RouterIncarnation(9)));
+            .insert(host.clone(), PoolMember::new(RouterIncarnation(9)));
         pool.change_claim(&host, endpoint, |claim| claim.granted += 3);
         assert_eq!(pool.vacant.last(), Some(&(1, endpoint)));
         pool.drop_member(&host);
