--- a/examples/measure/state_bytes.rs
+++ b/examples/measure/state_bytes.rs
@@ -18,7 +18,7 @@
 use verbenaturn::core::tables::members::MemberEntry;
 use verbenaturn::core::tables::owned_pool::OwnedPool;
 use verbenaturn::core::tables::owned_pool::PoolMember;
-use verbenaturn::core::tables::owned_pool::SlotClaim;
+use verbenaturn::core::tables::owned_pool::SlotAssignment;
 use verbenaturn::core::tables::owned_pool::TeamAccount;
 use verbenaturn::core::tables::owned_pool::TeamDemand;
 use verbenaturn::core::tables::requests::RequestEntry;
@@ -102,7 +102,7 @@
     let claims = pool.members.values().map(|member| {
         map::<TeamId, TeamDemand>(member.teams.len())
             + map::<TeamId, f64>(member.quotas.len())
-            + map::<EndpointId, SlotClaim>(member.slots.len())
+            + map::<EndpointId, SlotAssignment>(member.slots.len())
     });
     map::<HostName, PoolMember>(pool.members.len())
         + map::<TeamId, TeamAccount>(pool.accounts.len())
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -24,7 +24,7 @@
 
 /// Slots of one endpoint that are assigned to one entry router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SlotClaim {
+pub struct SlotAssignment {
     /// Slots held when the term began.
     pub carried: u32,
     /// Slots granted since then.
@@ -35,7 +35,7 @@
     pub first_sent_in: u64,
 }
 
-impl SlotClaim {
+impl SlotAssignment {
     /// Slots that the entry router may still be using.
     #[must_use]
     pub fn held(&self) -> u32 {
@@ -64,7 +64,7 @@
     /// Its demand per team.
     pub teams: BTreeMap<TeamId, TeamDemand>,
     /// Its slots per endpoint.
-    pub slots: BTreeMap<EndpointId, SlotClaim>,
+    pub slots: BTreeMap<EndpointId, SlotAssignment>,
     /// True if its newest report says that it is draining.
     pub draining: bool,
     /// Its part of each team's fair share, in slots.
@@ -233,7 +233,7 @@
         &mut self,
         host: &HostName,
         endpoint: EndpointId,
-        change: impl FnOnce(&mut SlotClaim),
+        change: impl FnOnce(&mut SlotAssignment),
     ) {
         let Some(member) = self.members.get_mut(host) else {
             return;
