--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -97,7 +97,7 @@
         request_restart(state, from, incarnation, report);
         return;
     }
-    let member = pool.claim_mut(from, incarnation);
+    let member = pool.pool_member_mut(from, incarnation);
     member.term = report.term;
     let fresh = report.sequence > member.report_seen;
     if fresh {
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -270,7 +270,7 @@
     /// After a partition, a router's charges include the service it provided meanwhile. Its earlier
     /// charges are kept so that the difference is counted, and teams that were served more on the
     /// other side of the partition rank behind the others.
-    pub fn claim_mut(
+    pub fn pool_member_mut(
         &mut self,
         host: &HostName,
         incarnation: RouterIncarnation,
