--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -174,7 +174,7 @@
         .zip(&report.carried)
         .zip(&report.returned);
     for ((endpoint, carried), returned) in rows {
-        pool.change_claim(from, EndpointId(*endpoint), |claim| {
+        pool.change_assignment(from, EndpointId(*endpoint), |claim| {
             claim.carried = *carried;
             claim.returned = claim.returned.max(*returned);
         });
--- a/src/core/systems/ownership/grants.rs
+++ b/src/core/systems/ownership/grants.rs
@@ -63,7 +63,7 @@
     };
     member.urgent = true;
     let next = member.allotment_sequence + 1;
-    pool.change_claim(host, endpoint, |claim| {
+    pool.change_assignment(host, endpoint, |claim| {
         claim.granted += 1;
         claim.first_sent_in = next;
     });
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -229,7 +229,7 @@
 
     /// Changes the slots of one endpoint that are assigned to an entry router and updates the
     /// totals.
-    pub fn change_claim(
+    pub fn change_assignment(
         &mut self,
         host: &HostName,
         endpoint: EndpointId,
@@ -324,7 +324,7 @@
         pool.set_limit(endpoint, 4);
         pool.members
             .insert(host.clone(), PoolMember::new(RouterIncarnation(9)));
-        pool.change_claim(&host, endpoint, |claim| claim.granted += 3);
+        pool.change_assignment(&host, endpoint, |claim| claim.granted += 3);
         assert_eq!(pool.vacant.last(), Some(&(1, endpoint)));
         pool.drop_member(&host);
         assert_eq!(pool.vacant.last(), Some(&(4, endpoint)));
