--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -220,7 +220,7 @@
     }
 
     /// Replaces `before` by `after` in the number of an endpoint's slots that are held.
-    pub fn move_claimed(&mut self, endpoint: EndpointId, before: u32, after: u32) {
+    pub fn move_assigned(&mut self, endpoint: EndpointId, before: u32, after: u32) {
         self.change_vacancy(endpoint, |pool| {
             let claimed = pool.claimed.entry(endpoint).or_default();
             *claimed = (*claimed + after).saturating_sub(before);
@@ -243,7 +243,7 @@
         change(claim);
         let after = claim.held();
         member.held = member.held - before + after;
-        self.move_claimed(endpoint, before, after);
+        self.move_assigned(endpoint, before, after);
     }
 
     /// Removes an entry router and frees its slots for new grants.
@@ -252,7 +252,7 @@
             return;
         };
         for (endpoint, claim) in member.slots {
-            self.move_claimed(endpoint, claim.held(), 0);
+            self.move_assigned(endpoint, claim.held(), 0);
         }
         let charges = member.teams.iter();
         let removed = RemovedMember {
