--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -54,7 +54,7 @@
     let ours: u32 = state
         .owned
         .values()
-        .filter_map(|pool| pool.claimed.get(endpoint))
+        .filter_map(|pool| pool.assigned_slots.get(endpoint))
         .sum();
     let published = state
         .catalog
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -159,7 +159,7 @@
     /// Slot limit per endpoint.
     pub limits: BTreeMap<EndpointId, u32>,
     /// Slots held by all entry routers together, per endpoint.
-    pub claimed: BTreeMap<EndpointId, u32>,
+    pub assigned_slots: BTreeMap<EndpointId, u32>,
     /// Endpoints with slots that no router holds, ordered by the number of such slots.
     pub vacant: BTreeSet<(u32, EndpointId)>,
     /// When targets and grants were last computed.
@@ -186,7 +186,7 @@
             clock: 0,
             clock_rate: 0.0,
             limits: BTreeMap::new(),
-            claimed: BTreeMap::new(),
+            assigned_slots: BTreeMap::new(),
             vacant: BTreeSet::new(),
             shared_at: Moment(0),
             spare_granted_at: Moment(0),
@@ -198,8 +198,8 @@
 
     fn vacancy(&self, endpoint: EndpointId) -> u32 {
         let limit = self.limits.get(&endpoint).copied().unwrap_or(0);
-        let claimed = self.claimed.get(&endpoint).copied().unwrap_or(0);
-        limit.saturating_sub(claimed)
+        let assigned_slots = self.assigned_slots.get(&endpoint).copied().unwrap_or(0);
+        limit.saturating_sub(assigned_slots)
     }
 
     fn change_vacancy(&mut self, endpoint: EndpointId, change: impl FnOnce(&mut Self)) {
@@ -222,8 +222,8 @@
     /// Replaces `before` by `after` in the number of an endpoint's slots that are held.
     pub fn move_assigned(&mut self, endpoint: EndpointId, before: u32, after: u32) {
         self.change_vacancy(endpoint, |pool| {
-            let claimed = pool.claimed.entry(endpoint).or_default();
-            *claimed = (*claimed + after).saturating_sub(before);
+            let assigned_slots = pool.assigned_slots.entry(endpoint).or_default();
+            *assigned_slots = (*assigned_slots + after).saturating_sub(before);
         });
     }
 
--- a/src/report/samples.rs
+++ b/src/report/samples.rs
@@ -94,7 +94,7 @@
         backlogged: u32::try_from(times().count()).unwrap_or(u32::MAX),
         gap_units: u64::try_from(gap).unwrap_or(0),
         slots: pool.total(),
-        leased: pool.claimed.values().sum(),
+        leased: pool.assigned_slots.values().sum(),
         running: demands().map(|demand| demand.running).sum(),
         waiting: demands().map(|demand| demand.waiting).sum(),
     }
