--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -277,7 +277,7 @@
     ) -> &mut PoolMember {
         let removed = &mut self.removed;
         self.members.entry(host.clone()).or_insert_with(|| {
-            let mut claim = PoolMember::new(incarnation);
+            let mut member = PoolMember::new(incarnation);
             let known = removed.remove(host);
             let known = known.filter(|known| known.incarnation == incarnation);
             for (team, charged) in known.into_iter().flat_map(|known| known.charged) {
@@ -285,9 +285,9 @@
                     charged,
                     ..TeamDemand::default()
                 };
-                claim.teams.insert(team, demand);
+                member.teams.insert(team, demand);
             }
-            claim
+            member
         })
     }
 
