--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -174,9 +174,9 @@
         .zip(&report.carried)
         .zip(&report.returned);
     for ((endpoint, carried), returned) in rows {
-        pool.change_assignment(from, EndpointId(*endpoint), |claim| {
-            claim.carried = *carried;
-            claim.returned = claim.returned.max(*returned);
+        pool.change_assignment(from, EndpointId(*endpoint), |assignment| {
+            assignment.carried = *carried;
+            assignment.returned = assignment.returned.max(*returned);
         });
     }
 }
--- a/src/core/systems/ownership/allotments.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -76,10 +76,10 @@
         clock: time_to_steps(clock),
         ..SlotAllotment::default()
     };
-    for (endpoint, claim) in &member.slots {
-        if claim.first_sent_in > member.allotment_acked {
+    for (endpoint, assignment) in &member.slots {
+        if assignment.first_sent_in > member.allotment_acked {
             allotment.endpoints.push(endpoint.0);
-            allotment.granted.push(claim.granted);
+            allotment.granted.push(assignment.granted);
         }
     }
     for (team, demand) in &member.teams {
--- a/src/core/systems/ownership/grants.rs
+++ b/src/core/systems/ownership/grants.rs
@@ -63,8 +63,8 @@
     };
     member.urgent = true;
     let next = member.allotment_sequence + 1;
-    pool.change_assignment(host, endpoint, |claim| {
-        claim.granted += 1;
-        claim.first_sent_in = next;
+    pool.change_assignment(host, endpoint, |assignment| {
+        assignment.granted += 1;
+        assignment.first_sent_in = next;
     });
 }
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -238,10 +238,10 @@
         let Some(member) = self.members.get_mut(host) else {
             return;
         };
-        let claim = member.slots.entry(endpoint).or_default();
-        let before = claim.held();
-        change(claim);
-        let after = claim.held();
+        let assignment = member.slots.entry(endpoint).or_default();
+        let before = assignment.held();
+        change(assignment);
+        let after = assignment.held();
         member.held = member.held - before + after;
         self.move_assigned(endpoint, before, after);
     }
@@ -251,8 +251,8 @@
         let Some(member) = self.members.remove(host) else {
             return;
         };
-        for (endpoint, claim) in member.slots {
-            self.move_assigned(endpoint, claim.held(), 0);
+        for (endpoint, assignment) in member.slots {
+            self.move_assigned(endpoint, assignment.held(), 0);
         }
         let charges = member.teams.iter();
         let removed = RemovedMember {
@@ -324,7 +324,7 @@
         pool.set_limit(endpoint, 4);
         pool.members
             .insert(host.clone(), PoolMember::new(RouterIncarnation(9)));
-        pool.change_assignment(&host, endpoint, |claim| claim.granted += 3);
+        pool.change_assignment(&host, endpoint, |assignment| assignment.granted += 3);
         assert_eq!(pool.vacant.last(), Some(&(1, endpoint)));
         pool.drop_member(&host);
         assert_eq!(pool.vacant.last(), Some(&(4, endpoint)));
