--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -126,11 +126,11 @@
 
 /// Records late answers that an entry router reports. Call only for reports in sequence.
 pub fn take_pressure(state: &mut CoreState, from: &HostName, report: &DemandReport) {
-    let most = state.config.limits.slow_per_mille;
+    let late_threshold = state.config.limits.slow_per_mille;
     for (endpoint, pressure) in report.endpoints.iter().zip(&report.pressure) {
         let limits = &mut state.slot_limits.limits;
         let limit = limits.entry(EndpointId(*endpoint)).or_default();
-        if *pressure >= most {
+        if *pressure >= late_threshold {
             limit.late_reporters.insert(from.clone());
         } else {
             limit.late_reporters.remove(from);
