--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -103,14 +103,14 @@
 
 /// Returns the latency goal for the first byte of a request's answer.
 fn first_byte_goal(state: &CoreState, facts: &RequestFacts) -> TimeSpan {
-    let first = TimeSpan::from_millis(state.config.limits.first_byte_ms);
+    let default_goal = TimeSpan::from_millis(state.config.limits.first_byte_ms);
     let kind = state
         .catalog
         .teams
         .get(&facts.team)
         .and_then(|team| team.kinds.get(&facts.kind));
     let Some(kind) = kind else {
-        return first;
+        return default_goal;
     };
     let engine = state
         .catalog
@@ -118,7 +118,7 @@
         .get(&facts.pool)
         .is_some_and(|pool| pool.protocol == PoolProtocol::Engine);
     if engine && kind.urgency == UrgencyClass::Interactive {
-        first.min(kind.goal)
+        default_goal.min(kind.goal)
     } else {
         kind.goal
     }
