--- a/src/core/systems/ownership/allotments.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -29,8 +29,9 @@
         let lowered = member.target < member.held
             && member.sent.is_none_or(|(target, _)| target > member.target);
         let moved = member.sent != Some((member.target, scarce));
-        let busy = member.waiting() > 0 || moved || member.report_seen > member.report_ack_sent;
-        let due = now.since(member.last_sent_at) >= refresh && busy;
+        let has_new_content =
+            member.waiting() > 0 || moved || member.report_seen > member.report_ack_sent;
+        let due = now.since(member.last_sent_at) >= refresh && has_new_content;
         if !(member.urgent || lowered && scarce || due) {
             continue;
         }
