--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -206,8 +206,8 @@
     }
     // In a large fleet connections are opened for single pings: the full greeting is sent only to a
     // router that is new, or was considered dead or suspect.
-    let whole = changed || is_small(state);
-    probing::greet(state, host, whole);
+    let include_others = changed || is_small(state);
+    probing::greet(state, host, include_others);
 }
 
 /// Records a closed connection. If this router keeps that connection open, its loss is direct
