--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -37,8 +37,8 @@
 impl SlotLimit {
     /// Records an estimate of the foreign load: requests that run or wait at the endpoint without a
     /// slot granted by this owner.
-    pub fn note_foreign_load(&mut self, running: u32, now: Moment) {
-        self.foreign[self.next_sample] = running;
+    pub fn note_foreign_load(&mut self, requests: u32, now: Moment) {
+        self.foreign[self.next_sample] = requests;
         self.next_sample = (self.next_sample + 1) % FOREIGN_LOAD_SAMPLES;
         self.foreign_at = Some(now);
     }
@@ -105,8 +105,8 @@
     #[test]
     fn one_lagging_report_is_not_foreign_load() {
         let mut limit = SlotLimit::default();
-        for running in [9, 2, 0, 7, 8] {
-            limit.note_foreign_load(running, Moment(1));
+        for requests in [9, 2, 0, 7, 8] {
+            limit.note_foreign_load(requests, Moment(1));
         }
         assert_eq!(limit.foreign(), 0);
         limit.note_foreign_load(7, Moment(2));
