--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -183,14 +183,14 @@
     if let AttemptOutcome::CutAt(offset) = outcome {
         entry.passed_on = entry.passed_on.max(offset);
     }
-    let resumable = entry.passed_on == 0 || entry.facts.resumable;
+    let can_continue = entry.passed_on == 0 || entry.facts.resumable;
     // An unrepeatable request whose bytes may have reached an endpoint is never retried: a second
     // execution would violate the at-most-once guarantee.
     let allowed = (proved_not_run && !entry.may_have_run) || entry.is_repeatable();
     let tries_left = entry.attempts < state.config.attempts.max_attempts;
     let so_far = outcome_so_far(entry);
     let (team, retries) = (entry.facts.team, entry.attempts.saturating_sub(1));
-    if !allowed || !resumable {
+    if !allowed || !can_continue {
         finish::refuse(state, request, RefusalReason::LinkLost, so_far, TimeSpan(0));
         return;
     }
