--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -193,10 +193,10 @@
     let now = state.now;
     let config = &state.config.orders;
     let lacks = state.orders.scarce_since.get(&pool).copied();
-    let wanted = TimeSpan::from_millis(config.want_ms);
+    let min_shortage = TimeSpan::from_millis(config.want_ms);
     let gap = TimeSpan::from_millis(config.wish_gap_ms);
     let last = state.orders.last_wish_at.get(&pool).copied();
-    let waits = lacks.is_none_or(|since| now.since(since) < wanted);
+    let waits = lacks.is_none_or(|since| now.since(since) < min_shortage);
     if waits || last.is_some_and(|last| now.since(last) < gap) {
         return;
     }
