--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -486,8 +486,8 @@
         state.detector.gossip_queue.add(host.clone());
         mark_dead(state, host);
     }
-    let limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
-    if lost_at.is_some_and(|since| now.since(since) >= limit) {
+    let reach_limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
+    if lost_at.is_some_and(|since| now.since(since) >= reach_limit) {
         state.members.change(host, |entry| entry.reachable = false);
         state.detector.peer_health_mut(host).lost_at = None;
     }
