--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -197,7 +197,10 @@
         .lease_granted
         .iter()
         .map(|lease_granted| (*lease_granted, true));
-    let lease_denied = notice.lease_denied.iter().map(|held| (*held, false));
+    let lease_denied = notice
+        .lease_denied
+        .iter()
+        .map(|lease_denied| (*lease_denied, false));
     for (fingerprint, is_granted) in lease_granted.chain(lease_denied) {
         let fingerprint = RequestFingerprint(fingerprint);
         state
