--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -125,7 +125,7 @@
 }
 
 /// Records late answers that an entry router reports. Call only for reports in sequence.
-pub fn take_pressure(state: &mut CoreState, from: &HostName, report: &DemandReport) {
+pub fn record_late_reports(state: &mut CoreState, from: &HostName, report: &DemandReport) {
     let late_threshold = state.config.limits.slow_per_mille;
     for (endpoint, pressure) in report.endpoints.iter().zip(&report.pressure) {
         let limits = &mut state.slot_limits.limits;
--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -108,7 +108,7 @@
     }
     record_slots(pool, from, report);
     if fresh {
-        limits::take_pressure(state, from, report);
+        limits::record_late_reports(state, from, report);
     }
     let Some(pool) = state.owned.get_mut(&PoolId(report.pool)) else {
         return;
