--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -122,8 +122,8 @@
         service: ServiceUnits,
     },
     /// How much of the answer to a request with a ticket the driver stores for resends. Sent
-    /// whenever the stored part has grown by 32 KiB, once more just before `AttemptEnded` reports
-    /// the whole answer, and with `None` when the answer was discarded for its size.
+    /// whenever the stored part has grown by at least 32 KiB, once more just before `AttemptEnded`
+    /// reports the whole answer, and with `None` when the answer was discarded for its size.
     AnswerKept {
         /// The running request.
         request: RequestId,
@@ -140,9 +140,9 @@
         waiting: u32,
         /// The pool whose model the endpoint serves now.
         active: PoolId,
-        /// Identifies the endpoint's process; changes with each restart. Unlike the endpoint's
-        /// generation in the host list, which increases each time the endpoint is put back after it
-        /// left.
+        /// Identifies the endpoint's process; changes with each restart. Not to be confused with
+        /// the endpoint's generation, which comes from the host list and increases each time the
+        /// endpoint is put back after it left.
         life: u64,
         /// Highest fencing token of the orders it has followed; 0 if it ignores fencing tokens.
         fence: u64,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -5,8 +5,8 @@
 //! that handle the same events at the same times return the same actions.
 //!
 //! Terms: the router at which a request entered the fleet is its entry router. Each pool has one
-//! owner, the router that grants the pool's slots to the entry routers; both roles are held by any
-//! router. The host list names routers and endpoints, and the configuration service provides
+//! owner, the router that grants the pool's slots to the entry routers; any router can have both
+//! roles. The host list names routers and endpoints, and the configuration service provides
 //! publications: the teams, pools and endpoints of the fleet, with a revision.
 //!
 //! Units: times are microseconds ([`Moment`]), service is weighted tokens or calls
--- a/src/core/share.rs
+++ b/src/core/share.rs
@@ -34,8 +34,8 @@
 }
 
 /// Rounds `shares` to whole numbers by the largest remainder method. They add up to the rounded sum
-/// of `shares`, which must not exceed `total` by more than a rounding error, and to at most
-/// `total`.
+/// of `shares`, at most to `total`. The sum of `shares` must not exceed `total` by more than a
+/// rounding error.
 #[must_use]
 pub fn round_shares(total: u32, shares: &[f64]) -> Vec<u32> {
     let mut whole: Vec<u32> = shares.iter().map(|share| floor_to_u32(*share)).collect();
--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -47,9 +47,9 @@
 }
 
 /// Updates the number of routers by which the rate of model loads is divided: the largest number
-/// that this router has known at any time, whether or not they are alive or own pools. The loads of
-/// all routers together so stay within the rate even if a partition makes each of them consider
-/// itself the only one.
+/// that this router has known at any time, whether or not they are alive or own pools. Together,
+/// all routers thus stay within the rate even if a partition makes each of them consider itself the
+/// only one.
 fn count_hosts(state: &mut CoreState) {
     let known = state.members.iter().count() as u64;
     let budget = &mut state.orders.budget;
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -43,8 +43,8 @@
 
 /// Starts waiting suspects on their own endpoints, and requests the leases for that from their
 /// homes. A suspect needs no granted slot: an endpoint runs at most one request beyond its granted
-/// slots. It still counts as busy, so a free slot of that endpoint held by this router can't be
-/// used meanwhile.
+/// slots for it. If this router holds a free slot of that endpoint, the suspect occupies it, as it
+/// counts as a running attempt.
 pub fn start_isolated(state: &mut CoreState) {
     let span = super::check_window(state);
     let mut asked: BTreeSet<RequestFingerprint> =
--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -16,8 +16,9 @@
 use crate::units::RouterIncarnation;
 use crate::units::TimeSpan;
 
-/// Cost of one model load in units of [`LoadBudget`]. The bucket gains `loads_per_minute` units per
-/// microsecond, so a load costs the 60,000,000 microseconds of a minute.
+/// Cost of one model load in units of [`LoadBudget`]. The buckets of all routers together gain
+/// `loads_per_minute` units per microsecond, so a load costs the 60,000,000 microseconds of a
+/// minute.
 const LOAD_COST: u64 = 60_000_000;
 
 /// An order that the endpoint has not carried out yet.
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -23,7 +23,7 @@
 /// The concurrency limit of one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct SlotLimit {
-    /// Number of requests that may run at once; `None` if it is that of the published slots.
+    /// Number of requests that may run at once; `None` if all published slots may be used.
     pub allowed: Option<f64>,
     /// True if the endpoint queued requests since the last adjustment of the limit.
     pub endpoint_queued: bool,
