--- a/examples/measure/state_bytes.rs
+++ b/examples/measure/state_bytes.rs
@@ -16,9 +16,9 @@
 use verbenaturn::core::tables::entry_pool::TeamRank;
 use verbenaturn::core::tables::entry_pool::TeamUsage;
 use verbenaturn::core::tables::members::MemberEntry;
-use verbenaturn::core::tables::owned_pool::MemberClaim;
 use verbenaturn::core::tables::owned_pool::OwnedPool;
-use verbenaturn::core::tables::owned_pool::SlotClaim;
+use verbenaturn::core::tables::owned_pool::PoolMember;
+use verbenaturn::core::tables::owned_pool::SlotAssignment;
 use verbenaturn::core::tables::owned_pool::TeamAccount;
 use verbenaturn::core::tables::owned_pool::TeamDemand;
 use verbenaturn::core::tables::requests::RequestEntry;
@@ -54,7 +54,7 @@
     let members = map::<HostName, MemberEntry>(state.members.len());
     let peer_health = map::<HostName, PeerHealth>(state.detector.peer_health.len());
     StateBytes {
-        entry: state.entries.values().map(entry_bytes).sum(),
+        entry: state.entry_pools.values().map(entry_bytes).sum(),
         owned: state.owned.values().map(owned_bytes).sum(),
         requests: map::<RequestId, RequestEntry>(state.requests.len())
             + map::<(Moment, RequestId), ()>(state.requests.len()),
@@ -93,7 +93,7 @@
     map::<TeamId, TeamUsage>(pool.teams.len())
         + map::<(TeamRank, TeamId), ()>(pool.order.len())
         + map::<EndpointId, SlotHold>(pool.slots.len())
-        + map::<(u32, EndpointId), ()>(pool.open.len())
+        + map::<(u32, EndpointId), ()>(pool.free_endpoints.len())
         + map::<u64, EndpointId>(pool.prefixes.len())
         + waiting
 }
@@ -102,9 +102,9 @@
     let claims = pool.members.values().map(|member| {
         map::<TeamId, TeamDemand>(member.teams.len())
             + map::<TeamId, f64>(member.quotas.len())
-            + map::<EndpointId, SlotClaim>(member.slots.len())
+            + map::<EndpointId, SlotAssignment>(member.slots.len())
     });
-    map::<HostName, MemberClaim>(pool.members.len())
+    map::<HostName, PoolMember>(pool.members.len())
         + map::<TeamId, TeamAccount>(pool.accounts.len())
         + 2.0 * map::<EndpointId, u32>(pool.limits.len())
         + claims.sum::<f64>()
--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -43,7 +43,7 @@
     if draining::redirect_or_refuse(state, facts) {
         return;
     }
-    if tickets::check_ticket(state, facts) == TicketDecision::Settled {
+    if tickets::check_ticket(state, facts) == TicketDecision::Handled {
         return;
     }
     let urgency = urgency_of(state, facts);
@@ -79,20 +79,23 @@
 /// Returns why a request can't be admitted now, or `None` if it can.
 #[must_use]
 pub fn reason_to_refuse(state: &CoreState, facts: &RequestFacts) -> Option<EarlyRefusal> {
-    let soon = TimeSpan::from_millis(state.config.admission.retry_after_ms);
+    let usual_delay = TimeSpan::from_millis(state.config.admission.retry_after_ms);
     let refusal = |reason, retry_after| {
         Some(EarlyRefusal {
             reason,
             retry_after,
         })
     };
-    let Some(pool) = state.entries.get(&facts.pool) else {
-        return refusal(RefusalReason::NoEndpoint, soon);
+    let Some(pool) = state.entry_pools.get(&facts.pool) else {
+        return refusal(RefusalReason::NoEndpoint, usual_delay);
     };
     let Some(team) = state.catalog.teams.get(&facts.team) else {
-        return refusal(RefusalReason::NotReady, soon);
+        return refusal(RefusalReason::NotReady, usual_delay);
     };
-    if let Some(until) = state.crashes.refused_until(facts.fingerprint, state.now) {
+    if let Some(until) = state
+        .crashes
+        .quarantined_until(facts.fingerprint, state.now)
+    {
         let later = until.since(state.now);
         return refusal(RefusalReason::Quarantined, later);
     }
@@ -103,16 +106,16 @@
         .get(&facts.team)
         .map_or(0, |usage| usage.queue.len());
     let full = waiting >= team.queue_limit as usize;
-    let crowded = state.requests.len() > state.config.admission.queue_limit as usize;
-    if full || crowded {
-        return refusal(RefusalReason::QueueFull, soon);
+    let router_full = state.requests.len() > state.config.admission.queue_limit as usize;
+    if full || router_full {
+        return refusal(RefusalReason::QueueFull, usual_delay);
     }
-    // A request that can't finish before its deadline would wait in vain and, once started, take
-    // a slot from one that can. It is refused at once, with the time after which to retry.
+    // A request that can't finish before its deadline would wait in vain and, once started, take a
+    // slot from one that can. It is refused at once, with the wait after which a retry may succeed.
     let needed = limits::time_to_end(state, facts, urgency_of(state, facts));
     let left = facts.deadline.since(state.now);
     if needed > left {
-        let later = TimeSpan(needed.0 - left.0).max(soon);
+        let later = TimeSpan(needed.0 - left.0).max(usual_delay);
         return refusal(RefusalReason::Overloaded, later);
     }
     None
@@ -137,7 +140,7 @@
     if quarantine::isolate_if_suspect(state, request) {
         return;
     }
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     let usage = pool.teams.entry(team).or_default();
@@ -165,7 +168,7 @@
         return;
     };
     let (team, pool_id, urgency) = (entry.facts.team, entry.facts.pool, entry.urgency);
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     let Some(usage) = pool.teams.get_mut(&team) else {
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -80,7 +80,7 @@
     if difference == 0 {
         return;
     }
-    if let Some(pool) = state.entries.get_mut(&pool_id) {
+    if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
         pool.charge(team, difference);
         dispatch::rank_team(state, pool_id, team);
     }
@@ -117,7 +117,7 @@
 
 fn record_run(state: &mut CoreState, pool_id: PoolId, team: TeamId, since: Moment) {
     let span = state.now.since(since);
-    let pool = state.entries.get_mut(&pool_id);
+    let pool = state.entry_pools.get_mut(&pool_id);
     if let Some(usage) = pool.and_then(|pool| pool.teams.get_mut(&team)) {
         usage.wait_estimate.record_run(span);
     }
@@ -134,7 +134,7 @@
     entry.stage = RequestStage::New;
     entry.charged = 0;
     let (team, pool_id) = (entry.facts.team, entry.facts.pool);
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     if let Some(usage) = pool.teams.get_mut(&team) {
@@ -183,14 +183,14 @@
     if let AttemptOutcome::CutAt(offset) = outcome {
         entry.passed_on = entry.passed_on.max(offset);
     }
-    let resumable = entry.passed_on == 0 || entry.facts.resumable;
+    let can_continue = entry.passed_on == 0 || entry.facts.resumable;
     // An unrepeatable request whose bytes may have reached an endpoint is never retried: a second
     // execution would violate the at-most-once guarantee.
     let allowed = (proved_not_run && !entry.may_have_run) || entry.is_repeatable();
     let tries_left = entry.attempts < state.config.attempts.max_attempts;
     let so_far = outcome_so_far(entry);
     let (team, retries) = (entry.facts.team, entry.attempts.saturating_sub(1));
-    if !allowed || !resumable {
+    if !allowed || !can_continue {
         finish::refuse(state, request, RefusalReason::LinkLost, so_far, TimeSpan(0));
         return;
     }
@@ -231,9 +231,9 @@
     }
 }
 
-/// Returns the last moment at which the first byte of an attempt may be written.
+/// Returns the latest time at which the first byte of an attempt that starts now may be written.
 #[must_use]
-pub fn write_limit(state: &CoreState, deadline: Moment) -> Moment {
+pub fn latest_write_at(state: &CoreState, deadline: Moment) -> Moment {
     let span = TimeSpan::from_millis(state.config.dispatch.write_within_ms);
     (state.now + span).min(deadline)
 }
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -1,5 +1,7 @@
-//! Picks the next request to run: from the waiting team with the least virtual time, on a slot
-//! that this router already holds. Dispatching a request needs no message to another router.
+//! Picks the next request to run, on a slot that this router already holds. Among the teams with
+//! waiting requests, those whose running attempts are below their quota come first, then those with
+//! the least virtual time, less a credit for interactive requests. Dispatching a request needs no
+//! message to another router.
 
 use crate::core::action::CoreAction;
 use crate::core::event::CoreEvent;
@@ -22,10 +24,12 @@
 use crate::wire::PeerBody;
 use crate::wire::allotment::SlotAllotment;
 
-/// Virtual time per unit of the `lead` and `clock` fields of an allotment.
-pub const LEAD_STEP: i64 = 10_000;
+/// Virtual time per unit of the fields `clock`, the pool's virtual time, and `lead`, by how much a
+/// team's virtual time exceeds it, of an allotment.
+pub const VIRTUAL_TIME_STEP: i64 = 10_000;
 
-/// Divisor of the target that gives how many slots a router with a backlog may hold above it.
+/// A router with waiting requests may keep its target of slots and, beyond that, the target divided
+/// by this number.
 const EXCESS_DIVISOR: u32 = 8;
 
 /// Applies allotments, then dispatches waiting requests in every pool that changed.
@@ -51,7 +55,7 @@
 pub fn rank_team(state: &mut CoreState, pool_id: PoolId, team: TeamId) {
     let share = state.catalog.share_of(team);
     let credit = i64::try_from(state.config.dispatch.express_units).unwrap_or(i64::MAX);
-    if let Some(pool) = state.entries.get_mut(&pool_id) {
+    if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
         pool.rank(team, share, virtual_time(credit, share));
     }
 }
@@ -69,7 +73,7 @@
     if is_for_earlier_incarnation {
         return;
     }
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     // A delayed allotment of an earlier owner or epoch would bring back slots that the new owner
@@ -83,7 +87,7 @@
     }
     if allotment.restart {
         if let Some(owner) = pool.owner.clone() {
-            reporting::begin_epoch(pool, owner);
+            reporting::begin_term(pool, owner);
         }
         state.touched_pools.insert(pool_id);
         return;
@@ -116,7 +120,7 @@
     let rows = allotment.teams.iter().zip(&allotment.lead);
     for ((team, lead), quota) in rows.zip(&allotment.quota) {
         let usage = pool.teams.entry(TeamId(*team)).or_default();
-        usage.owner_time = pool.clock + lead.saturating_mul(LEAD_STEP);
+        usage.owner_time = pool.clock + lead.saturating_mul(VIRTUAL_TIME_STEP);
         usage.quota = Some(*quota);
         let known = usage
             .sent_charges
@@ -135,18 +139,18 @@
 fn steps_to_time(steps: u64) -> i64 {
     i64::try_from(steps)
         .unwrap_or(i64::MAX)
-        .saturating_mul(LEAD_STEP)
+        .saturating_mul(VIRTUAL_TIME_STEP)
 }
 
 fn dispatch_waiting(state: &mut CoreState, pool_id: PoolId) {
     loop {
-        let Some(pool) = state.entries.get(&pool_id) else {
+        let Some(pool) = state.entry_pools.get(&pool_id) else {
             return;
         };
         let Some((_, team)) = pool.order.first().copied() else {
             return;
         };
-        if pool.open.is_empty() {
+        if pool.free_endpoints.is_empty() {
             return;
         }
         let Some(next) = take_next(state, pool_id, team) else {
@@ -161,7 +165,7 @@
 }
 
 fn take_next(state: &mut CoreState, pool_id: PoolId, team: TeamId) -> Option<NextRequest> {
-    let pool = state.entries.get_mut(&pool_id)?;
+    let pool = state.entry_pools.get_mut(&pool_id)?;
     let usage = pool.teams.get_mut(&team)?;
     let request = usage.queue.pop()?;
     pool.waiting -= 1;
@@ -171,11 +175,11 @@
 /// Picks the endpoint that last ran this prefix if it has a free slot, else the one with the most
 /// free slots. Avoids the endpoint of the request's last attempt while there is another.
 fn pick_endpoint(state: &CoreState, pool_id: PoolId, next: NextRequest) -> Option<EndpointId> {
-    let pool = state.entries.get(&pool_id)?;
+    let pool = state.entry_pools.get(&pool_id)?;
     let entry = state.requests.get(next.request)?;
     let usable = |endpoint: EndpointId| state.endpoints.is_open(endpoint, state.now);
-    let warm = pool.prefixes.get(&entry.facts.prefix).copied();
-    if let Some(endpoint) = warm
+    let prefix_endpoint = pool.prefixes.get(&entry.facts.prefix).copied();
+    if let Some(endpoint) = prefix_endpoint
         && pool
             .slots
             .get(&endpoint)
@@ -185,15 +189,15 @@
     {
         return Some(endpoint);
     }
-    let mut open = pool
-        .open
+    let mut free_endpoints = pool
+        .free_endpoints
         .iter()
         .rev()
         .map(|(_, endpoint)| *endpoint)
         .filter(|endpoint| usable(*endpoint));
-    let first = open.next()?;
+    let first = free_endpoints.next()?;
     if entry.last_endpoint == Some(first) {
-        return open.next().or(Some(first));
+        return free_endpoints.next().or(Some(first));
     }
     Some(first)
 }
@@ -214,7 +218,7 @@
         since: now,
     };
     let (deadline, resume_at, prefix) = (entry.facts.deadline, entry.passed_on, entry.facts.prefix);
-    if let Some(pool) = state.entries.get_mut(&pool_id) {
+    if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
         let usage = pool.teams.entry(team).or_default();
         usage.running += 1;
         usage
@@ -226,8 +230,8 @@
         pool.remember_prefix(prefix, endpoint, most);
     }
     rank_team(state, pool_id, team);
-    quarantine::watch_first_incarnation(state, endpoint);
-    let not_after = attempts::write_limit(state, deadline);
+    quarantine::watch_first_life(state, endpoint);
+    let not_after = attempts::latest_write_at(state, deadline);
     state.act(CoreAction::Dispatch {
         request,
         attempt,
@@ -258,11 +262,11 @@
 }
 
 fn give_back_while(state: &mut CoreState, pool_id: PoolId, wanted: impl Fn(&EntryPool) -> bool) {
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     while wanted(pool) {
-        let Some((_, endpoint)) = pool.open.first().copied() else {
+        let Some((_, endpoint)) = pool.free_endpoints.first().copied() else {
             return;
         };
         pool.give_back(endpoint);
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -39,12 +39,12 @@
     if matches!(event, CoreEvent::Tick) {
         hand_over(state);
     }
-    give_back_idle(state);
+    give_back_all_free(state);
     finish_drain_if_done(state);
 }
 
-/// Ends the drain once no request is left and all returned slots have been reported to their
-/// owners, or two reporting intervals have passed.
+/// Ends the drain once no request is left and, in addition, either all returned slots have been
+/// reported to their owners or two reporting intervals have passed.
 fn finish_drain_if_done(state: &mut CoreState) {
     let empty = state.requests.is_empty() && state.tickets.minter_waits.is_empty();
     if !empty || state.drained {
@@ -53,7 +53,7 @@
     }
     let since = *state.drain_idle_since.get_or_insert(state.now);
     let is_reported = state
-        .entries
+        .entry_pools
         .values()
         .all(|pool| pool.held == 0 && !pool.changed);
     let report_wait = TimeSpan::from_millis(2 * state.config.reporting.interval_ms);
@@ -92,14 +92,14 @@
 
 /// Makes reports urgent for all pools, since reports announce the drain to the owners.
 fn mark_reports_urgent(state: &mut CoreState) {
-    for (pool_id, pool) in &mut state.entries {
+    for (pool_id, pool) in &mut state.entry_pools {
         pool.urgent = true;
         state.touched_pools.insert(*pool_id);
     }
 }
 
-/// Forwards every waiting request that another router may run to a peer. Without a connected peer
-/// the requests stay queued and run here.
+/// Forwards every waiting request that another router may run to a peer. Without a connected router
+/// in state `Alive` the requests stay queued and run here.
 fn hand_over(state: &mut CoreState) {
     let waiting: Vec<RequestId> = state
         .requests
@@ -128,7 +128,8 @@
     waits && entry.is_repeatable() && !entry.facts.forwarded && entry.passed_on == 0
 }
 
-/// Picks a connected live peer by request id, so that handed-over requests spread over all peers.
+/// Picks a connected router in state `Alive`, by request id, so that handed-over requests spread
+/// over all peers.
 fn pick_peer(state: &CoreState, request: RequestId) -> Option<HostName> {
     let peers: Vec<&HostName> = state
         .members
@@ -145,18 +146,18 @@
 }
 
 /// Returns free slots of pools without waiting requests to their owners at once.
-fn give_back_idle(state: &mut CoreState) {
+fn give_back_all_free(state: &mut CoreState) {
     let idle: Vec<PoolId> = state
-        .entries
+        .entry_pools
         .iter()
-        .filter(|(_, pool)| pool.waiting == 0 && !pool.open.is_empty())
+        .filter(|(_, pool)| pool.waiting == 0 && !pool.free_endpoints.is_empty())
         .map(|(pool, _)| *pool)
         .collect();
     for pool_id in idle {
-        let Some(pool) = state.entries.get_mut(&pool_id) else {
+        let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
             continue;
         };
-        while let Some((_, endpoint)) = pool.open.first().copied() {
+        while let Some((_, endpoint)) = pool.free_endpoints.first().copied() {
             pool.give_back(endpoint);
         }
         state.touched_pools.insert(pool_id);
--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -1,6 +1,7 @@
-//! Limits on concurrent requests per endpoint: the published slots, or fewer while the endpoint
-//! shows pressure or runs requests that this side of a partition did not send. Also estimates how
-//! long a request would take, by which requests that can't finish in time are refused early.
+//! Limits on concurrent requests per endpoint: the published slots, or fewer while the endpoint is
+//! under pressure (it queues requests or answers late) or runs requests that this side of a
+//! partition did not send. Also estimates how long a request would take, by which requests that
+//! can't finish in time are refused early.
 
 use std::collections::BTreeSet;
 
@@ -53,7 +54,7 @@
     let ours: u32 = state
         .owned
         .values()
-        .filter_map(|pool| pool.claimed.get(endpoint))
+        .filter_map(|pool| pool.assigned_slots.get(endpoint))
         .sum();
     let published = state
         .catalog
@@ -62,13 +63,13 @@
         .map_or(0, |row| row.slots.0);
     let limit = state.slot_limits.limits.entry(*endpoint).or_default();
     let present = running + waiting;
-    limit.note_foreign(present.saturating_sub(ours), now);
+    limit.note_foreign_load(present.saturating_sub(ours), now);
     // During a partition two owners may give the endpoint up to twice its slots, and it queues
     // requests for that reason alone. Subtracting foreign load corrects that within seconds;
     // lowering the limit as well would leave the endpoint idle long after. Queued requests
     // therefore count as pressure only while the endpoint has no more requests than published
     // slots.
-    limit.engine_queued |= *waiting > 0 && present <= published;
+    limit.endpoint_queued |= *waiting > 0 && present <= published;
 }
 
 /// Counts whether the first byte of an attempt came within its latency goal.
@@ -84,8 +85,8 @@
     note_answer(state, pool_id, endpoint, late);
 }
 
-/// Counts one answer as late or in time; a refusal for lack of capacity counts as late. Schedules a
-/// report to the owner when the endpoint crosses the threshold for late answers.
+/// Counts one answer as late or in time; a refusal by the endpoint (503 or 429) counts as late.
+/// Schedules a report to the owner when the endpoint crosses the threshold for late answers.
 pub fn note_answer(state: &mut CoreState, pool_id: PoolId, endpoint: EndpointId, late: bool) {
     let tally = state.slot_limits.tallies.entry(endpoint).or_default();
     tally.note(late);
@@ -94,7 +95,7 @@
         return;
     }
     tally.reported_late = is_late;
-    if let Some(pool) = state.entries.get_mut(&pool_id) {
+    if let Some(pool) = state.entry_pools.get_mut(&pool_id) {
         let next = pool.report_sequence + 1;
         pool.change_slots(endpoint, |hold| hold.first_sent_in = next);
     }
@@ -102,14 +103,14 @@
 
 /// Returns the latency goal for the first byte of a request's answer.
 fn first_byte_goal(state: &CoreState, facts: &RequestFacts) -> TimeSpan {
-    let first = TimeSpan::from_millis(state.config.limits.first_byte_ms);
+    let default_goal = TimeSpan::from_millis(state.config.limits.first_byte_ms);
     let kind = state
         .catalog
         .teams
         .get(&facts.team)
         .and_then(|team| team.kinds.get(&facts.kind));
     let Some(kind) = kind else {
-        return first;
+        return default_goal;
     };
     let engine = state
         .catalog
@@ -117,19 +118,19 @@
         .get(&facts.pool)
         .is_some_and(|pool| pool.protocol == PoolProtocol::Engine);
     if engine && kind.urgency == UrgencyClass::Interactive {
-        first.min(kind.goal)
+        default_goal.min(kind.goal)
     } else {
         kind.goal
     }
 }
 
 /// Records late answers that an entry router reports. Call only for reports in sequence.
-pub fn take_pressure(state: &mut CoreState, from: &HostName, report: &DemandReport) {
-    let most = state.config.limits.slow_per_mille;
+pub fn record_late_reports(state: &mut CoreState, from: &HostName, report: &DemandReport) {
+    let late_threshold = state.config.limits.slow_per_mille;
     for (endpoint, pressure) in report.endpoints.iter().zip(&report.pressure) {
         let limits = &mut state.slot_limits.limits;
         let limit = limits.entry(EndpointId(*endpoint)).or_default();
-        if *pressure >= most {
+        if *pressure >= late_threshold {
             limit.late_reporters.insert(from.clone());
         } else {
             limit.late_reporters.remove(from);
@@ -219,17 +220,17 @@
     let Some(limit) = state.slot_limits.limits.get_mut(&endpoint) else {
         return;
     };
-    let engine_queued = std::mem::take(&mut limit.engine_queued);
+    let endpoint_queued = std::mem::take(&mut limit.endpoint_queued);
     let late = !limit.late_reporters.is_empty();
     let allowed = limit.allowed.unwrap_or(published);
     // Late answers alone may be due to long prompts, which fewer slots would not fix, so they lower
     // the limit only to a higher minimum.
-    let least = if engine_queued {
+    let least = if endpoint_queued {
         part(config.least_percent)
     } else {
         part(config.least_late_percent)
     };
-    let next = if engine_queued || late {
+    let next = if endpoint_queued || late {
         let down = allowed * f64::from(config.step_down_percent) / 100.0;
         down.max(least.min(allowed))
     } else {
@@ -268,7 +269,7 @@
 /// no request is ahead of it in its team's queue.
 #[must_use]
 pub fn time_to_end(state: &CoreState, facts: &RequestFacts, urgency: UrgencyClass) -> TimeSpan {
-    let pool = state.entries.get(&facts.pool);
+    let pool = state.entry_pools.get(&facts.pool);
     let Some(usage) = pool.and_then(|pool| pool.teams.get(&facts.team)) else {
         return TimeSpan(0);
     };
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -88,9 +88,9 @@
             .change(host, |entry| entry.state = MemberState::Suspect);
         state.detector.gossip_queue.add(host.clone());
     }
-    state.detector.pending.insert(host.clone());
-    let watch = state.detector.peer_health_mut(host);
-    watch.suspect_since.get_or_insert(now);
+    state.detector.running_timeouts.insert(host.clone());
+    let health = state.detector.peer_health_mut(host);
+    health.suspect_since.get_or_insert(now);
 }
 
 /// Returns what is known of a router as gossip to pass on; `None` if no incarnation is known.
@@ -159,7 +159,7 @@
         let connected = state.members.get(host).is_some_and(|row| row.connected);
         if !connected {
             state.detector.peer_health_mut(host).lost_at = Some(now);
-            state.detector.pending.insert(host.clone());
+            state.detector.running_timeouts.insert(host.clone());
         }
     }
 }
@@ -197,17 +197,17 @@
         entry.reachable = true;
     });
     clear_suspicion(state, host);
-    let watch = state.detector.peer_health_mut(host);
-    watch.lost_at = None;
-    state.detector.pending.remove(host);
+    let health = state.detector.peer_health_mut(host);
+    health.lost_at = None;
+    state.detector.running_timeouts.remove(host);
     let changed = state.members.get(host).and_then(MemberEntry::rank) != before;
     if changed {
         state.detector.gossip_queue.add(host.clone());
     }
-    // In a large fleet connections are opened for single pings: the full news is sent only to a
+    // In a large fleet connections are opened for single pings: the full greeting is sent only to a
     // router that is new, or was considered dead or suspect.
-    let whole = changed || is_small(state);
-    probing::greet(state, host, whole);
+    let include_others = changed || is_small(state);
+    probing::greet(state, host, include_others);
 }
 
 /// Records a closed connection. If this router keeps that connection open, its loss is direct
@@ -231,13 +231,13 @@
         .peer_health_mut(host)
         .lost_at
         .get_or_insert(now);
-    state.detector.pending.insert(host.clone());
-    let knew = state
+    state.detector.running_timeouts.insert(host.clone());
+    let was_member = state
         .members
         .get(host)
         .is_some_and(|row| row.state <= MemberState::Suspect);
     suspect(state, host);
-    if knew {
+    if was_member {
         probing::ask_helpers(state, host);
     }
 }
@@ -264,13 +264,13 @@
 fn clear_suspicion(state: &mut CoreState, host: &HostName) {
     let now = state.now;
     state.detector.dead.remove(host);
-    let watch = state.detector.peer_health_mut(host);
-    watch.last_contact_at = Some(now);
-    watch.suspect_since = None;
-    watch.dead_since = None;
-    watch.confirmers.clear();
-    if watch.lost_at.is_none() {
-        state.detector.pending.remove(host);
+    let health = state.detector.peer_health_mut(host);
+    health.last_contact_at = Some(now);
+    health.suspect_since = None;
+    health.dead_since = None;
+    health.confirmers.clear();
+    if health.lost_at.is_none() {
+        state.detector.running_timeouts.remove(host);
     }
 }
 
@@ -325,7 +325,7 @@
         .detector
         .peer_health
         .get(host)
-        .and_then(|watch| watch.last_contact_at);
+        .and_then(|health| health.last_contact_at);
     last_contact_at.is_some_and(|at| state.now.since(at) < TimeSpan::from_millis(RECENT_CONTACT_MS))
 }
 
@@ -396,6 +396,7 @@
         }
         MemberState::Dead => mark_dead(state, host),
         MemberState::Alive | MemberState::Leaving => {
+            // Gossip is no direct contact, which `clear_suspicion` would record.
             let last_contact_at = state.detector.peer_health_mut(host).last_contact_at;
             clear_suspicion(state, host);
             state.detector.peer_health_mut(host).last_contact_at = last_contact_at;
@@ -429,25 +430,25 @@
         restart_timeouts(state);
     }
     announce_own_state(state);
-    let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
-    for host in pending {
+    let running_timeouts: Vec<HostName> = state.detector.running_timeouts.iter().cloned().collect();
+    for host in running_timeouts {
         check_timeouts(state, &host);
     }
     probing::keep_connections(state);
     forget_dead(state);
 }
 
-/// Restarts all timeouts after this process was suspended. Nobody could reach it in that time, so
-/// a timeout that expired meanwhile says nothing about the other routers.
+/// Restarts all timeouts after this process was suspended. It could not receive messages in that
+/// time, so a timeout that expired meanwhile is no evidence about the other routers.
 fn restart_timeouts(state: &mut CoreState) {
     let now = state.now;
-    state.detector.round = None;
+    state.detector.pending_ping = None;
     state.detector.raise_health_score();
-    let pending: Vec<HostName> = state.detector.pending.iter().cloned().collect();
-    for host in pending {
-        let watch = state.detector.peer_health_mut(&host);
-        watch.suspect_since = watch.suspect_since.map(|_| now);
-        watch.lost_at = watch.lost_at.map(|_| now);
+    let running_timeouts: Vec<HostName> = state.detector.running_timeouts.iter().cloned().collect();
+    for host in running_timeouts {
+        let health = state.detector.peer_health_mut(&host);
+        health.suspect_since = health.suspect_since.map(|_| now);
+        health.lost_at = health.lost_at.map(|_| now);
     }
 }
 
@@ -467,17 +468,17 @@
     let now = state.now;
     let config = &state.config.membership;
     let timeout_multiplier = state.detector.timeout_multiplier();
-    let Some(watch) = state.detector.peer_health.get(host) else {
-        state.detector.pending.remove(host);
+    let Some(health) = state.detector.peer_health.get(host) else {
+        state.detector.running_timeouts.remove(host);
         return;
     };
-    let confirmed = watch.confirmers.len() >= config.confirmations;
+    let confirmed = health.confirmers.len() >= config.confirmations;
     let limit = if confirmed {
         TimeSpan::from_millis(config.confirmed_ms)
     } else {
         TimeSpan::from_millis(config.suspicion_ms * timeout_multiplier)
     };
-    let (suspect_since, lost_at) = (watch.suspect_since, watch.lost_at);
+    let (suspect_since, lost_at) = (health.suspect_since, health.lost_at);
     if suspect_since.is_some_and(|since| now.since(since) >= limit) {
         state
             .members
@@ -485,23 +486,23 @@
         state.detector.gossip_queue.add(host.clone());
         mark_dead(state, host);
     }
-    let limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
-    if lost_at.is_some_and(|since| now.since(since) >= limit) {
+    let reach_limit = TimeSpan::from_millis(state.config.membership.suspicion_ms);
+    if lost_at.is_some_and(|since| now.since(since) >= reach_limit) {
         state.members.change(host, |entry| entry.reachable = false);
         state.detector.peer_health_mut(host).lost_at = None;
     }
-    let watch = state.detector.peer_health_mut(host);
-    if watch.suspect_since.is_none() && watch.lost_at.is_none() {
-        state.detector.pending.remove(host);
+    let health = state.detector.peer_health_mut(host);
+    if health.suspect_since.is_none() && health.lost_at.is_none() {
+        state.detector.running_timeouts.remove(host);
     }
 }
 
 fn mark_dead(state: &mut CoreState, host: &HostName) {
     let now = state.now;
-    let watch = state.detector.peer_health_mut(host);
-    watch.suspect_since = None;
-    watch.confirmers.clear();
-    watch.dead_since = Some(now);
+    let health = state.detector.peer_health_mut(host);
+    health.suspect_since = None;
+    health.confirmers.clear();
+    health.dead_since = Some(now);
     state.detector.dead.insert(host.clone());
 }
 
@@ -517,7 +518,7 @@
             let since = detector
                 .peer_health
                 .get(*host)
-                .and_then(|watch| watch.dead_since);
+                .and_then(|health| health.dead_since);
             since.is_some_and(|since| now.since(since) >= limit)
         })
         .cloned()
@@ -526,7 +527,7 @@
         state.members.remove(&host);
         state.detector.peer_health.remove(&host);
         state.detector.dead.remove(&host);
-        state.detector.pending.remove(&host);
+        state.detector.running_timeouts.remove(&host);
         if state.detector.kept_connections.remove(&host).is_some() {
             state.act(CoreAction::Disconnect { host });
         }
--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -2,10 +2,11 @@
 //!
 //! The owner of a pool that lacks slots sends a wish: a request for one endpoint, addressed to the
 //! owner of the pool that the endpoint serves now. That owner knows the demand of its own pool, so
-//! it decides, and it alone sends the order. Endpoints that check fencing numbers reject stale
-//! orders. For endpoints that don't, a router must have owned the pool for longer than a previous
-//! owner can wrongly believe that it still does, and an endpoint keeps a model for a minimum time,
-//! so that two routers that both give orders cause at most one model load in each such time.
+//! it decides, and it alone sends the order. Endpoints that check fencing tokens reject stale
+//! orders. Some endpoints don't, so two more rules hold. A router gives orders only after it has
+//! owned the pool for `belief_ms`, which is longer than a previous owner can still assume to be the
+//! owner. An endpoint keeps a model for at least `residence_ms`, so that two routers that both give
+//! orders cause at most one model load in that time.
 
 use crate::catalog::FenceCheck;
 use crate::core::action::CoreAction;
@@ -17,7 +18,7 @@
 use crate::core::tables::orders::fence_tag;
 use crate::core::tables::orders::next_fence;
 use crate::core::tables::orders::tag_of;
-use crate::core::tables::owned_pool::MemberClaim;
+use crate::core::tables::owned_pool::PoolMember;
 use crate::units::EndpointId;
 use crate::units::Moment;
 use crate::units::PoolId;
@@ -45,9 +46,10 @@
     }
 }
 
-/// Updates the number of hosts by which the weight store's rate is split: the most ever known,
-/// whichever routers own pools in anyone's view. So the sum over all routers stays under the limit
-/// even if each router believes that it is alone.
+/// Updates the number of routers by which the rate of model loads is divided: the largest number
+/// that this router has known at any time, whether or not they are alive or own pools. Together,
+/// all routers thus stay within the rate even if a partition makes each of them consider itself the
+/// only one.
 fn count_hosts(state: &mut CoreState) {
     let known = state.members.iter().count() as u64;
     let budget = &mut state.orders.budget;
@@ -74,7 +76,8 @@
     if fence > seen.fence {
         *seen = SeenFence { fence, since };
     }
-    // The order was followed, or superseded by a higher fencing number; there is nothing to repeat.
+    // The order was followed, or superseded by one with a higher fencing token; there is nothing to
+    // repeat.
     let highest_fence = seen.fence;
     let is_over = |order: &OpenOrder| order.pool == active || order.fence.0 < highest_fence;
     if orders.open.get(&endpoint).is_some_and(is_over) {
@@ -102,7 +105,7 @@
     repeat_orders(state);
     let scarce: Vec<PoolId> = state.orders.scarce_since.keys().copied().collect();
     for pool in scarce {
-        wish_if_due(state, pool);
+        send_wish_if_due(state, pool);
     }
 }
 
@@ -128,7 +131,7 @@
 }
 
 /// Resends open orders until a load report shows that they were followed. An order is idempotent:
-/// it is repeated with the same model and the same fencing number.
+/// it is repeated with the same model and the same fencing token.
 fn repeat_orders(state: &mut CoreState) {
     let now = state.now;
     let gap = TimeSpan::from_millis(state.config.orders.resend_ms);
@@ -168,31 +171,32 @@
     known.or(entry.pools.first().copied())
 }
 
-/// Returns true if this router has owned the pool for longer than a previous owner can wrongly
-/// believe that it still does.
+/// Returns true if this router has owned the pool for at least `belief_ms`, which is longer than a
+/// previous owner can still assume to be the owner.
 fn has_owned_long_enough(state: &CoreState, pool: PoolId) -> bool {
     let belief = TimeSpan::from_millis(state.config.orders.belief_ms);
     let since = state.orders.owner_since.get(&pool);
     since.is_some_and(|since| state.now.since(*since) >= belief)
 }
 
+/// Returns the demand and the number of slots of an owned pool; zeros if it is not owned here.
 fn demand_of(state: &CoreState, pool: PoolId) -> (u64, u64) {
     state.owned.get(&pool).map_or((0, 0), |pool| {
-        let demand: u32 = pool.members.values().map(MemberClaim::demand).sum();
+        let demand: u32 = pool.members.values().map(PoolMember::demand).sum();
         (demand.into(), pool.total().into())
     })
 }
 
 /// Sends a wish if the pool has lacked slots for long enough. While the shortage lasts, successive
 /// wishes go through the candidate endpoints in turn.
-fn wish_if_due(state: &mut CoreState, pool: PoolId) {
+fn send_wish_if_due(state: &mut CoreState, pool: PoolId) {
     let now = state.now;
     let config = &state.config.orders;
     let lacks = state.orders.scarce_since.get(&pool).copied();
-    let wanted = TimeSpan::from_millis(config.want_ms);
+    let min_shortage = TimeSpan::from_millis(config.want_ms);
     let gap = TimeSpan::from_millis(config.wish_gap_ms);
     let last = state.orders.last_wish_at.get(&pool).copied();
-    let waits = lacks.is_none_or(|since| now.since(since) < wanted);
+    let waits = lacks.is_none_or(|since| now.since(since) < min_shortage);
     if waits || last.is_some_and(|last| now.since(last) < gap) {
         return;
     }
@@ -251,7 +255,7 @@
         && has_owned_long_enough(state, active)
         && can_serve(state, endpoint, pool)
         && !state.orders.open.contains_key(&endpoint)
-        && state.orders.is_settled(endpoint, state.now, residence)
+        && state.orders.has_resided_for(endpoint, state.now, residence)
         && is_transfer_justified(state, endpoint, active, wish);
     if !may {
         return;
@@ -264,9 +268,10 @@
     }
 }
 
-/// Returns true if the requesting pool has much more demand per slot than the giving one, and still
-/// no less of it after the change. The second condition keeps the endpoint from being requested
-/// back.
+/// Returns true if the pool that wishes for the endpoint lacks slots, and its demand per slot is,
+/// compared with that of the giving pool without the endpoint, at least `pressure_percent` percent
+/// now and no less with the endpoint. The last condition keeps the endpoint from being requested
+/// back. A pool with demand does not give its last slots.
 fn is_transfer_justified(
     state: &CoreState,
     endpoint: EndpointId,
--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -1,9 +1,9 @@
 //! Allocation of the slots of the pools that this router owns.
 //!
 //! Entry routers report demand; the owner computes fair targets (weighted max-min by share, less
-//! for teams that are ahead), grants vacant slots and asks for surplus ones back. Slots and charges
-//! are sent as grow-only or absolute counters, so lost, duplicated and reordered messages do no
-//! harm.
+//! for teams whose virtual time is ahead of the pool's clock), grants vacant slots and asks for
+//! surplus ones back. Slots and charges are sent as grow-only or absolute counters, so lost,
+//! duplicated and reordered messages do no harm.
 
 mod accounts;
 mod allotments;
@@ -63,9 +63,9 @@
 
 /// Refills the byte budget that all allotments share, and each pool's own part of it.
 ///
-/// The part guards against idle slots in a pool of short calls: a pool with many routers and long
-/// queues would use up the shared budget, and the other pool would be reallocated only a few times
-/// a second.
+/// The parts guard against idle slots in a pool of short calls: another pool, with many routers and
+/// long queues, would use up the shared budget, and the pool of short calls would be reallocated
+/// only a few times a second.
 fn fill_budgets(state: &mut CoreState) {
     let rate = state.config.ownership.bytes_per_s;
     state.allotment_budget.fill(state.now, rate);
@@ -82,22 +82,22 @@
     report: &DemandReport,
 ) {
     // A report meant for an earlier incarnation of this router counts slots that this incarnation
-    // never granted. It is dropped; the sender begins a new epoch once it knows this incarnation.
+    // never granted. It is dropped; the sender begins a new term once it knows this incarnation.
     if report.epoch != epoch_of(state.identity.incarnation) {
         return;
     }
     let now = state.now;
-    let settles_at = now + TimeSpan::from_millis(state.config.ownership.settle_ms);
+    let grants_from = now + TimeSpan::from_millis(state.config.ownership.settle_ms);
     let catalog = state.catalog.clone();
     let pool = state
         .owned
         .entry(PoolId(report.pool))
-        .or_insert_with(|| OwnedPool::new(settles_at));
+        .or_insert_with(|| OwnedPool::new(grants_from));
     if !sync_term(pool, from, incarnation, report) {
         request_restart(state, from, incarnation, report);
         return;
     }
-    let member = pool.claim_mut(from, incarnation);
+    let member = pool.pool_member_mut(from, incarnation);
     member.term = report.term;
     let fresh = report.sequence > member.report_seen;
     if fresh {
@@ -108,7 +108,7 @@
     }
     record_slots(pool, from, report);
     if fresh {
-        limits::take_pressure(state, from, report);
+        limits::record_late_reports(state, from, report);
     }
     let Some(pool) = state.owned.get_mut(&PoolId(report.pool)) else {
         return;
@@ -123,16 +123,15 @@
     update_urgency(pool, from);
 }
 
-/// Prepares the entry router's claim for the term of a report; returns false if the counts of the
-/// report can't be used.
+/// Prepares the state of the entry router for the term of a report; returns false if the counts of
+/// the report can't be used.
 ///
-/// Slot counts are valid only while both sides count from the same start. One side may restart
-/// its counts without the other: an entry router that switched to another owner and back, or an
-/// owner that dropped the claim of a silent router while that router was suspended. The result
-/// would be slots that each side assumes the other has, or slots that two routers use. So the entry
-/// router numbers its starts as terms: a report of a later term replaces the claim, a report of an
-/// earlier term is late and dropped, and counts whose start is missing make the owner ask for a new
-/// term.
+/// Slot counts are valid only while both sides count from the same start. One side may restart its
+/// counts without the other: an entry router that switched to another owner and back, or an owner
+/// that dropped the state of a silent router while that router was suspended. The result would be
+/// slots that each side assumes the other has, or slots that two routers use. So the entry router
+/// numbers its starts as terms: a report of a later term replaces the state, a report of an earlier
+/// term is late and dropped, and counts whose start is missing make the owner ask for a new term.
 fn sync_term(
     pool: &mut OwnedPool,
     from: &HostName,
@@ -175,9 +174,9 @@
         .zip(&report.carried)
         .zip(&report.returned);
     for ((endpoint, carried), returned) in rows {
-        pool.change_claim(from, EndpointId(*endpoint), |claim| {
-            claim.carried = *carried;
-            claim.returned = claim.returned.max(*returned);
+        pool.change_assignment(from, EndpointId(*endpoint), |assignment| {
+            assignment.carried = *carried;
+            assignment.returned = assignment.returned.max(*returned);
         });
     }
 }
@@ -206,8 +205,9 @@
             charged: *charged,
         };
         let before = member.teams.insert(team, demand);
-        // Charges from before this epoch are ignored: a new owner starts all teams at the same
-        // virtual time, which adds at most one bound to the fairness gap.
+        // Charges from before the first report to this owner are ignored: a new owner starts all
+        // teams at the same virtual time, which can widen the fairness gap between teams by at most
+        // its usual bound, once.
         let known = before.map_or(*charged, |old| old.charged);
         charges.push((team, (*charged - known) * CHARGE_STEP));
     }
@@ -266,7 +266,7 @@
         (true, false) => config.share_out_ms,
         (false, _) => config.refresh_ms,
     };
-    if now < pool.settles_at || now.since(pool.shared_at) < TimeSpan::from_millis(wait) {
+    if now < pool.grants_from || now.since(pool.shared_at) < TimeSpan::from_millis(wait) {
         return;
     }
     set_limits(state, pool_id);
@@ -281,9 +281,9 @@
     update_accounts(state, &mut pool, &demands);
     set_targets(state, &mut pool, &demands);
     let refresh = TimeSpan::from_millis(state.config.ownership.refresh_ms);
-    let spread = now.since(pool.spread_at) >= refresh;
+    let spread = now.since(pool.spare_granted_at) >= refresh;
     if spread {
-        pool.spread_at = now;
+        pool.spare_granted_at = now;
     }
     grant_vacant(&mut pool, spread);
     grant_leftover(&mut pool);
--- a/src/core/systems/ownership/allotments.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -4,10 +4,10 @@
 
 use crate::core::share::ceil_to_u32;
 use crate::core::state::CoreState;
-use crate::core::systems::dispatch::LEAD_STEP;
+use crate::core::systems::dispatch::VIRTUAL_TIME_STEP;
 use crate::core::tables::entry_pool::epoch_of;
-use crate::core::tables::owned_pool::MemberClaim;
 use crate::core::tables::owned_pool::OwnedPool;
+use crate::core::tables::owned_pool::PoolMember;
 use crate::units::HostName;
 use crate::units::Moment;
 use crate::units::PoolId;
@@ -29,8 +29,9 @@
         let lowered = member.target < member.held
             && member.sent.is_none_or(|(target, _)| target > member.target);
         let moved = member.sent != Some((member.target, scarce));
-        let busy = member.waiting() > 0 || moved || member.report_seen > member.report_ack_sent;
-        let due = now.since(member.last_sent_at) >= refresh && busy;
+        let has_new_content =
+            member.waiting() > 0 || moved || member.report_seen > member.report_ack_sent;
+        let due = now.since(member.last_sent_at) >= refresh && has_new_content;
         if !(member.urgent || lowered && scarce || due) {
             continue;
         }
@@ -39,6 +40,8 @@
             accounts.get(&team).map_or(clock, |row| row.time)
         });
         if host != state.identity.host {
+            // While the shared budget is open, a pool may use more than its even part of it, so its
+            // own part is charged only for what it sends beyond the shared budget.
             if !state.allotment_budget.is_open() {
                 pool.budget.spend(allotment.encoded_len());
             }
@@ -49,7 +52,7 @@
 }
 
 fn build(
-    member: &mut MemberClaim,
+    member: &mut PoolMember,
     pool_id: PoolId,
     epoch: u32,
     clock: i64,
@@ -71,19 +74,21 @@
         acked: member.report_seen,
         target: member.target,
         scarce,
-        clock: to_lead_steps(clock),
+        clock: time_to_steps(clock),
         ..SlotAllotment::default()
     };
-    for (endpoint, claim) in &member.slots {
-        if claim.first_sent_in > member.allotment_acked {
+    for (endpoint, assignment) in &member.slots {
+        if assignment.first_sent_in > member.allotment_acked {
             allotment.endpoints.push(endpoint.0);
-            allotment.granted.push(claim.granted);
+            allotment.granted.push(assignment.granted);
         }
     }
     for (team, demand) in &member.teams {
         if demand.waiting > 0 {
             allotment.teams.push(team.0);
-            allotment.lead.push((time_of(*team) - clock) / LEAD_STEP);
+            allotment
+                .lead
+                .push((time_of(*team) - clock) / VIRTUAL_TIME_STEP);
             let quota = member.quotas.get(team).copied().unwrap_or(0.0);
             allotment.quota.push(ceil_to_u32(quota));
         }
@@ -91,6 +96,6 @@
     allotment
 }
 
-fn to_lead_steps(time: i64) -> u64 {
-    u64::try_from(time / LEAD_STEP).unwrap_or(0)
+fn time_to_steps(time: i64) -> u64 {
+    u64::try_from(time / VIRTUAL_TIME_STEP).unwrap_or(0)
 }
--- a/src/core/systems/probing.rs
+++ b/src/core/systems/probing.rs
@@ -1,9 +1,9 @@
 //! Failure detection and gossip: pings other routers in turn and attaches news to each ping and
-//! answer.
+//! answer. News is what other routers should learn: updates of members and of leaving endpoints.
 //!
-//! Each period one router is pinged. The order is shuffled for each round over all routers, so that
-//! every router is pinged once per round and the load on a router does not grow with the fleet. If
-//! a router does not answer, a few others are asked to ping it before it is suspected.
+//! Each period one router is pinged. The order is shuffled for each pass over all routers, so that
+//! every router is pinged once per pass and the load on a router does not grow with the fleet. If a
+//! router does not answer, a few others are asked to ping it before it is suspected.
 
 use rand::seq::SliceRandom;
 
@@ -15,7 +15,7 @@
 use crate::core::systems::membership::is_small;
 use crate::core::systems::membership::news_of;
 use crate::core::systems::publication;
-use crate::core::tables::detector::PingRound;
+use crate::core::tables::detector::PendingPing;
 use crate::core::tables::detector::RelayedPing;
 use crate::core::tables::gossip_queue::retransmit_limit;
 use crate::core::tables::members::MemberState;
@@ -26,11 +26,11 @@
 use crate::wire::gossip::GossipPing;
 use crate::wire::gossip::MemberUpdate;
 
-/// Step of a ping that expects an answer.
+/// Value of `step` for a ping that expects an answer.
 const PING: u32 = 0;
-/// Step of an answer, or of unsolicited news (sequence 0).
+/// Value of `step` for an answer, or for unsolicited news (sequence 0).
 const ANSWER: u32 = 1;
-/// Step of a request to ping another router (indirect ping).
+/// Value of `step` for a request to ping another router (indirect ping).
 const PING_REQUEST: u32 = 2;
 
 /// Maximum number of other members in a greeting.
@@ -55,8 +55,10 @@
     }
 }
 
-/// Sends a router that just connected news of this one and, if `include_others`, of other members
-/// and of leaving endpoints, as a newly started router needs.
+/// Sends news to a router that just connected: this router's own state and the queued news. With
+/// `include_others`, the queued news is replaced by the state of up to `MAX_GREETING_MEMBERS` other
+/// members and by all known leaving endpoints up to the configured limit, as a newly started router
+/// needs. The queue still counts the replaced news as sent once.
 pub fn greet(state: &mut CoreState, host: &HostName, include_others: bool) {
     let mut ping = ping_with_news(state, host);
     ping.step = ANSWER;
@@ -98,8 +100,8 @@
 
 /// Asks a few routers to ping one that this router can't reach (indirect ping).
 pub fn ask_helpers(state: &mut CoreState, target: &HostName) {
-    let sequence = match &state.detector.round {
-        Some(round) if round.target == *target => round.sequence,
+    let sequence = match &state.detector.pending_ping {
+        Some(pending_ping) if pending_ping.target == *target => pending_ping.sequence,
         _ => state.detector.next_sequence(),
     };
     let count = state.config.probing.helpers;
@@ -122,7 +124,7 @@
     }
     if state.detector.connections_version != state.members.version() {
         state.detector.connections_version = state.members.version();
-        let pools: Vec<PoolId> = state.entries.keys().copied().collect();
+        let pools: Vec<PoolId> = state.entry_pools.keys().copied().collect();
         let owners: Vec<HostName> = pools
             .iter()
             .filter_map(|pool| state.members.owner_of(*pool).cloned())
@@ -143,7 +145,7 @@
         .collect();
     for host in idle {
         let owns = state
-            .entries
+            .entry_pools
             .values()
             .any(|pool| pool.owner.as_ref().is_some_and(|owner| owner.host == host));
         if owns {
@@ -158,10 +160,10 @@
 fn tick(state: &mut CoreState) {
     let now = state.now;
     state.detector.relays.retain(|_, relay| relay.expires > now);
-    check_round(state);
+    check_pending_ping(state);
     if now >= state.detector.next_ping {
         state.detector.next_ping = now + period(state);
-        begin_round(state);
+        begin_ping(state);
     }
 }
 
@@ -174,31 +176,31 @@
     })
 }
 
-fn check_round(state: &mut CoreState) {
+fn check_pending_ping(state: &mut CoreState) {
     let now = state.now;
     let timeout_multiplier = state.detector.timeout_multiplier();
-    let Some(round) = &state.detector.round else {
+    let Some(pending_ping) = &state.detector.pending_ping else {
         return;
     };
-    let waited = now.since(round.sent_at);
-    let target = round.target.clone();
+    let waited = now.since(pending_ping.sent_at);
+    let target = pending_ping.target.clone();
     let answer_limit = TimeSpan::from_millis(state.config.probing.answer_ms * timeout_multiplier);
-    if !round.indirect_sent && waited >= answer_limit {
+    if !pending_ping.indirect_sent && waited >= answer_limit {
         ask_helpers(state, &target);
-        if let Some(round) = &mut state.detector.round {
-            round.indirect_sent = true;
+        if let Some(pending_ping) = &mut state.detector.pending_ping {
+            pending_ping.indirect_sent = true;
         }
         return;
     }
     if waited >= TimeSpan(period(state).0 * timeout_multiplier) {
-        state.detector.round = None;
+        state.detector.pending_ping = None;
         state.detector.raise_health_score();
         membership::suspect(state, &target);
     }
 }
 
-fn begin_round(state: &mut CoreState) {
-    if state.detector.round.is_some() {
+fn begin_ping(state: &mut CoreState) {
+    if state.detector.pending_ping.is_some() {
         return;
     }
     let Some(target) = next_target(state) else {
@@ -219,7 +221,7 @@
     }
     // A dead router is dialed in case it is back, without expecting an answer.
     if !dead {
-        state.detector.round = Some(PingRound {
+        state.detector.pending_ping = Some(PendingPing {
             target,
             sequence,
             sent_at: state.now,
@@ -232,7 +234,7 @@
     loop {
         if let Some(host) = state.detector.ping_order.pop() {
             let known = state.members.get(&host);
-            // In a small fleet, dead routers are redialed continuously anyway.
+            // In a small fleet the driver keeps dialing dead routers, so a ping would add nothing.
             let skip = is_small(state) && known.is_some_and(|row| row.state == MemberState::Dead);
             if known.is_some() && !skip {
                 return Some(host);
@@ -255,15 +257,16 @@
     }
 }
 
-/// Ends the ping round to a router whose connection just opened: the handshake counts as answer.
+/// Ends the wait for an answer to the ping of a router whose connection just opened: the handshake
+/// counts as the answer.
 fn opened(state: &mut CoreState, host: &HostName) {
     if state
         .detector
-        .round
+        .pending_ping
         .as_ref()
-        .is_some_and(|round| round.target == *host)
+        .is_some_and(|pending_ping| pending_ping.target == *host)
     {
-        state.detector.round = None;
+        state.detector.pending_ping = None;
     }
 }
 
@@ -291,11 +294,11 @@
     }
     if state
         .detector
-        .round
+        .pending_ping
         .as_ref()
-        .is_some_and(|round| round.sequence == sequence)
+        .is_some_and(|pending_ping| pending_ping.sequence == sequence)
     {
-        state.detector.round = None;
+        state.detector.pending_ping = None;
         state.detector.lower_health_score();
     }
 }
@@ -331,7 +334,8 @@
     }
 }
 
-/// Builds a ping for `host` with news. If `host` is suspect or dead here, that news comes first.
+/// Builds a ping for `host` with queued news. If `host` itself is suspect or dead here, that news
+/// comes first, so that it can refute it.
 fn ping_with_news(state: &mut CoreState, host: &HostName) -> GossipPing {
     let most = state.config.probing.news;
     let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -4,7 +4,7 @@
 //! identified by its fingerprint. Suspects of the same crash are isolated from each other: all
 //! copies of one suspect run on the same endpoint, one after the other, so that harmless requests
 //! are cleared by completing and a harmful one crashes only one more endpoint. A request that was
-//! running in two crashes is refused for a time, at all routers.
+//! running in `config.crashes` crashes, two by default, is refused for `refuse_ms`, at all routers.
 //!
 //! From the loss of a copy until it is known whether its endpoint crashed, all routers hold back
 //! the other copies.
@@ -47,7 +47,7 @@
             ..
         } => attempt_ended(state, *request, *attempt, *outcome),
         CoreEvent::EndpointRefused { endpoint } => endpoint_refused(state, *endpoint),
-        CoreEvent::EndpointLoad { endpoint, life, .. } => incarnation_seen(state, *endpoint, *life),
+        CoreEvent::EndpointLoad { endpoint, life, .. } => life_seen(state, *endpoint, *life),
         CoreEvent::Message { from, message, .. } => {
             if let Some(PeerBody::Quarantine(notice)) = &message.body {
                 notices::handle_notice(state, from, notice);
@@ -67,6 +67,8 @@
     TimeSpan::from_millis(state.config.quarantine.evidence_ms)
 }
 
+/// Returns how long a lost attempt waits for a sign of whether its endpoint crashed. Leases of
+/// isolated runs have the same duration.
 fn check_window(state: &CoreState) -> TimeSpan {
     TimeSpan::from_millis(state.config.quarantine.check_ms)
 }
@@ -100,8 +102,7 @@
 }
 
 /// Records a lost attempt. On its own it may be a network failure; it counts only together with a
-/// sign that the endpoint itself crashed: its port refuses connections, or it reports a new
-/// incarnation.
+/// sign that the endpoint itself crashed: its port refuses connections, or it reports a new `life`.
 fn lost(state: &mut CoreState, endpoint: EndpointId, fingerprint: RequestFingerprint) {
     let (now, window) = (state.now, evidence_window(state));
     let known = state.crashes.find_record(endpoint, 0, now, window);
@@ -117,29 +118,30 @@
 
 fn endpoint_refused(state: &mut CoreState, endpoint: EndpointId) {
     let (now, window) = (state.now, evidence_window(state));
-    let life = endpoint_incarnation(state, endpoint);
+    let life = endpoint_life(state, endpoint);
     let known = state.crashes.find_record(endpoint, life, now, window);
     if known.is_some() || state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, life, CrashEvidence::Confirmed);
     }
 }
 
-/// Requests the incarnation of an endpoint that is about to be used for the first time.
+/// Starts polling the load of an endpoint whose `life`, the identity of its process, is not known
+/// yet. Called before the endpoint is used for the first time.
 ///
-/// A router that first reads the incarnation after a loss there may get the one that follows the
+/// A router that first reads the `life` after a loss there may get that of the process after the
 /// crash, and then can't distinguish the crash from a network failure.
-pub fn watch_first_incarnation(state: &mut CoreState, endpoint: EndpointId) {
-    if endpoint_incarnation(state, endpoint) == 0 {
+pub fn watch_first_life(state: &mut CoreState, endpoint: EndpointId) {
+    if endpoint_life(state, endpoint) == 0 {
         limits::watch_load(state, endpoint, LoadWatcher::FirstLife, true);
     }
 }
 
-fn endpoint_incarnation(state: &CoreState, endpoint: EndpointId) -> u64 {
+fn endpoint_life(state: &CoreState, endpoint: EndpointId) -> u64 {
     state.endpoints.get(endpoint).map_or(0, |row| row.life)
 }
 
-fn incarnation_seen(state: &mut CoreState, endpoint: EndpointId, life: u64) {
-    let before = endpoint_incarnation(state, endpoint);
+fn life_seen(state: &mut CoreState, endpoint: EndpointId, life: u64) {
+    let before = endpoint_life(state, endpoint);
     limits::watch_load(state, endpoint, LoadWatcher::FirstLife, false);
     if before == 0 && state.crashes.has_losses(endpoint) {
         crashed(state, endpoint, 0, CrashEvidence::Unconfirmed);
@@ -216,7 +218,7 @@
 
 /// Refuses the requests waiting here that have a refused fingerprint.
 fn refuse_waiting(state: &mut CoreState, fingerprint: RequestFingerprint) {
-    let Some(until) = state.crashes.refused_until(fingerprint, state.now) else {
+    let Some(until) = state.crashes.quarantined_until(fingerprint, state.now) else {
         return;
     };
     let later = until.since(state.now);
@@ -230,7 +232,7 @@
     }
 }
 
-/// Moves the requests queued here with these fingerprints out of the common queue into isolation.
+/// Moves the requests queued here with these fingerprints out of their team's queue into isolation.
 fn isolate_queued(state: &mut CoreState, fingerprints: &BTreeSet<RequestFingerprint>) {
     if fingerprints.is_empty() {
         return;
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -17,8 +17,8 @@
 const MAX_LOSSES_PER_NOTICE: usize = 64;
 
 /// Sends one notice for each crash with new suspects, and one for all other changes, to each live
-/// router. Notices are not passed on, so one crash costs at most two notices for each pair of
-/// routers and tick in which attempts were lost.
+/// router. Their receivers do not pass them on. A crash thus costs each pair of routers at most two
+/// notices per tick in which attempts were lost.
 pub fn send_notices(state: &mut CoreState) {
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
@@ -90,7 +90,10 @@
     }
     for fingerprint in fingerprints(&notice.refused) {
         let config = &state.config.quarantine;
-        if state.crashes.refuse(fingerprint, state.now, config) {
+        if state
+            .crashes
+            .put_in_quarantine(fingerprint, state.now, config)
+        {
             super::refuse_waiting(state, fingerprint);
         }
     }
@@ -136,7 +139,12 @@
 ) {
     let refused: Vec<u64> = suspects
         .iter()
-        .filter(|suspect| state.crashes.refused_until(**suspect, state.now).is_some())
+        .filter(|suspect| {
+            state
+                .crashes
+                .quarantined_until(**suspect, state.now)
+                .is_some()
+        })
         .map(|suspect| suspect.0)
         .collect();
     if refused.is_empty() || *from == state.identity.host {
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -19,8 +19,10 @@
 use crate::wire::PeerBody;
 use crate::wire::quarantine::QuarantineNotice;
 
-/// Reports to the homes which copies ended. The loss of a copy is sent one tick earlier, so that no
-/// home grants the lease for the next copy before it knows of the loss.
+/// Reports to the homes which copies ended. A copy that is found to have ended is reported on the
+/// next tick, because those recorded before are taken first. The loss of a copy is sent one tick
+/// earlier, by `send_notices`, so that no home grants the lease for the next copy before it knows
+/// of the loss.
 pub fn report_ended_copies(state: &mut CoreState) {
     let ended = state.trials.take_ended();
     notify_homes(state, ended, |notice, fingerprint| {
@@ -40,8 +42,9 @@
 }
 
 /// Starts waiting suspects on their own endpoints, and requests the leases for that from their
-/// homes. A suspect uses none of the allocated slots: an endpoint runs at most one additional
-/// request for it.
+/// homes. A suspect needs no granted slot: an endpoint runs at most one request beyond its granted
+/// slots for it. If this router holds a free slot of that endpoint, the suspect occupies it, as it
+/// counts as a running attempt.
 pub fn start_isolated(state: &mut CoreState) {
     let span = super::check_window(state);
     let mut asked: BTreeSet<RequestFingerprint> =
@@ -68,7 +71,7 @@
     // was not among the waiting copies refused then, and would crash one endpoint after another.
     if state
         .crashes
-        .refused_until(fingerprint, state.now)
+        .quarantined_until(fingerprint, state.now)
         .is_some()
     {
         state.trials.isolated.remove(&request);
@@ -76,7 +79,7 @@
         return None;
     }
     let endpoint = endpoint_for(state, pool_id, fingerprint)?;
-    let is_known = knows_incarnation(state, request, endpoint);
+    let is_known = knows_life(state, request, endpoint);
     if !is_known || super::has_unexplained_loss(state, fingerprint) {
         return None;
     }
@@ -84,7 +87,10 @@
         return None;
     }
     let span = super::check_window(state);
-    match state.trials.lease_state(fingerprint, state.now, span) {
+    match state
+        .trials
+        .check_or_request_lease(fingerprint, state.now, span)
+    {
         LeaseState::Requested => None,
         LeaseState::MustRequest => Some(fingerprint),
         LeaseState::Granted => {
@@ -101,14 +107,14 @@
     }
 }
 
-/// Returns true once this router knows an incarnation of the endpoint chosen for a suspect; before
-/// that it could not distinguish a crash there from a network failure. An endpoint that reports no
-/// incarnation delays a suspect for `check_ms` at most.
-fn knows_incarnation(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
-    if super::endpoint_incarnation(state, endpoint) != 0 {
+/// Returns true once this router knows a `life` of the endpoint chosen for a suspect; before that
+/// it could not distinguish a crash there from a network failure. An endpoint that reports no
+/// `life` delays a suspect for `check_ms` at most.
+fn knows_life(state: &mut CoreState, request: RequestId, endpoint: EndpointId) -> bool {
+    if super::endpoint_life(state, endpoint) != 0 {
         return true;
     }
-    super::watch_first_incarnation(state, endpoint);
+    super::watch_first_life(state, endpoint);
     let since = state.trials.isolated.get(&request);
     let waited = since.map_or(TimeSpan(0), |since| state.now.since(*since));
     waited >= super::check_window(state)
@@ -128,7 +134,7 @@
         .collect();
     state
         .crashes
-        .places_for(fingerprint, &serving)
+        .isolation_endpoints(fingerprint, &serving)
         .into_iter()
         .find(|endpoint| state.endpoints.is_open(*endpoint, state.now))
 }
@@ -168,12 +174,12 @@
     }
     let mut answer = QuarantineNotice::default();
     for fingerprint in notice.wanted.iter().copied().map(RequestFingerprint) {
-        let is_held = super::has_unexplained_loss(state, fingerprint)
+        let is_withheld = super::has_unexplained_loss(state, fingerprint)
             || state
                 .crashes
-                .refused_until(fingerprint, state.now)
+                .quarantined_until(fingerprint, state.now)
                 .is_some();
-        if !is_held && state.trials.grant_lease(fingerprint, from, state.now, span) {
+        if !is_withheld && state.trials.grant_lease(fingerprint, from, state.now, span) {
             answer.lease_granted.push(fingerprint.0);
         } else {
             answer.lease_denied.push(fingerprint.0);
@@ -191,9 +197,14 @@
         .lease_granted
         .iter()
         .map(|lease_granted| (*lease_granted, true));
-    let lease_denied = notice.lease_denied.iter().map(|held| (*held, false));
-    for (fingerprint, is_lent) in lease_granted.chain(lease_denied) {
+    let lease_denied = notice
+        .lease_denied
+        .iter()
+        .map(|lease_denied| (*lease_denied, false));
+    for (fingerprint, is_granted) in lease_granted.chain(lease_denied) {
         let fingerprint = RequestFingerprint(fingerprint);
-        state.trials.answered(fingerprint, is_lent, state.now, span);
+        state
+            .trials
+            .answered(fingerprint, is_granted, state.now, span);
     }
 }
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -24,7 +24,7 @@
 pub fn run(state: &mut CoreState, event: &CoreEvent) {
     if matches!(event, CoreEvent::Tick) {
         refill(state);
-        let pools: Vec<PoolId> = state.entries.keys().copied().collect();
+        let pools: Vec<PoolId> = state.entry_pools.keys().copied().collect();
         state.touched_pools.extend(pools);
     }
     for pool in std::mem::take(&mut state.touched_pools) {
@@ -39,11 +39,11 @@
 }
 
 /// Switches to the pool's current owner. With a new owner, only the slots of running attempts are
-/// kept: free slots that the old owner granted are dropped, so that the grants of two owners never
-/// add up to more than the running attempts.
+/// kept, which the next report counts as carried over. Free slots that the old owner granted are
+/// dropped, since the new owner doesn't count them and may grant them to others.
 fn update_owner(state: &mut CoreState, pool_id: PoolId) {
     let version = state.members.version();
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
     if pool.owner_version == version {
@@ -61,12 +61,12 @@
         epoch: epoch_of(incarnation),
     };
     if pool.owner.as_ref() != Some(&link) {
-        begin_epoch(pool, link);
+        begin_term(pool, link);
     }
 }
 
 /// Restarts slot accounting with an owner, with only the slots of running attempts carried over.
-pub fn begin_epoch(pool: &mut EntryPool, link: OwnerLink) {
+pub fn begin_term(pool: &mut EntryPool, link: OwnerLink) {
     pool.owner = Some(link);
     pool.term += 1;
     let endpoints: Vec<_> = pool.slots.keys().copied().collect();
@@ -98,10 +98,10 @@
 fn report_if_due(state: &mut CoreState, pool_id: PoolId) {
     let now = state.now;
     let config = &state.config.reporting;
-    let Some(pool) = state.entries.get_mut(&pool_id) else {
+    let Some(pool) = state.entry_pools.get_mut(&pool_id) else {
         return;
     };
-    let wants = pool.has_new_demand && pool.waiting > 0 && pool.open.is_empty();
+    let wants = pool.has_new_demand && pool.waiting > 0 && pool.free_endpoints.is_empty();
     let urgent = (pool.urgent || wants) && state.report_budget.is_open();
     let passed = now.since(pool.reported_at);
     let due = match (urgent, pool.changed) {
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -2,9 +2,8 @@
 //!
 //! A ticket names the router incarnation that minted it, and only that incarnation runs it. A
 //! single process thus decides alone, without consensus: no clock, quorum or shared state is
-//! involved, and a partition, a pause or a restart can't lead to a second execution. An outcome
-//! that this incarnation has forgotten, or that can't be asked for because it is gone, is
-//! "unknown".
+//! involved, and a partition, a pause or a restart can't lead to a second execution. If the minter
+//! no longer stores the outcome, or is gone and can't be asked, the outcome is "unknown".
 
 use crate::core::action::CoreAction;
 use crate::core::action::RefusalReason;
@@ -31,7 +30,7 @@
     Admit,
     /// The request was answered, joined to another one, forwarded, or waits until the minter of its
     /// ticket is known.
-    Settled,
+    Handled,
 }
 
 /// Handles kept answers, callers that disconnect, and ticks.
@@ -57,20 +56,20 @@
         RepeatRule::Repeatable => TicketDecision::Admit,
         RepeatRule::Unrepeatable(None) => {
             offer_or_refuse(state, facts);
-            TicketDecision::Settled
+            TicketDecision::Handled
         }
         RepeatRule::Unrepeatable(Some(ticket)) => {
             if ticket.minter == state.identity.incarnation {
                 return check_own_ticket(state, facts, ticket.number);
             }
             forward_to_minter(state, facts, ticket.minter);
-            TicketDecision::Settled
+            TicketDecision::Handled
         }
     }
 }
 
-/// Offers a ticket if its request would be admitted now, and refuses it otherwise, so that callers
-/// learn of a full queue on the first try.
+/// Offers a ticket if the request would be admitted now, and refuses the request otherwise, so that
+/// its caller learns of a full queue on the first try.
 fn offer_or_refuse(state: &mut CoreState, facts: &RequestFacts) {
     if state.draining {
         draining::refuse(state, facts.request);
@@ -104,14 +103,14 @@
     let request = facts.request;
     let Some(row) = state.tickets.get(number) else {
         answer_ended(state, facts, state.tickets.outcome_of(number));
-        return TicketDecision::Settled;
+        return TicketDecision::Handled;
     };
     if row.team != facts.team || row.fingerprint != facts.fingerprint {
         // With a ticket of another request, the caller would get the answer to a request that is
         // not its own. The request that the ticket was minted for is not affected.
         let reason = RefusalReason::TicketMismatch;
         refuse(state, request, reason, RunOutcome::NotRun);
-        return TicketDecision::Settled;
+        return TicketDecision::Handled;
     }
     match (row.stage, row.answer) {
         (TicketStage::Offered, _) => {
@@ -125,7 +124,7 @@
         }
         (TicketStage::Ended(outcome), _) => answer_ended(state, facts, outcome),
     }
-    TicketDecision::Settled
+    TicketDecision::Handled
 }
 
 fn join(state: &mut CoreState, number: u64, request: RequestId, original: RequestId) {
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -42,12 +42,12 @@
 /// A request that was running on an endpoint when it crashed.
 #[derive(Debug, Clone, Default)]
 pub struct SuspectRow {
-    /// Numbers of these crashes in the table.
+    /// Numbers of the crashes in which it was running, as in `CrashTable`.
     pub crashes: BTreeSet<u64>,
     /// When the row expires.
     pub until: Moment,
     /// End of its quarantine, if it was ever quarantined.
-    pub refused_until: Option<Moment>,
+    pub quarantined_until: Option<Moment>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -56,15 +56,15 @@
     fingerprint: RequestFingerprint,
 }
 
-/// All crashes and suspects known to this router. Both are bounded in number; the oldest are
-/// removed first.
+/// All crashes and suspects known to this router. Both are bounded in number. Above the bounds, the
+/// crashes that were recorded first and the suspects that expire first are removed.
 #[derive(Debug, Default)]
 pub struct CrashTable {
     records: BTreeMap<u64, CrashRecord>,
     counted: u64,
     suspects: BTreeMap<RequestFingerprint, SuspectRow>,
     losses: BTreeMap<EndpointId, Vec<LostAttempt>>,
-    /// Requests of which other routers lost copies, and when that was last reported.
+    /// Requests of which another router lost a copy, and when a loss was last reported here.
     remote_losses: BTreeMap<RequestFingerprint, Moment>,
     /// Requests of which a copy was lost here, not yet announced to peers.
     pub unannounced_losses: BTreeSet<RequestFingerprint>,
@@ -107,8 +107,9 @@
         self.losses.get(&endpoint)?.last().map(|loss| loss.at)
     }
 
-    /// True if a copy of a request was lost since `oldest`, here or at another router, and it is
-    /// not known yet whether its endpoint crashed.
+    /// True if a copy of a request was lost since `oldest`, either here, and it is not known yet
+    /// whether its endpoint crashed, or at another router; what that router found out is not
+    /// considered.
     #[must_use]
     pub fn has_unexplained_loss(&self, fingerprint: RequestFingerprint, oldest: Moment) -> bool {
         let reported_at = self.remote_losses.get(&fingerprint);
@@ -206,12 +207,14 @@
         row.until = row
             .until
             .max(now + TimeSpan::from_millis(config.suspect_ms));
-        self.meets_crash_limit(fingerprint, config) && self.refuse(fingerprint, now, config)
+        self.meets_crash_limit(fingerprint, config)
+            && self.put_in_quarantine(fingerprint, now, config)
     }
 
     /// True if a request was running in as many crashes as `config.crashes`. At most one
     /// unconfirmed crash counts, and only in addition to a confirmed one, so that broken
-    /// connections alone never quarantine a request.
+    /// connections alone never quarantine a request. A crash whose record was removed counts as
+    /// confirmed.
     fn meets_crash_limit(
         &self,
         fingerprint: RequestFingerprint,
@@ -249,14 +252,15 @@
         suspects
             .into_iter()
             .filter(|suspect| {
-                self.meets_crash_limit(*suspect, config) && self.refuse(*suspect, now, config)
+                self.meets_crash_limit(*suspect, config)
+                    && self.put_in_quarantine(*suspect, now, config)
             })
             .collect()
     }
 
     /// Quarantines a request for `config.refuse_ms`; false if it was in quarantine already. It
     /// stays a suspect for the same time afterwards, so that one more crash quarantines it again.
-    pub fn refuse(
+    pub fn put_in_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Moment,
@@ -264,16 +268,20 @@
     ) -> bool {
         let span = TimeSpan::from_millis(config.refuse_ms);
         let row = self.suspects.entry(fingerprint).or_default();
-        let fresh = row.refused_until.is_none_or(|until| until <= now);
-        row.refused_until = Some(now + span);
+        let fresh = row.quarantined_until.is_none_or(|until| until <= now);
+        row.quarantined_until = Some(now + span);
         row.until = now + span + span;
         fresh
     }
 
     /// The end of a request's quarantine, if it is in quarantine.
     #[must_use]
-    pub fn refused_until(&self, fingerprint: RequestFingerprint, now: Moment) -> Option<Moment> {
-        let until = self.suspects.get(&fingerprint)?.refused_until?;
+    pub fn quarantined_until(
+        &self,
+        fingerprint: RequestFingerprint,
+        now: Moment,
+    ) -> Option<Moment> {
+        let until = self.suspects.get(&fingerprint)?.quarantined_until?;
         (until > now).then_some(until)
     }
 
@@ -289,7 +297,7 @@
         let innocent = self
             .suspects
             .get(&fingerprint)
-            .is_some_and(|row| row.refused_until.is_none());
+            .is_some_and(|row| row.quarantined_until.is_none());
         innocent && self.suspects.remove(&fingerprint).is_some()
     }
 
@@ -298,7 +306,7 @@
     /// endpoint if there are enough, and all copies of a request, at whichever router they arrive,
     /// get the same one.
     #[must_use]
-    pub fn places_for(
+    pub fn isolation_endpoints(
         &self,
         fingerprint: RequestFingerprint,
         endpoints: &[EndpointId],
@@ -316,12 +324,12 @@
                 .iter()
                 .take_while(|other| **other < fingerprint);
             for other in before {
-                let ranked = ranked_places(*other, endpoints, crashed);
+                let ranked = ranked_endpoints(*other, endpoints, crashed);
                 let place = ranked.iter().find(|place| !taken.contains(*place));
                 taken.extend(place.copied());
             }
         }
-        let ranked = ranked_places(fingerprint, endpoints, crashed);
+        let ranked = ranked_endpoints(fingerprint, endpoints, crashed);
         let (mut free, shared): (Vec<_>, Vec<_>) =
             ranked.into_iter().partition(|place| !taken.contains(place));
         free.extend(shared);
@@ -329,7 +337,8 @@
         free
     }
 
-    /// Removes expired rows, and the oldest ones above the configured bounds.
+    /// Removes expired rows. Above the configured bounds, removes the crashes that were recorded
+    /// first, the suspects that expire first, and losses at other routers by lowest fingerprint.
     pub fn shrink(&mut self, now: Moment, config: &QuarantineConfig) {
         let evidence = TimeSpan::from_millis(config.evidence_ms);
         let suspicion = TimeSpan::from_millis(config.suspect_ms);
@@ -365,7 +374,7 @@
 }
 
 /// The endpoints in rendezvous order for one request, without the one that crashed.
-fn ranked_places(
+fn ranked_endpoints(
     fingerprint: RequestFingerprint,
     endpoints: &[EndpointId],
     crashed: Option<EndpointId>,
@@ -395,7 +404,7 @@
         let endpoints: Vec<_> = (0..6).map(EndpointId).collect();
         let places: BTreeSet<_> = suspects
             .iter()
-            .map(|suspect| table.places_for(*suspect, &endpoints)[0])
+            .map(|suspect| table.isolation_endpoints(*suspect, &endpoints)[0])
             .collect();
         assert_eq!(places.len(), 5);
         assert!(!places.contains(&EndpointId(0)));
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -1,5 +1,10 @@
 //! An entry router's state of a pool: waiting requests, the slots it holds, and the order of teams
 //! according to the pool's owner.
+//!
+//! Entry router and owner count the granted and returned slots in terms. The entry router begins a
+//! new term, with a higher number, when the owner changes or asks for it; both then count from the
+//! slots of the attempts that are running at that time. An epoch is a router's incarnation
+//! truncated to 32 bits, by which messages for an earlier incarnation are recognised.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,7 +28,7 @@
     charge.saturating_mul(VIRTUAL_SCALE) / i64::from(share.0.max(1))
 }
 
-/// A router's incarnation as sent in messages, truncated to 32 bits.
+/// The epoch of a router: its incarnation truncated to 32 bits.
 #[must_use]
 #[allow(clippy::cast_possible_truncation)]
 pub fn epoch_of(incarnation: RouterIncarnation) -> u32 {
@@ -33,7 +38,7 @@
 /// Slots of one endpoint held by this router.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotHold {
-    /// Slots already held when the owner's epoch began.
+    /// Slots already held when the term began.
     pub carried: u32,
     /// Slots granted since then.
     pub granted: u64,
@@ -41,7 +46,7 @@
     pub returned: u64,
     /// Number of running attempts of this router on the endpoint.
     pub busy: u32,
-    /// Sequence number of the first report that carries the endpoint's current values.
+    /// Sequence number of the first report that contains the endpoint's current values.
     pub first_sent_in: u64,
 }
 
@@ -90,7 +95,7 @@
     /// Report sequence numbers and the values of `charged` sent in them, from the last acknowledged
     /// report on.
     pub sent_charges: Vec<(u64, i64)>,
-    /// Sequence number of the first report that carries the current values.
+    /// Sequence number of the first report that contains the current values.
     pub first_sent_in: u64,
     /// The team's key in `EntryPool::order`, if it has waiting requests.
     pub rank: Option<TeamRank>,
@@ -101,7 +106,7 @@
 pub struct OwnerLink {
     /// Its host.
     pub host: HostName,
-    /// Its incarnation, truncated as in messages.
+    /// Its epoch.
     pub epoch: u32,
 }
 
@@ -120,7 +125,7 @@
     /// Slots held by this router, per endpoint.
     pub slots: BTreeMap<EndpointId, SlotHold>,
     /// Endpoints with free slots, ordered by the number of free slots.
-    pub open: BTreeSet<(u32, EndpointId)>,
+    pub free_endpoints: BTreeSet<(u32, EndpointId)>,
     /// Number of slots that this router should keep according to the owner.
     pub target: u32,
     /// Total number of slots held.
@@ -131,7 +136,7 @@
     pub scarce: bool,
     /// The pool's virtual time according to the owner.
     pub clock: i64,
-    /// Number of times that this router restarted its slot counts with an owner.
+    /// The current term: the number of times that this router restarted its slot counts.
     pub term: u32,
     /// Sequence number of the last report sent.
     pub report_sequence: u64,
@@ -154,7 +159,7 @@
 }
 
 impl EntryPool {
-    /// Changes the slots held on an endpoint and updates the totals and `open`.
+    /// Changes the slots held on an endpoint and updates the totals and `free_endpoints`.
     pub fn change_slots(&mut self, endpoint: EndpointId, change: impl FnOnce(&mut SlotHold)) {
         let hold = self.slots.entry(endpoint).or_default();
         let before = (hold.held(), hold.busy, hold.free());
@@ -163,10 +168,10 @@
         self.busy = self.busy - before.1 + hold.busy;
         let free_now = hold.free();
         if before.2 > 0 {
-            self.open.remove(&(before.2, endpoint));
+            self.free_endpoints.remove(&(before.2, endpoint));
         }
         if free_now > 0 {
-            self.open.insert((free_now, endpoint));
+            self.free_endpoints.insert((free_now, endpoint));
         }
         self.changed = true;
     }
@@ -208,8 +213,8 @@
     }
 
     /// Updates a team's position in the order, or removes the team if it has no waiting requests.
-    /// `express` is the credit for interactive requests in virtual time.
-    pub fn rank(&mut self, team: TeamId, share: ShareWeight, express: i64) {
+    /// `interactive_credit` is the credit for interactive requests in virtual time.
+    pub fn rank(&mut self, team: TeamId, share: ShareWeight, interactive_credit: i64) {
         let time = self.local_virtual_time(team, share);
         let Some(usage) = self.teams.get_mut(&team) else {
             return;
@@ -221,7 +226,7 @@
             return;
         }
         let credit = if usage.queue.has_interactive() {
-            express
+            interactive_credit
         } else {
             0
         };
@@ -255,7 +260,7 @@
     }
 }
 
-/// A request taken from a queue for dispatch, with its team.
+/// A request to be started next, with its team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextRequest {
     /// The request.
@@ -276,6 +281,6 @@
         pool.change_slots(endpoint, |hold| hold.busy += 1);
         pool.give_back(endpoint);
         assert_eq!((pool.held, pool.busy), (2, 1));
-        assert_eq!(pool.open.iter().next(), Some(&(1, endpoint)));
+        assert_eq!(pool.free_endpoints.iter().next(), Some(&(1, endpoint)));
     }
 }
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -24,8 +24,8 @@
 
 /// Slots of one endpoint that are assigned to one entry router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SlotClaim {
-    /// Slots held when the epoch began.
+pub struct SlotAssignment {
+    /// Slots held when the term began.
     pub carried: u32,
     /// Slots granted since then.
     pub granted: u64,
@@ -35,7 +35,7 @@
     pub first_sent_in: u64,
 }
 
-impl SlotClaim {
+impl SlotAssignment {
     /// Slots that the entry router may still be using.
     #[must_use]
     pub fn held(&self) -> u32 {
@@ -46,8 +46,8 @@
 
 /// The owner's state of one entry router in the pool.
 #[derive(Debug, Clone)]
-pub struct MemberClaim {
-    /// Its incarnation. A new incarnation starts a new claim.
+pub struct PoolMember {
+    /// Its incarnation. A new incarnation gets a new state.
     pub incarnation: RouterIncarnation,
     /// Sequence number of the newest report processed.
     pub report_seen: u64,
@@ -64,7 +64,7 @@
     /// Its demand per team.
     pub teams: BTreeMap<TeamId, TeamDemand>,
     /// Its slots per endpoint.
-    pub slots: BTreeMap<EndpointId, SlotClaim>,
+    pub slots: BTreeMap<EndpointId, SlotAssignment>,
     /// True if its newest report says that it is draining.
     pub draining: bool,
     /// Its part of each team's fair share, in slots.
@@ -81,8 +81,8 @@
     pub urgent: bool,
 }
 
-impl MemberClaim {
-    /// Creates the claim of a router that has not reported in this epoch.
+impl PoolMember {
+    /// Creates the state of a router that has not reported to this owner yet.
     #[must_use]
     pub fn new(incarnation: RouterIncarnation) -> Self {
         Self {
@@ -142,10 +142,11 @@
 /// A pool owned by this router.
 #[derive(Debug)]
 pub struct OwnedPool {
-    /// No slots are granted before this time.
-    pub settles_at: Moment,
-    /// Claims of the entry routers.
-    pub members: BTreeMap<HostName, MemberClaim>,
+    /// No slots are granted before this time, so that the entry routers can first report the slots
+    /// that they still use from an earlier owner.
+    pub grants_from: Moment,
+    /// State of each entry router.
+    pub members: BTreeMap<HostName, PoolMember>,
     /// Removed entry routers; one entry per host, so the size is bounded by the host list.
     pub removed: BTreeMap<HostName, RemovedMember>,
     /// Accounts of the teams.
@@ -158,13 +159,13 @@
     /// Slot limit per endpoint.
     pub limits: BTreeMap<EndpointId, u32>,
     /// Slots held by all entry routers together, per endpoint.
-    pub claimed: BTreeMap<EndpointId, u32>,
+    pub assigned_slots: BTreeMap<EndpointId, u32>,
     /// Endpoints with slots that no router holds, ordered by the number of such slots.
     pub vacant: BTreeSet<(u32, EndpointId)>,
     /// When targets and grants were last computed.
     pub shared_at: Moment,
     /// When spare slots were last distributed over entry routers without waiting requests.
-    pub spread_at: Moment,
+    pub spare_granted_at: Moment,
     /// This pool's own part of the byte budget of allotments.
     pub budget: ByteBudget,
     /// True if targets and grants should be computed soon.
@@ -176,19 +177,19 @@
 impl OwnedPool {
     /// Creates the state of a pool that this router starts to own.
     #[must_use]
-    pub fn new(settles_at: Moment) -> Self {
+    pub fn new(grants_from: Moment) -> Self {
         Self {
-            settles_at,
+            grants_from,
             members: BTreeMap::new(),
             removed: BTreeMap::new(),
             accounts: BTreeMap::new(),
             clock: 0,
             clock_rate: 0.0,
             limits: BTreeMap::new(),
-            claimed: BTreeMap::new(),
+            assigned_slots: BTreeMap::new(),
             vacant: BTreeSet::new(),
             shared_at: Moment(0),
-            spread_at: Moment(0),
+            spare_granted_at: Moment(0),
             budget: ByteBudget::default(),
             urgent: false,
             scarce: false,
@@ -197,8 +198,8 @@
 
     fn vacancy(&self, endpoint: EndpointId) -> u32 {
         let limit = self.limits.get(&endpoint).copied().unwrap_or(0);
-        let claimed = self.claimed.get(&endpoint).copied().unwrap_or(0);
-        limit.saturating_sub(claimed)
+        let assigned_slots = self.assigned_slots.get(&endpoint).copied().unwrap_or(0);
+        limit.saturating_sub(assigned_slots)
     }
 
     fn change_vacancy(&mut self, endpoint: EndpointId, change: impl FnOnce(&mut Self)) {
@@ -219,29 +220,30 @@
     }
 
     /// Replaces `before` by `after` in the number of an endpoint's slots that are held.
-    pub fn move_claimed(&mut self, endpoint: EndpointId, before: u32, after: u32) {
+    pub fn move_assigned(&mut self, endpoint: EndpointId, before: u32, after: u32) {
         self.change_vacancy(endpoint, |pool| {
-            let claimed = pool.claimed.entry(endpoint).or_default();
-            *claimed = (*claimed + after).saturating_sub(before);
+            let assigned_slots = pool.assigned_slots.entry(endpoint).or_default();
+            *assigned_slots = (*assigned_slots + after).saturating_sub(before);
         });
     }
 
-    /// Changes one member's claim on an endpoint and updates the totals.
-    pub fn change_claim(
+    /// Changes the slots of one endpoint that are assigned to an entry router and updates the
+    /// totals.
+    pub fn change_assignment(
         &mut self,
         host: &HostName,
         endpoint: EndpointId,
-        change: impl FnOnce(&mut SlotClaim),
+        change: impl FnOnce(&mut SlotAssignment),
     ) {
         let Some(member) = self.members.get_mut(host) else {
             return;
         };
-        let claim = member.slots.entry(endpoint).or_default();
-        let before = claim.held();
-        change(claim);
-        let after = claim.held();
+        let assignment = member.slots.entry(endpoint).or_default();
+        let before = assignment.held();
+        change(assignment);
+        let after = assignment.held();
         member.held = member.held - before + after;
-        self.move_claimed(endpoint, before, after);
+        self.move_assigned(endpoint, before, after);
     }
 
     /// Removes an entry router and frees its slots for new grants.
@@ -249,8 +251,8 @@
         let Some(member) = self.members.remove(host) else {
             return;
         };
-        for (endpoint, claim) in member.slots {
-            self.move_claimed(endpoint, claim.held(), 0);
+        for (endpoint, assignment) in member.slots {
+            self.move_assigned(endpoint, assignment.held(), 0);
         }
         let charges = member.teams.iter();
         let removed = RemovedMember {
@@ -263,19 +265,19 @@
         self.urgent = true;
     }
 
-    /// The claim of an entry router, created if missing.
+    /// The state of an entry router, created if missing.
     ///
     /// After a partition, a router's charges include the service it provided meanwhile. Its earlier
     /// charges are kept so that the difference is counted, and teams that were served more on the
     /// other side of the partition rank behind the others.
-    pub fn claim_mut(
+    pub fn pool_member_mut(
         &mut self,
         host: &HostName,
         incarnation: RouterIncarnation,
-    ) -> &mut MemberClaim {
+    ) -> &mut PoolMember {
         let removed = &mut self.removed;
         self.members.entry(host.clone()).or_insert_with(|| {
-            let mut claim = MemberClaim::new(incarnation);
+            let mut member = PoolMember::new(incarnation);
             let known = removed.remove(host);
             let known = known.filter(|known| known.incarnation == incarnation);
             for (team, charged) in known.into_iter().flat_map(|known| known.charged) {
@@ -283,9 +285,9 @@
                     charged,
                     ..TeamDemand::default()
                 };
-                claim.teams.insert(team, demand);
+                member.teams.insert(team, demand);
             }
-            claim
+            member
         })
     }
 
@@ -321,8 +323,8 @@
         let endpoint = EndpointId(3);
         pool.set_limit(endpoint, 4);
         pool.members
-            .insert(host.clone(), MemberClaim::new(RouterIncarnation(9)));
-        pool.change_claim(&host, endpoint, |claim| claim.granted += 3);
+            .insert(host.clone(), PoolMember::new(RouterIncarnation(9)));
+        pool.change_assignment(&host, endpoint, |assignment| assignment.granted += 3);
         assert_eq!(pool.vacant.last(), Some(&(1, endpoint)));
         pool.drop_member(&host);
         assert_eq!(pool.vacant.last(), Some(&(4, endpoint)));
--- a/src/core/tables/slot_limits.rs
+++ b/src/core/tables/slot_limits.rs
@@ -1,5 +1,8 @@
 //! Concurrency limits of endpoints, kept by pool owners, and counts of late first bytes, kept by
 //! entry routers.
+//!
+//! The foreign load of an endpoint is the number of its requests beyond the slots that this router,
+//! as the owner, has granted: during a partition another owner grants slots of the same endpoint.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,10 +23,10 @@
 /// The concurrency limit of one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct SlotLimit {
-    /// Requests that may run at once; `None` while the limit is not below the published slots.
+    /// Number of requests that may run at once; `None` if all published slots may be used.
     pub allowed: Option<f64>,
-    /// True if the engine queued requests since the last adjustment of the limit.
-    pub engine_queued: bool,
+    /// True if the endpoint queued requests since the last adjustment of the limit.
+    pub endpoint_queued: bool,
     /// Entry routers that report late answers from the endpoint.
     pub late_reporters: BTreeSet<HostName>,
     foreign: [u32; FOREIGN_LOAD_SAMPLES],
@@ -32,10 +35,10 @@
 }
 
 impl SlotLimit {
-    /// Records an estimate of the foreign load: requests that run there without a slot granted by
-    /// this owner.
-    pub fn note_foreign(&mut self, running: u32, now: Moment) {
-        self.foreign[self.next_sample] = running;
+    /// Records an estimate of the foreign load: requests that run or wait at the endpoint without a
+    /// slot granted by this owner.
+    pub fn note_foreign_load(&mut self, requests: u32, now: Moment) {
+        self.foreign[self.next_sample] = requests;
         self.next_sample = (self.next_sample + 1) % FOREIGN_LOAD_SAMPLES;
         self.foreign_at = Some(now);
     }
@@ -102,12 +105,12 @@
     #[test]
     fn one_lagging_report_is_not_foreign_load() {
         let mut limit = SlotLimit::default();
-        for running in [9, 2, 0, 7, 8] {
-            limit.note_foreign(running, Moment(1));
+        for requests in [9, 2, 0, 7, 8] {
+            limit.note_foreign_load(requests, Moment(1));
         }
         assert_eq!(limit.foreign(), 0);
-        limit.note_foreign(7, Moment(2));
-        limit.note_foreign(6, Moment(3));
+        limit.note_foreign_load(7, Moment(2));
+        limit.note_foreign_load(6, Moment(3));
         assert_eq!(limit.foreign(), 6);
     }
 
