--- a/examples/measure/checks.rs
+++ b/examples/measure/checks.rs
@@ -1,5 +1,5 @@
-//! Runs one scenario on the fleet and on the naive version and states each measure, its bound
-//! and the naive version's figure.
+//! Runs one scenario on the fleet and on the naive version and reports each measure with its
+//! bound and the naive version's value.
 
 use serde_json::Value;
 use serde_json::json;
@@ -12,41 +12,42 @@
 use super::scenarios::FleetSize;
 use super::tally::FleetTally;
 
-/// Control bytes a second that a router may send.
+/// Control bytes per second that a router may send.
 const CONTROL_BOUND: f64 = 4_000.0;
-/// Part of capacity that may be free while a request waits for it.
+/// Fraction of capacity that may be free while a request that could use it waits.
 const LOSS_BOUND: f64 = 0.01;
-/// Seconds after which a leaving endpoint gets nothing new.
+/// Seconds after an endpoint starts to leave during which it may still get new work.
 const LEAVING_BOUND: f64 = 5.0;
-/// Endpoints that one crashing request may take down, resends included.
+/// Endpoints that one request and its resends may crash.
 const CRASH_BOUND: f64 = 2.0;
-/// Models that one endpoint may load in a scenario, which is shorter than the residence.
+/// Models that one endpoint may load in a scenario. A scenario is shorter than the minimum time
+/// for which a loaded model stays.
 const LOADS_BOUND: f64 = 1.0;
-/// Attempts per started request.
+/// Attempts allowed per started request.
 const RETRY_BOUND: f64 = 1.1;
 
-/// One measure of one run.
+/// Result of one measure in one run.
 #[derive(Debug, Clone)]
 pub struct FleetCheck {
-    /// What is measured.
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The fleet's figure.
+    /// Value measured on the fleet.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// The naive version's figure, where it has one.
+    /// Value of the naive version, if the measure applies to it.
     pub baseline: Option<f64>,
-    /// The greatest figure allowed, where one is stated.
+    /// Greatest value allowed, if the measure has a bound.
     pub bound: Option<f64>,
 }
 
 impl FleetCheck {
-    /// True unless the bound was passed.
+    /// Returns true unless the value exceeds the bound.
     pub fn holds(&self) -> bool {
         self.bound.is_none_or(|bound| self.value <= bound)
     }
 
-    /// One line of output.
+    /// Formats the result as one line of output.
     pub fn to_json(&self, scenario: FleetScenario, size: FleetSize, seed: u64) -> Value {
         json!({
             "scenario": scenario.name,
@@ -62,7 +63,7 @@
     }
 }
 
-/// Runs a scenario from a seed.
+/// Runs a scenario with a seed and returns all its measures.
 pub fn run(scenario: FleetScenario, size: FleetSize, seed: u64) -> Vec<FleetCheck> {
     let catalog = scenarios::catalog_for(scenario, size);
     let load = LoadPlan {
@@ -85,7 +86,7 @@
     checks
 }
 
-/// What must hold in every run, whatever goes wrong.
+/// Returns the measures that must be 0 in every run, whatever faults occur.
 #[allow(clippy::cast_precision_loss)]
 pub fn invariants(fleet: &CoreFleet) -> Vec<FleetCheck> {
     let tally = &fleet.tally;
--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, or is done by operators, and how the fleet is made to feel it.
+//! Faults and operator actions that a run injects into the fleet.
 
 use std::sync::Arc;
 
@@ -14,34 +14,35 @@
 use super::fleet::Seat;
 use super::fleet::host;
 
-/// Microseconds by which a lagging host list is behind the others.
+/// Microseconds by which a stale host list lags behind the others.
 const LIST_LAG_US: u64 = 4_000_000;
 
 /// Microseconds that an endpoint takes to load a model.
 const LOAD_US: u64 = 3_000_000;
 
-/// What can go wrong, or be done by operators, at a moment of a scenario.
+/// A fault or operator action at one time of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FleetFault {
-    /// Routers below this index no longer reach the others.
+    /// A partition separates the routers below this index from the others.
     Part(usize),
-    /// All reach all again.
+    /// The partition ends.
     Heal,
-    /// A router restarts with nothing in memory.
+    /// A router restarts with empty state.
     Restart(usize),
-    /// A router sees and does nothing for so many milliseconds.
+    /// A router processes nothing for this many milliseconds.
     Pause(usize, u64),
-    /// An endpoint is on the host list as leaving; this one router's list lags.
+    /// The host list marks an endpoint as leaving; the list of the second index's router lags.
     Leave(usize, usize),
-    /// A lagging list shows a router that an endpoint leaves.
+    /// A router's host list now marks an endpoint as leaving.
     ShowLeaving(usize, usize),
-    /// An endpoint has loaded the model of this pool.
+    /// An endpoint finished loading the model of this pool.
     Loaded(usize, PoolId),
-    /// An endpoint loses all that it runs.
+    /// An endpoint crashes and loses all its running requests.
     Crash(usize),
-    /// A publication with this revision and all shares times this factor for odd teams.
+    /// Publishes a catalog with this revision; shares of teams with odd ids are multiplied by the
+    /// factor.
     Publish(u64, u32),
-    /// Parts per thousand of messages that are lost, and as many doubled.
+    /// Loses this many messages per thousand and duplicates as many.
     Noise(u32),
 }
 
@@ -97,7 +98,10 @@
             .copied()
             .collect();
         for key in runs {
-            let run = self.running.remove(&key).expect("just listed");
+            let run = self
+                .running
+                .remove(&key)
+                .expect("key was collected from the map");
             self.tally.stops(run.endpoint);
         }
         let calls: Vec<_> = self
@@ -107,7 +111,10 @@
             .copied()
             .collect();
         for key in calls {
-            let call = self.calls.remove(&key).expect("just listed");
+            let call = self
+                .calls
+                .remove(&key)
+                .expect("key was collected from the map");
             self.close(call, RunOutcome::Unknown, false);
         }
         for other in 0..self.seats.len() {
@@ -125,8 +132,8 @@
         for seat in (0..self.seats.len()).filter(|seat| *seat != deaf) {
             self.show_leaving(place, seat);
         }
-        // Peers tell the router whose list lags, unless a partition leaves it alone; then only its
-        // own list can.
+        // Gossip from peers informs the router whose list lags, unless a partition isolates it;
+        // then only its own list does.
         let late = self.now + LIST_LAG_US;
         self.plan(late, FleetFault::ShowLeaving(place, deaf));
     }
@@ -137,7 +144,8 @@
         self.tell(seat, CoreEvent::HostsListed { routers, leaving });
     }
 
-    /// An order arrives at an endpoint that refuses old fencing numbers and loads in `LOAD_US`.
+    /// Applies a model order at an endpoint, which rejects stale fencing numbers and loads the
+    /// model in `LOAD_US`.
     pub(super) fn order(&mut self, endpoint: EndpointId, pool: PoolId, fence: FenceNumber) {
         let seen = self.fences.entry(endpoint).or_default();
         if fence <= *seen {
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -1,5 +1,5 @@
-//! The real decision cores joined by one queue of messages, with a fake clock and endpoints of
-//! a few lines each. The queue delivers, delays, drops and doubles; nothing else is modelled.
+//! Simulation of the real decision cores with one event queue, a fake clock and minimal
+//! endpoints. The queue delivers, delays, drops and duplicates messages; nothing else is modelled.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -43,9 +43,9 @@
 const TICK_US: u64 = 5_000;
 /// Microseconds between progress events of a running attempt.
 const PROGRESS_US: u64 = 250_000;
-/// Microseconds between load reports of an endpoint to a router that reads them.
+/// Microseconds between load reports of an endpoint to a router that watches it.
 const LOAD_US: u64 = 500_000;
-/// Bytes of framing around a control message.
+/// Framing bytes added to each control message.
 const FRAME_BYTES: u64 = 8;
 
 enum Item {
@@ -68,16 +68,16 @@
     cost: u64,
 }
 
-/// One router.
+/// One router: its core, its incarnation counter and the end of its pause in microseconds.
 pub(super) struct Seat {
     pub(super) core: RouterCore,
     pub(super) life: u64,
     pub(super) wakes_at: u64,
 }
 
-/// The cores, the queue and the endpoints.
+/// A simulated fleet: the cores, the event queue and the endpoints.
 pub struct CoreFleet {
-    /// What was counted.
+    /// Counters of the run.
     pub tally: FleetTally,
     pub(super) seats: Vec<Seat>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -103,11 +103,11 @@
 }
 
 pub(super) fn host(index: usize) -> HostName {
-    format!("host-{index}").parse().expect("a plain name")
+    format!("host-{index}").parse().expect("a valid name")
 }
 
 impl CoreFleet {
-    /// A fleet of `routers` cores that serve `load` with `catalog`.
+    /// Creates a fleet of `routers` cores that serve `load` with `catalog`.
     pub fn new(routers: usize, catalog: FleetCatalog, load: LoadPlan, seed: u64) -> Self {
         let names = catalog.endpoints.keys().copied().collect();
         let mut fleet = Self {
@@ -155,7 +155,7 @@
             incarnation: RouterIncarnation(self.seed << 20 | number << 8 | life),
             domain: format!("domain-{}", index % 3)
                 .parse()
-                .expect("a plain name"),
+                .expect("a valid name"),
             address: format!("127.0.0.1:{}", 7_000 + index).into(),
         };
         RouterCore::new(
@@ -172,7 +172,7 @@
                 address: format!("127.0.0.1:{}", 7_000 + other).into(),
                 domain: format!("domain-{}", other % 3)
                     .parse()
-                    .expect("a plain name"),
+                    .expect("a valid name"),
                 leaving: false,
             })
             .collect();
@@ -211,19 +211,19 @@
         self.items.insert(self.order, item);
     }
 
-    /// Adds a fault at a moment in microseconds.
+    /// Schedules a fault at a time in microseconds.
     pub fn plan(&mut self, at: u64, fault: FleetFault) {
         self.push(at, Item::Fault(fault));
     }
 
-    /// Adds all first calls of the load plan.
+    /// Schedules the first call of every lane of the load plan.
     pub fn begin_load(&mut self) {
         for (at, call, router) in self.load.first_calls(self.seats.len()) {
             self.push(at, Item::Call(call, router, None));
         }
     }
 
-    /// Runs until `end` microseconds.
+    /// Runs until `end`, in microseconds.
     pub fn run(&mut self, end: u64) {
         while let Some(Reverse((at, order))) = self.queue.pop() {
             if at > end {
@@ -231,7 +231,10 @@
             }
             self.now = at;
             self.tally.advance(at);
-            let item = self.items.remove(&order).expect("queued items are kept");
+            let item = self
+                .items
+                .remove(&order)
+                .expect("every queued number has an item");
             self.step(item);
         }
     }
@@ -486,7 +489,8 @@
         place.expect("the catalog's endpoints are listed")
     }
 
-    /// Adds up the service of a running attempt; `None` if another attempt runs or none.
+    /// Adds the service of a running attempt to the tally and returns its total so far, in service
+    /// units. Returns `None` if the request has no running attempt or a different one.
     fn served(
         &mut self,
         seat: usize,
@@ -567,7 +571,7 @@
         }
     }
 
-    /// The caller has its answer or refusal; a closed-loop team sends its next call.
+    /// Records the answer or refusal of a call; a closed stream sends its next call.
     pub(super) fn close(&mut self, call: u64, outcome: RunOutcome, whole: bool) {
         let spec = self.load.spec(call);
         self.tally.ended(call, &spec, outcome, whole);
@@ -579,7 +583,7 @@
         }
     }
 
-    /// Revisions in force at the end, one a router.
+    /// Returns the revision in force at each router.
     pub fn revisions(&self) -> Vec<u64> {
         let seats = self.seats.iter();
         seats
@@ -587,8 +591,8 @@
             .collect()
     }
 
-    /// Calls that have no answer yet and are known to a router, or on their way to one: sent
-    /// again with a ticket, or forwarded.
+    /// Number of unanswered calls that a router holds or that are in transit to one, sent again
+    /// with a ticket or forwarded.
     pub fn open_calls(&self) -> usize {
         let on_the_way = self
             .items
--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -1,4 +1,4 @@
-//! Who calls what, and what it costs: the same calls for the fleet and for the naive version.
+//! Generates the calls of a run and their costs, the same for the fleet and the naive version.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -8,75 +8,75 @@
 use verbenaturn::units::PoolId;
 use verbenaturn::units::TeamId;
 
-/// One call as the load plan makes it.
+/// One call of the load plan.
 #[derive(Debug, Clone)]
 pub struct CallSpec {
-    /// Its team.
+    /// Team that sends the call.
     pub team: TeamId,
-    /// Its kind.
+    /// Request kind.
     pub kind: KindName,
-    /// Its pool.
+    /// Pool that serves the call.
     pub pool: PoolId,
-    /// Service units that it takes.
+    /// Cost in service units.
     pub cost: u64,
-    /// Microseconds that it takes on an endpoint within its limit.
+    /// Duration in microseconds on an endpoint that runs no more than its limit.
     pub duration_us: u64,
-    /// Microseconds that its caller waits.
+    /// Microseconds until the caller's deadline.
     pub patience_us: u64,
-    /// True if it may run at most once.
+    /// True if the call may run at most once.
     pub unrepeatable: bool,
-    /// True if it crashes the endpoint that runs it.
+    /// True if the call crashes the endpoint that runs it.
     pub poison: bool,
 }
 
-/// When a stream of calls sends its next one.
+/// Arrival process of a stream of calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CallPace {
-    /// As soon as an answer came, so that the stream is always backlogged.
+    /// Closed loop: the next call follows an answer at once, so the stream is always backlogged.
     Closed,
-    /// At random, so many a second on average.
+    /// Open loop: Poisson arrivals with this mean rate per second.
     Open(f64),
 }
 
 /// Calls of one kind by one team.
 #[derive(Debug, Clone)]
 pub struct CallStream {
-    /// The team.
+    /// Team that sends the calls.
     pub team: TeamId,
-    /// The kind.
+    /// Request kind.
     pub kind: KindName,
-    /// The pool.
+    /// Pool that serves the calls.
     pub pool: PoolId,
-    /// Least and greatest cost.
+    /// Least and greatest cost of a call, in service units.
     pub costs: (u64, u64),
-    /// Service units a second of one call.
+    /// Service units per second of one call.
     pub rate: u64,
-    /// Pace.
+    /// Arrival process.
     pub pace: CallPace,
     /// Calls outstanding at once, for a closed stream.
     pub depth: u32,
-    /// Routers that it uses: all, or only the one of this index modulo the fleet.
+    /// Router that gets the calls, as an index modulo the fleet size; `None` for a random one.
     pub router: Option<usize>,
-    /// Microseconds from start and end between which it calls.
+    /// Start and end of the stream, in microseconds from the start of the run.
     pub span: (u64, u64),
-    /// True if its calls may run at most once.
+    /// True if the calls may run at most once.
     pub unrepeatable: bool,
-    /// True if its calls crash endpoints.
+    /// True if the calls crash endpoints.
     pub poison: bool,
 }
 
-/// All streams, with the seed that their costs come from.
+/// All streams, with the seed that costs, arrival times and routers are drawn from.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// The streams.
+    /// Streams of calls; a stream's index is part of its calls' numbers.
     pub streams: Vec<CallStream>,
-    /// The seed.
+    /// Seed of all draws.
     pub seed: u64,
 }
 
-/// Bits of a call's number that count within its lane.
+/// Low bits of a call number that count the calls of a lane.
 const LANE_SHIFT: u64 = 24;
-/// Bits of a call's number below its stream's number.
+/// Bits of a call number below the stream index: lane and count.
 const STREAM_SHIFT: u64 = 40;
 
 impl LoadPlan {
@@ -85,10 +85,10 @@
     }
 
     fn stream(&self, call: u64) -> &CallStream {
-        &self.streams[usize::try_from(call >> STREAM_SHIFT).expect("few streams")]
+        &self.streams[usize::try_from(call >> STREAM_SHIFT).expect("stream index fits in usize")]
     }
 
-    /// What a call is. Depends on the seed and the call's number only.
+    /// Returns the properties of a call; they depend only on the seed and the call number.
     pub fn spec(&self, call: u64) -> CallSpec {
         let stream = self.stream(call);
         let mut draws = self.draws(call);
@@ -105,7 +105,8 @@
         }
     }
 
-    /// What resends are recognised by: calls that crash endpoints are all resends of one.
+    /// Returns the fingerprint that identifies resends. All crashing calls of a stream count as
+    /// resends of one call.
     pub fn fingerprint(&self, call: u64) -> u64 {
         if self.stream(call).poison {
             return call >> STREAM_SHIFT << STREAM_SHIFT | 1;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The first call of each lane: moment, call and router.
+    /// Returns the first call of each lane: time in microseconds, call number and router.
     pub fn first_calls(&self, routers: usize) -> Vec<(u64, u64, usize)> {
         let mut calls = Vec::new();
         for (place, stream) in self.streams.iter().enumerate() {
@@ -148,8 +149,8 @@
         calls
     }
 
-    /// For a closed stream, the call that follows an ended one: wait, call and router. A caller
-    /// that was refused waits a little first.
+    /// For a closed stream, returns the call that follows an ended one: wait in microseconds, call
+    /// number and router. The wait is 100 ms after a refusal and 0 otherwise.
     pub fn next_call(&self, call: u64, whole: bool, routers: usize) -> Option<(u64, u64, usize)> {
         if self.stream(call).pace != CallPace::Closed {
             return None;
@@ -159,7 +160,8 @@
         Some((wait, next, self.router(next, routers)))
     }
 
-    /// For an open stream, the call that follows an arrived one: wait, call and router.
+    /// For an open stream, returns the call that follows an arrival: wait in microseconds, call
+    /// number and router.
     pub fn follower(&self, call: u64, routers: usize) -> Option<(u64, u64, usize)> {
         if self.stream(call).pace == CallPace::Closed {
             return None;
@@ -168,7 +170,7 @@
         Some((self.gap(next), next, self.router(next, routers)))
     }
 
-    /// True if the call's stream still calls at this moment.
+    /// Returns true if the call's stream still sends calls at `now`.
     pub fn lasts(&self, call: u64, now: u64) -> bool {
         self.stream(call).span.1 > now
     }
--- a/examples/measure/main.rs
+++ b/examples/measure/main.rs
@@ -1,5 +1,5 @@
-//! Runs scenarios on the real decision cores beside the naive version and prints one JSON
-//! object a measure. Exits with 1 if an invariant broke.
+//! Runs scenarios on the real decision cores and on the naive version and prints one JSON object
+//! per measure. Exits with 1 if a measure exceeds its bound.
 
 mod checks;
 mod faults;
@@ -27,7 +27,7 @@
 use self::scenarios::SCENARIOS;
 use self::scenarios::WICKRAMASINGHE;
 
-/// The scenario that varies sizes.
+/// Name of the scenario that varies the size of the fleet.
 const SLOPES: &str = "slopes";
 
 fn command() -> Command {
--- a/examples/measure/naive.rs
+++ b/examples/measure/naive.rs
@@ -1,5 +1,5 @@
-//! The naive version: one queue for the whole fleet with perfect and instant knowledge. Each
-//! free slot goes to the waiting team of least service over share, charged with the true cost.
+//! The naive version: one queue for the whole fleet with complete, immediate knowledge. Each free
+//! slot goes to the waiting team with the least service per share, charged with the true cost.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -15,10 +15,10 @@
 use super::load::LoadPlan;
 use super::tally::FleetTally;
 
-/// Microseconds between two looks at a running call.
+/// Microseconds between progress updates of a running call.
 const PROGRESS_US: u64 = 250_000;
-/// Nothing starts before this moment, so that all first calls are there for the first picks; the
-/// fleet's owners listen as long.
+/// Microseconds before which nothing starts, so that all first calls have arrived when the first
+/// are chosen. The fleet's pool owners collect reports for the same time.
 const BEGIN_US: u64 = 150_000;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
 
 /// The naive version of the whole fleet.
 pub struct NaiveFleet {
-    /// What was counted.
+    /// Counters of the run.
     pub tally: FleetTally,
     load: LoadPlan,
     shares: BTreeMap<TeamId, u64>,
@@ -51,7 +51,7 @@
 }
 
 impl NaiveFleet {
-    /// A naive fleet that serves `load` with `catalog`.
+    /// Creates a naive fleet that serves `load` with `catalog`.
     pub fn new(catalog: &FleetCatalog, load: LoadPlan) -> Self {
         let mut free: BTreeMap<PoolId, Vec<EndpointId>> = BTreeMap::new();
         for (endpoint, entry) in &catalog.endpoints {
@@ -78,7 +78,7 @@
         fleet
     }
 
-    /// Runs until `end` microseconds.
+    /// Runs until `end`, in microseconds.
     pub fn run(&mut self, end: u64) {
         while let Some(Reverse((now, item))) = self.queue.pop() {
             if now > end {
--- a/examples/measure/scenarios.rs
+++ b/examples/measure/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios: each a short table entry of load and faults.
+//! The scenarios, each with its load and faults.
 
 use std::collections::BTreeMap;
 
@@ -29,15 +29,15 @@
 /// Sizes of one deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSize {
-    /// Its name.
+    /// Name of the deployment.
     pub name: &'static str,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Teams.
+    /// Number of teams.
     pub teams: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Portal or tablet endpoints.
+    /// Number of portal or tablet endpoints.
     pub plain: usize,
 }
 
@@ -58,19 +58,19 @@
     plain: 4,
 };
 
-/// Requests that one engine runs at once.
+/// Concurrent requests of one engine.
 const ENGINE_SLOTS: u32 = 16;
-/// Requests that one portal or tablet endpoint runs at once.
+/// Concurrent requests of one portal or tablet endpoint.
 const PLAIN_SLOTS: u32 = 8;
-/// Tokens a second of one stream.
+/// Tokens per second of one call.
 const TOKEN_RATE: u64 = 40;
 
 /// One scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetScenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: &'static str,
-    /// Its length in microseconds.
+    /// Length in microseconds.
     pub end_us: u64,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// All scenarios but `slopes`.
+/// All scenarios except `slopes`.
 pub const SCENARIOS: [FleetScenario; 16] = [
     scenario("steady", 60),
     scenario("skew", 60),
@@ -101,22 +101,22 @@
     scenario("mixed", 60),
 ];
 
-/// The name of team `index`.
+/// Returns the name of team `index`.
 pub fn team_name(index: usize) -> TeamName {
-    format!("team-{index:05}").parse().expect("a plain name")
+    format!("team-{index:05}").parse().expect("a valid name")
 }
 
-/// The pool of the model engines.
+/// Returns the name of the model engines' pool.
 pub fn engine_pool() -> PoolName {
-    "model".parse().expect("a plain name")
+    "model".parse().expect("a valid name")
 }
 
-/// A second model that every engine can load, in the scenario `orders`.
+/// Returns the pool of a second model that every engine can load in the scenario `orders`.
 pub fn other_pool() -> PoolName {
-    "other-model".parse().expect("a plain name")
+    "other-model".parse().expect("a valid name")
 }
 
-/// The catalog of a scenario.
+/// Builds the catalog of a scenario.
 pub fn catalog_for(scenario: FleetScenario, size: FleetSize) -> FleetCatalog {
     let mut catalog = catalog(size);
     if scenario.name != "orders" {
@@ -135,9 +135,9 @@
     catalog
 }
 
-/// The pool of the portal or tablet endpoints.
+/// Returns the name of the portal or tablet endpoints' pool.
 pub fn plain_pool() -> PoolName {
-    "portal".parse().expect("a plain name")
+    "portal".parse().expect("a valid name")
 }
 
 fn kind(urgency: UrgencyClass, unrepeatable: bool) -> KindEntry {
@@ -153,11 +153,11 @@
 }
 
 fn kind_name(text: &str) -> KindName {
-    text.parse().expect("a plain name")
+    text.parse().expect("a valid name")
 }
 
-/// A catalog of this size. Shares go 1, 2, 3, 4 by groups of four teams;
-/// the first of each group is large.
+/// Builds a catalog for a fleet size. Each group of four teams has the same share, and the shares
+/// of successive groups are 1, 2, 3, 4, repeating. The first team of each group has a large load.
 pub fn catalog(size: FleetSize) -> FleetCatalog {
     let mut catalog = FleetCatalog {
         revision: ConfigRevision(1),
@@ -203,7 +203,7 @@
 ) {
     let mut endpoints = Vec::new();
     for index in 0..count {
-        let endpoint: EndpointName = format!("{name}-{index}").parse().expect("a plain name");
+        let endpoint: EndpointName = format!("{name}-{index}").parse().expect("a valid name");
         let id = EndpointId::from(&endpoint);
         let port = 9_000 + u16::try_from(catalog.endpoints.len()).unwrap_or(0);
         let entry = EndpointEntry {
@@ -212,7 +212,7 @@
             pools: vec![PoolId::from(name)],
             domain: format!("domain-{}", index % 3)
                 .parse()
-                .expect("a plain name"),
+                .expect("a valid name"),
             slots: SlotCount(slots),
             fence_check: FenceCheck::Checked,
             leaving: false,
@@ -258,8 +258,8 @@
     u32::try_from(size.engines).unwrap_or(1) * ENGINE_SLOTS
 }
 
-/// The load that most scenarios share: every fourth team floods with reviews and queries, the
-/// others send some of each; all use the portal.
+/// Load that most scenarios share: every fourth team is backlogged with reviews and queries, the
+/// others send a few queries and tags, and all use the portal.
 fn base_load(size: FleetSize) -> Vec<CallStream> {
     let mut streams = Vec::new();
     let deep = slots_of(size) / 2;
@@ -276,8 +276,8 @@
     streams
 }
 
-/// Greatest fairness gap allowed, in service units per share: every slot of the engines taken by
-/// one team's dearest requests just before another team begins to wait. See
+/// Greatest fairness gap allowed, in service units per share: one team's most expensive requests
+/// take every engine slot just before another team begins to wait. See
 /// docs/design/fairness.md.
 pub fn gap_bound(size: FleetSize, streams: &[CallStream]) -> f64 {
     let engine = PoolId::from(&engine_pool());
@@ -287,7 +287,7 @@
     f64::from(u32::try_from(units).unwrap_or(u32::MAX))
 }
 
-/// The load of a scenario.
+/// Returns the load of a scenario.
 pub fn load(scenario: FleetScenario, size: FleetSize) -> Vec<CallStream> {
     let mut streams = base_load(size);
     let slots = slots_of(size);
@@ -346,7 +346,8 @@
     streams
 }
 
-/// The faults of a scenario, in microseconds from its start. `draw` is random from the seed.
+/// Returns the faults of a scenario with their times in microseconds from its start. `draw` is a
+/// pseudo-random number derived from the seed.
 pub fn faults(scenario: FleetScenario, draw: u64) -> Vec<(u64, FleetFault)> {
     let second = 1_000_000;
     let one = usize::try_from(draw % 8).unwrap_or(0);
--- a/examples/measure/slope_sizes.rs
+++ b/examples/measure/slope_sizes.rs
@@ -1,4 +1,4 @@
-//! Sizes of what is published and of control messages, and the cost of taking a publication in.
+//! Sizes of publications and control messages, and the cost of adopting a publication.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -19,12 +19,12 @@
 use super::slopes::SlopeFigure;
 use super::slopes::median;
 
-/// Times that each text is taken in.
+/// Number of times that each text is adopted.
 const ADOPTIONS: usize = 5;
-/// Bytes of framing around a control message.
+/// Framing bytes added to each control message.
 const FRAME_BYTES: usize = 8;
 
-/// Size of a published text and the cost of taking it in, with one key a team.
+/// Measures the size of a published text with one key per team, and the cost of adopting it.
 #[allow(clippy::cast_precision_loss)]
 pub fn publication_figures(teams: usize) -> Vec<SlopeFigure> {
     let entries: serde_json::Map<String, Value> = (0..teams)
@@ -51,7 +51,7 @@
         .map(|_| {
             let started = Instant::now();
             let adopted = publication::adopt(ConfigRevision(1), text.as_bytes());
-            black_box(adopted.expect("the text is good"));
+            black_box(adopted.expect("the text is a valid publication"));
             started.elapsed()
         })
         .collect();
@@ -69,7 +69,7 @@
     ]
 }
 
-/// Bytes of a message with so many rows of ordinary values.
+/// Measures the encoded size of a message with `rows` rows of typical values.
 #[allow(clippy::cast_precision_loss)]
 pub fn message_bytes(message: &str, rows: usize) -> SlopeFigure {
     let count = u32::try_from(rows).unwrap_or(u32::MAX);
--- a/examples/measure/slopes.rs
+++ b/examples/measure/slopes.rs
@@ -1,5 +1,5 @@
-//! How cost, control traffic and state grow with teams, endpoints and routers: short runs of
-//! the real cores at several sizes, and a straight line laid through each series.
+//! Measures how cost, control traffic and state grow with teams, endpoints and routers: short
+//! runs of the real cores at several sizes, and a linear fit of each series.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -34,16 +34,17 @@
 const END_US: u64 = 6_000_000;
 /// Microseconds between two ticks of a core in the timed part.
 const TICK_US: u64 = 5_000;
-/// Slots of one engine of the measured catalogs.
+/// Slots of one engine in the measured catalogs.
 const ENGINE_SLOTS: usize = 16;
-/// Calls a second at one router: 70,000 over 1,300.
+/// Calls per second at one router: 70,000 calls per second over 1,300 routers.
 const CALLS_PER_ROUTER: f64 = 54.0;
 /// Teams in the published texts.
 const PUBLISHED_TEAMS: [usize; 4] = [16, 250, 1_000, 4_000];
-/// Ticks timed at each size. Few: without answers from peers a router begins to suspect them.
+/// Ticks timed at each size. Kept small because a router that gets no replies from its peers
+/// begins to suspect them.
 const TIMED_TICKS: u64 = 10;
 
-/// What is varied.
+/// Dimension of the fleet that a sweep varies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SweepAxis {
     Teams,
@@ -99,23 +100,23 @@
     }
 }
 
-/// One figure of one run.
+/// One measured value of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct SlopeFigure {
-    /// What is measured.
+    /// Name of the measure.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// The figure.
+    /// Measured value.
     pub value: f64,
 }
 
-/// A straight line through points.
+/// Least-squares line through a series of points.
 #[derive(Debug, Clone, Copy)]
 struct SlopeFit {
     slope: f64,
     intercept: f64,
-    /// Part of the variance that the line explains.
+    /// Fraction of the variance that the line explains.
     r2: f64,
 }
 
@@ -140,7 +141,7 @@
     }
 }
 
-/// Runs all series from a seed, prints them, and returns whether the bounds held.
+/// Runs all series with a seed, prints them, and returns whether every bound held.
 pub fn run(seed: u64) -> bool {
     let mut held = true;
     for axis in SweepAxis::ALL {
@@ -183,7 +184,8 @@
     runs.iter().map(|(size, row)| (*size, row[place])).collect()
 }
 
-/// Prints a series and its line. A decision may grow no faster than the logarithm of the size.
+/// Prints a series and its fit. The cost of a decision may grow no faster than the logarithm of
+/// the size.
 #[allow(clippy::cast_precision_loss)]
 fn report(axis: &str, seed: u64, series: &[(usize, SlopeFigure)]) -> bool {
     let figure = series[0].1;
@@ -227,14 +229,15 @@
     })
 }
 
-/// A tenth of the teams is backlogged, with twice the engines' slots outstanding in all; the
-/// others make the size to design for's calls a second at each router, through the plain pool.
+/// Load of a sweep. A tenth of the teams is backlogged, with about twice the engines' slots
+/// outstanding in all; in addition all teams send the design load of `CALLS_PER_ROUTER` calls per
+/// second at each router through the plain pool.
 #[allow(clippy::cast_precision_loss)]
 fn slope_load(size: FleetSize) -> Vec<CallStream> {
     let backlogged = (size.teams / 10).max(2);
     let depth = (2 * ENGINE_SLOTS * size.engines / backlogged).max(4);
     let calls = CALLS_PER_ROUTER * size.routers as f64 / size.teams as f64;
-    let query: KindName = "query".parse().expect("a plain name");
+    let query: KindName = "query".parse().expect("a valid name");
     let stream = |team: usize| CallStream {
         team: TeamId::from(&scenarios::team_name(team)),
         kind: query.clone(),
@@ -311,20 +314,20 @@
     seat.expect("a live router owns the pool")
 }
 
-/// Processor time of all cores together in a second of their time.
+/// CPU time of all cores together per second of simulated time, in microseconds.
 #[allow(clippy::cast_precision_loss)]
 fn fleet_cpu(fleet: &CoreFleet) -> f64 {
     fleet.tally.cost.as_secs_f64() * 1e12 / END_US as f64
 }
 
-/// Control bytes a second of the quietest router.
+/// Control bytes per second of the router that sent the fewest.
 #[allow(clippy::cast_precision_loss)]
 fn least_control(fleet: &CoreFleet) -> f64 {
     let least = fleet.tally.control.iter().min().copied().unwrap_or(0);
     least as f64 * 1e6 / END_US as f64
 }
 
-/// Median in microseconds; 0 of none.
+/// Returns the median in microseconds, or 0 without values.
 pub fn median(mut costs: Vec<Duration>) -> f64 {
     costs.sort_unstable();
     let middle = costs.get(costs.len() / 2).copied().unwrap_or_default();
@@ -337,7 +340,7 @@
     started.elapsed()
 }
 
-/// Median cost of an event of each attempt that runs at one router.
+/// Median cost in microseconds of handling one event for each running attempt of one router.
 fn attempt_cost(
     fleet: &mut CoreFleet,
     seat: usize,
@@ -360,7 +363,7 @@
     median(costs)
 }
 
-/// The end of an attempt with the choice of what runs next.
+/// The end of an attempt; handling it includes choosing the next request to run.
 fn ended(request: RequestId, attempt: AttemptNumber) -> CoreEvent {
     CoreEvent::AttemptEnded {
         request,
@@ -370,7 +373,7 @@
     }
 }
 
-/// Service of an attempt that goes on.
+/// Progress of an attempt that continues.
 fn progressed(request: RequestId, attempt: AttemptNumber) -> CoreEvent {
     CoreEvent::Progress {
         request,
@@ -379,7 +382,7 @@
     }
 }
 
-/// Median cost of a tick at one router, `stride` ticks after the one before.
+/// Median cost in microseconds of a tick at one router, with `stride` tick periods between ticks.
 fn tick_cost(fleet: &mut CoreFleet, seat: usize, stride: u64) -> f64 {
     let core = &mut fleet.seats[seat].core;
     let from = core.state().now.0;
--- a/examples/measure/state_bytes.rs
+++ b/examples/measure/state_bytes.rs
@@ -1,6 +1,5 @@
-//! What a core's tables take, by counting rows. An estimate: rows times their size, with the
-//! free places of ordered maps reckoned in; text beyond 23 bytes and the allocator's own bytes
-//! are left out.
+//! Estimates the memory that a core's tables take: rows times row size, plus the unused capacity
+//! of B-tree nodes. Strings longer than 23 bytes and allocator overhead are not counted.
 
 use std::mem::size_of;
 
@@ -31,15 +30,15 @@
 use verbenaturn::units::RequestId;
 use verbenaturn::units::TeamId;
 
-/// Places of a node of an ordered map over those in use.
+/// Allocated over used entries in the nodes of an ordered map.
 const NODE_SLACK: f64 = 1.5;
 
-/// Bytes by part of the core.
+/// Bytes by part of the core's state.
 #[derive(Debug, Clone, Copy)]
 pub struct StateBytes {
-    /// Pools as used here.
+    /// Pools that the router sends requests to.
     pub entry: f64,
-    /// Pools owned here.
+    /// Pools that the router owns.
     pub owned: f64,
     /// Requests.
     pub requests: f64,
@@ -49,7 +48,7 @@
     pub catalog: f64,
 }
 
-/// Counts a core's tables.
+/// Estimates the size of a core's tables.
 pub fn count(state: &CoreState) -> StateBytes {
     let members = map::<HostName, MemberEntry>(state.members.len());
     let peer_health = map::<HostName, PeerHealth>(state.detector.peer_health.len());
@@ -63,7 +62,7 @@
     }
 }
 
-/// Bytes of one row of some tables.
+/// Returns the size in bytes of one row of selected tables.
 pub fn row_sizes() -> [(&'static str, f64); 7] {
     [
         ("request_row", map::<RequestId, RequestEntry>(1)),
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -1,4 +1,5 @@
-//! What a run is judged by. The fleet and the naive version fill the same tally.
+//! Counters that the measures of a run are computed from. The fleet and the naive version fill
+//! the same tally.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,10 +15,10 @@
 
 /// Microseconds between samples of service and waiting.
 const SAMPLE_US: u64 = 250_000;
-/// Nothing before this moment counts for gap and utilisation, in microseconds.
+/// Length of the warm-up in microseconds; it is left out of fairness gap and utilisation.
 pub const WARM_UP_US: u64 = 2_000_000;
 
-/// One call's life.
+/// State of one call from arrival to end.
 #[derive(Debug, Clone, Default)]
 struct CallLife {
     arrived: u64,
@@ -36,7 +37,7 @@
     samples: Vec<(f64, bool)>,
 }
 
-/// Counts of one run.
+/// Counters of one run.
 #[derive(Debug, Default)]
 pub struct FleetTally {
     now: u64,
@@ -53,11 +54,11 @@
     calls: BTreeMap<u64, CallLife>,
     teams: BTreeMap<(PoolId, TeamId), TeamSamples>,
     sampled: u64,
-    /// Control bytes sent, one a router.
+    /// Control bytes sent, by router.
     pub(super) control: Vec<u64>,
     late: u64,
     crashes: BTreeMap<EndpointId, u32>,
-    /// Processor time of all cores.
+    /// CPU time of all cores.
     pub(super) cost: Duration,
     events: u64,
     queued: BTreeMap<KindName, Vec<u64>>,
@@ -75,7 +76,7 @@
 }
 
 impl FleetTally {
-    /// An empty tally.
+    /// Creates an empty tally.
     pub fn new(catalog: &FleetCatalog, routers: usize) -> Self {
         let mut tally = Self {
             shares: share_map(catalog),
@@ -91,12 +92,12 @@
         tally
     }
 
-    /// Shares changed.
+    /// Takes the teams' shares from a new catalog.
     pub fn shares_changed(&mut self, catalog: &FleetCatalog) {
         self.shares = share_map(catalog);
     }
 
-    /// Time passes: idle and used capacity is added up, service is sampled.
+    /// Advances the clock: adds up idle and used capacity and samples each team's service.
     #[allow(clippy::cast_precision_loss)]
     pub fn advance(&mut self, now: u64) {
         let span = (now - self.now) as f64;
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A call came from its caller.
+    /// Records that a call came from its caller.
     pub fn arrived(&mut self, call: u64, spec: &CallSpec) {
         let life = self.calls.entry(call).or_default();
         life.arrived = self.now;
@@ -130,12 +131,12 @@
         }
     }
 
-    /// True if a call came from its caller.
+    /// Returns true if a call came from its caller.
     pub fn has_arrived(&self, call: u64) -> bool {
         self.calls.contains_key(&call)
     }
 
-    /// A call waits for a slot, or no longer.
+    /// Records that a call waits for a slot, or no longer does.
     pub fn waits(&mut self, call: u64, spec: &CallSpec, waits: bool) {
         let life = self.calls.entry(call).or_default();
         if life.waiting == waits {
@@ -161,12 +162,12 @@
         }
     }
 
-    /// The pool that an endpoint serves.
+    /// Returns the pool that an endpoint serves.
     pub fn home_of(&self, endpoint: EndpointId) -> PoolId {
         self.homes.get(&endpoint).copied().unwrap_or_default()
     }
 
-    /// An endpoint serves another pool from now on.
+    /// Moves an endpoint to another pool and counts a model load.
     pub fn moves(&mut self, endpoint: EndpointId, pool: PoolId) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(0);
@@ -178,17 +179,17 @@
         *self.loads.entry(endpoint).or_default() += 1;
     }
 
-    /// Models that one endpoint loaded at most.
+    /// Greatest number of models that one endpoint loaded.
     pub fn most_loads(&self) -> u32 {
         self.loads.values().max().copied().unwrap_or(0)
     }
 
-    /// Models that all endpoints loaded.
+    /// Number of models that all endpoints loaded.
     pub fn all_loads(&self) -> u32 {
         self.loads.values().sum()
     }
 
-    /// An endpoint takes no more work, so its free slots are not idle.
+    /// Closes an endpoint to new work; its free slots no longer count as idle.
     pub fn closes(&mut self, endpoint: EndpointId) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.insert(endpoint, 0).unwrap_or(0);
@@ -197,7 +198,7 @@
         }
     }
 
-    /// An attempt starts on an endpoint.
+    /// Records that an attempt starts on an endpoint.
     pub fn starts(&mut self, call: u64, spec: &CallSpec, endpoint: EndpointId) {
         self.waits(call, spec, false);
         self.move_running(endpoint, 1);
@@ -215,12 +216,12 @@
         }
     }
 
-    /// An attempt is over on an endpoint.
+    /// Records that an attempt ended on an endpoint.
     pub fn stops(&mut self, endpoint: EndpointId) {
         self.move_running(endpoint, -1);
     }
 
-    /// What runs on an endpoint within its limit, and what it holds back.
+    /// Returns the requests that run on an endpoint within its limit, and those queued above it.
     pub fn load_of(&self, endpoint: EndpointId) -> (u32, u32) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(0);
@@ -229,14 +230,14 @@
         (whole(running - above), whole(above))
     }
 
-    /// Running over limit, in parts per hundred and at least 100.
+    /// Running requests as a percentage of the endpoint's limit, at least 100.
     pub fn crowding(&self, endpoint: EndpointId) -> u64 {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(1).max(1);
         u64::try_from(running * 100 / limit).unwrap_or(0).max(100)
     }
 
-    /// Service was rendered.
+    /// Adds service units to the team of a call.
     #[allow(clippy::cast_precision_loss)]
     pub fn serves(&mut self, spec: &CallSpec, units: u64) {
         let share = self.shares.get(&spec.team).copied().unwrap_or(1.0);
@@ -244,7 +245,7 @@
         team.normal += units as f64 / share;
     }
 
-    /// The caller got its end of a call.
+    /// Records that the caller got the answer or refusal of a call.
     pub fn ended(&mut self, call: u64, spec: &CallSpec, outcome: RunOutcome, whole: bool) {
         let life = self.calls.entry(call).or_default();
         life.endings += 1;
@@ -255,22 +256,23 @@
         self.unknown += u64::from(!whole && outcome == RunOutcome::Unknown);
     }
 
-    /// A router sent so many bytes of control traffic.
+    /// Records `bytes` of control traffic sent by a router.
     pub fn control(&mut self, router: usize, bytes: u64) {
         self.control[router] += bytes;
     }
 
-    /// New work went to an endpoint this long after it was first said to leave.
+    /// Records that new work went to an endpoint `after` microseconds after it was first listed as
+    /// leaving.
     pub fn dispatched_to_leaving(&mut self, after: u64) {
         self.late = self.late.max(after);
     }
 
-    /// An endpoint crashed.
+    /// Records a crash of an endpoint.
     pub fn crashed(&mut self, endpoint: EndpointId) {
         *self.crashes.entry(endpoint).or_default() += 1;
     }
 
-    /// A core took this long for an event.
+    /// Records the CPU time that a core took for one event.
     pub fn spent(&mut self, cost: Duration) {
         self.cost += cost;
         self.events += 1;
@@ -279,8 +281,8 @@
 
 #[allow(clippy::cast_precision_loss)]
 impl FleetTally {
-    /// Greatest difference of service over share between two teams over any interval in which
-    /// both had something waiting, in service units per share.
+    /// Greatest difference in service per share between two teams of a pool over any interval in
+    /// which both had requests waiting, in service units per share.
     pub fn fairness_gap(&self) -> f64 {
         let mut worst: f64 = 0.0;
         let rows: Vec<_> = self.teams.iter().collect();
@@ -294,29 +296,29 @@
         worst
     }
 
-    /// Part of the capacity that was free while a request that could use it waited.
+    /// Fraction of the capacity that was free while a request that could use it waited.
     pub fn utilisation_loss(&self) -> f64 {
         self.idle / self.capacity.max(1.0)
     }
 
-    /// Part of the capacity that was used.
+    /// Fraction of the capacity that was used.
     pub fn utilisation(&self) -> f64 {
         self.busy / self.capacity.max(1.0)
     }
 
-    /// Control bytes a second of the busiest router.
+    /// Control bytes per second of the router that sent the most.
     pub fn control_bytes_per_s(&self) -> f64 {
         let most = self.control.iter().max().copied().unwrap_or(0);
         most as f64 * 1e6 / self.now.max(1) as f64
     }
 
-    /// Longest wait for a first start, in seconds.
+    /// Longest wait from arrival to first attempt, in seconds.
     pub fn max_wait(&self) -> f64 {
         let longest = self.queued.values().flatten().max();
         longest.copied().unwrap_or(0) as f64 / 1e6
     }
 
-    /// Wait that 99 in 100 calls of one kind stay under, in seconds.
+    /// 99th percentile of the wait for a first attempt of calls of one kind, in seconds.
     pub fn late_wait(&self, kind: &str) -> f64 {
         let rows = self.queued.iter().filter(|(row, _)| row.as_str() == kind);
         let mut waits: Vec<u64> = rows.flat_map(|(_, waits)| waits).copied().collect();
@@ -325,7 +327,7 @@
         waits.get(place).copied().unwrap_or(0) as f64 / 1e6
     }
 
-    /// Unrepeatable calls that ran more than once.
+    /// Number of unrepeatable calls that ran more than once.
     pub fn doubled(&self) -> usize {
         let calls = self.calls.values();
         calls
@@ -333,7 +335,7 @@
             .count()
     }
 
-    /// Calls that were told "not run" and had run.
+    /// Number of calls that were reported as not run although they had run.
     pub fn false_not_run(&self) -> usize {
         let calls = self.calls.values();
         calls
@@ -341,22 +343,22 @@
             .count()
     }
 
-    /// Calls that got more than one end.
+    /// Number of calls that ended more than once.
     pub fn ended_twice(&self) -> usize {
         self.calls.values().filter(|life| life.endings > 1).count()
     }
 
-    /// Calls that got no end.
+    /// Number of calls that did not end.
     pub fn unended(&self) -> usize {
         self.calls.values().filter(|life| life.endings == 0).count()
     }
 
-    /// Part of ended calls whose caller was told "unknown".
+    /// Fraction of calls whose outcome was reported as unknown.
     pub fn unknown_share(&self) -> f64 {
         self.unknown as f64 / self.calls.len().max(1) as f64
     }
 
-    /// Attempts per call that was started.
+    /// Attempts per started call.
     pub fn amplification(&self) -> f64 {
         let started = self
             .calls
@@ -366,27 +368,27 @@
         self.attempts as f64 / started.max(1) as f64
     }
 
-    /// Longest time after which a leaving endpoint still got new work, in seconds.
+    /// Longest time after an endpoint started to leave at which it still got new work, in seconds.
     pub fn late_dispatch(&self) -> f64 {
         self.late as f64 / 1e6
     }
 
-    /// Crashes of endpoints.
+    /// Number of endpoint crashes.
     pub fn endpoints_crashed(&self) -> u32 {
         self.crashes.values().sum()
     }
 
-    /// Mean processor time of an event, in microseconds.
+    /// Mean CPU time per event, in microseconds.
     pub fn event_micros(&self) -> f64 {
         self.cost.as_secs_f64() * 1e6 / self.events.max(1) as f64
     }
 
-    /// Calls answered whole.
+    /// Number of calls answered in full.
     pub fn whole(&self) -> u64 {
         self.whole
     }
 
-    /// Calls refused without having run.
+    /// Number of calls refused without having run.
     pub fn refused(&self) -> u64 {
         self.refused
     }
