--- a/examples/shared/caller.rs
+++ b/examples/shared/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: one HTTP request over a connection of its own or a kept one, and the whole answer.
+//! An HTTP caller: sends requests over new or kept connections and reads complete answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,31 +20,31 @@
 use tokio::net::TcpStream;
 use tokio::time;
 
-/// Longest wait for an answer.
+/// Longest wait for a complete answer.
 const PATIENCE: Duration = Duration::from_mins(1);
 
-/// How a call ended, as its caller sees it.
+/// Result of a call as the caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
-    /// A whole answer.
+    /// A complete answer arrived.
     Answered {
-        /// Its status.
+        /// HTTP status.
         status: StatusCode,
-        /// The outcome header; empty if absent.
+        /// Outcome header; empty if absent.
         outcome: String,
-        /// The ticket header; empty if absent.
+        /// Ticket header; empty if absent.
         ticket: String,
-        /// The body.
+        /// Body of the answer.
         body: Bytes,
     },
-    /// The connection broke before or within the answer.
+    /// The connection broke, or the call timed out, before the answer was complete.
     Broken,
-    /// No connection.
+    /// No connection could be opened.
     Unreachable,
 }
 
 impl CallEnd {
-    /// The status; `None` without a whole answer.
+    /// Returns the status, or `None` without a complete answer.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
             Self::Answered { status, .. } => Some(*status),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The outcome header; empty if there is none.
+    /// Returns the outcome header, or an empty string if there is none.
     pub fn outcome(&self) -> &str {
         match self {
             Self::Answered { outcome, .. } => outcome,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The ticket header; empty if there is none.
+    /// Returns the ticket header, or an empty string if there is none.
     pub fn ticket(&self) -> &str {
         match self {
             Self::Answered { ticket, .. } => ticket,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The body as text; empty without a whole answer.
+    /// Returns the body as text, or an empty string without a complete answer.
     pub fn text(&self) -> String {
         match self {
             Self::Answered { body, .. } => String::from_utf8_lossy(body).into_owned(),
@@ -77,7 +77,7 @@
     }
 }
 
-/// A call that can be sent as often as wanted.
+/// A call that can be sent any number of times.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// HTTP method.
@@ -91,7 +91,7 @@
 }
 
 impl Call {
-    /// A call of a team.
+    /// Creates a call with a team's key.
     pub fn new(key: &str, method: &'static str, path: &str, body: impl Into<Bytes>) -> Self {
         Self {
             method,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A completion of so many tokens.
+    /// Creates a completion call for `tokens` tokens.
     pub fn completion(key: &str, model: &str, tokens: u64, streamed: bool) -> Self {
         let body = json!({
             "model": model,
@@ -114,7 +114,7 @@
         call
     }
 
-    /// With one more header.
+    /// Adds a header.
     pub fn header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
@@ -133,7 +133,7 @@
         request
     }
 
-    /// Sends it and waits for the head of the answer.
+    /// Sends the call over a new connection and waits for the response head.
     pub async fn open(&self, address: SocketAddr) -> Result<Response<Incoming>, CallEnd> {
         let stream = TcpStream::connect(address).await;
         let stream = stream.map_err(|_| CallEnd::Unreachable)?;
@@ -145,7 +145,7 @@
         sent.map_err(|_| CallEnd::Broken)
     }
 
-    /// Sends it and reads the whole answer.
+    /// Sends the call over a new connection and reads the complete answer.
     pub async fn send(&self, address: SocketAddr) -> CallEnd {
         let work = async {
             let response = match self.open(address).await {
@@ -173,7 +173,7 @@
             .unwrap_or(CallEnd::Broken)
     }
 
-    /// Sends it, gets a ticket if one is asked for, and sends it with the ticket.
+    /// Sends the call; if the answer requires a ticket, sends it again with the offered one.
     pub async fn send_with_ticket(&self, address: SocketAddr) -> CallEnd {
         let first = self.send(address).await;
         if first.status() != Some(StatusCode::PRECONDITION_REQUIRED) {
@@ -184,13 +184,13 @@
     }
 }
 
-/// A connection that is kept for many calls.
+/// A connection that is reused for many calls.
 pub struct KeptConnection {
     sender: http1::SendRequest<Full<Bytes>>,
 }
 
 impl KeptConnection {
-    /// Opens it; `None` if that fails.
+    /// Opens a connection; returns `None` if that fails.
     pub async fn open(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).await.ok()?;
         let _ = stream.set_nodelay(true);
@@ -199,7 +199,7 @@
         Some(Self { sender })
     }
 
-    /// Sends a call and reads its answer; true if that was whole and good.
+    /// Sends a call and reads its answer; returns true if it is complete with status 200.
     pub async fn send(&mut self, call: &Call) -> bool {
         if self.sender.ready().await.is_err() {
             return false;
@@ -212,7 +212,7 @@
     }
 }
 
-/// The text of a streamed answer; `None` if it does not end as it shall.
+/// Returns the text of a streamed answer, or `None` if an event is invalid or `[DONE]` is missing.
 pub fn streamed_text(answer: &str) -> Option<String> {
     let mut text = String::new();
     let mut done = false;
@@ -228,7 +228,7 @@
     done.then_some(text)
 }
 
-/// What a whole answer of so many tokens says.
+/// Returns the text of a complete answer of `tokens` tokens.
 pub fn expected_text(tokens: u64) -> String {
     (0..tokens).fold(String::new(), |text, index| format!("{text} {index}"))
 }
--- a/examples/shared/endpoint.rs
+++ b/examples/shared/endpoint.rs
@@ -1,9 +1,9 @@
-//! A stand-in endpoint: a small HTTP server that can crash, come back, and misbehave on request.
+//! A stand-in endpoint: a small HTTP server that can crash, restart and fail on request.
 //!
-//! What a request wants of it stands in the header `standin-do`: `crash`, `refuse`, `garbage`,
-//! `cut=N` (break off after N events or bytes), `slow=MS` (wait first), `short` (state a longer
-//! length than is sent). With a `once-` before it, only the first execution of a `standin-id`
-//! does so.
+//! A request selects a fault with the header `standin-do`: `crash`, `refuse`, `garbage`, `cut=N`
+//! (break off after N events or bytes), `slow=MS` (wait first), `short` (send a content length
+//! greater than the body). With the prefix `once-` the fault applies only to the first execution of
+//! a `standin-id`.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -41,79 +41,79 @@
 use super::engine;
 use super::plain;
 
-/// How long a crashed endpoint stays away.
+/// Time after a crash until the endpoint listens again.
 const AWAY: Duration = Duration::from_millis(300);
 
-/// What an endpoint is.
+/// Kind of a stand-in endpoint.
 #[derive(Debug, Clone)]
 pub enum EndpointRole {
     /// A model engine.
     Engine {
-        /// The model that it serves at first.
+        /// Model that is loaded at the start.
         model: String,
         /// Time between two tokens of a stream.
         token: Duration,
-        /// True if it can resume a stream at an event.
+        /// True if the engine can resume a stream at an event.
         resumes: bool,
-        /// True if it refuses orders with an old fencing number.
+        /// True if the engine rejects orders with an old fencing number.
         checks_fence: bool,
     },
     /// A plain service.
     Plain {
-        /// Its pool.
+        /// Pool of the service.
         pool: String,
-        /// Time that a call takes.
+        /// Processing time of a call.
         work: Duration,
     },
 }
 
-/// What all connections of an endpoint share.
+/// State shared by all connections of an endpoint.
 #[derive(Debug)]
 pub struct EndpointShared {
-    /// What it is.
+    /// Kind of the endpoint.
     pub role: EndpointRole,
-    /// Requests that run at once; more wait.
+    /// Free slots; requests beyond them wait.
     pub slots: Semaphore,
-    /// How many those are.
+    /// Total number of slots.
     pub slot_count: usize,
-    /// Requests that run.
+    /// Running requests.
     pub running: AtomicU32,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     pub waiting: AtomicU32,
-    /// Microseconds that slots were busy, added at the end of each request.
+    /// Microseconds for which slots were busy, added at the end of each request.
     pub busy_micros: AtomicU64,
     /// Tokens and calls served.
     pub served: AtomicU64,
-    /// Bytes of sized answers that were handed to the connection.
+    /// Bytes of fixed-length answers that were passed to the connection.
     pub sent_bytes: AtomicU64,
-    /// Requests that were broken off by their caller's side.
+    /// Requests that were cancelled or broken off before their answer was complete.
     pub cancelled: AtomicU64,
-    /// Grows with each crash.
+    /// Incremented on each crash.
     pub life: AtomicU64,
-    /// Highest fencing number obeyed.
+    /// Highest fencing number of an accepted order.
     pub fence: AtomicU64,
-    /// The model served now.
+    /// Model that is loaded now.
     pub model: Mutex<String>,
-    /// Executions begun, by `standin-id`.
+    /// Number of started executions by `standin-id`.
     pub executions: Mutex<BTreeMap<String, u32>>,
-    /// Work done by team of the caller, as the `standin-team` header names it.
+    /// Tokens and calls served, by the team in the `standin-team` header.
     pub by_team: Mutex<BTreeMap<String, u64>>,
     refuse_all: AtomicBool,
     dying: Mutex<CancellationToken>,
 }
 
-/// A running stand-in.
+/// A running stand-in endpoint.
 #[derive(Debug, Clone)]
 pub struct StandinEndpoint {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its state.
+    /// State shared with the connections.
     pub shared: Arc<EndpointShared>,
     closing: CancellationToken,
 }
 
 impl StandinEndpoint {
-    /// Starts one on a port of loopback; port 0 takes any.
+    /// Starts an endpoint on `address`; port 0 picks a free port.
     pub async fn start(address: SocketAddr, role: EndpointRole, slots: usize) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -149,32 +149,32 @@
         })
     }
 
-    /// Ends it for good.
+    /// Stops the endpoint for good.
     pub fn stop(&self) {
         self.closing.cancel();
         self.shared.crash();
     }
 
-    /// Executions begun of the request with this `standin-id`.
+    /// Returns the number of started executions of the request with this `standin-id`.
     pub fn executions_of(&self, id: &str) -> u32 {
         let executions = self.shared.executions.lock().unwrap();
         executions.get(id).copied().unwrap_or(0)
     }
 
-    /// Refuses everything with 503 from now on (true) or no longer.
+    /// Turns on or off that all requests except load reports are refused with 503.
     pub fn refuse_all(&self, refuse: bool) {
         self.shared.refuse_all.store(refuse, Ordering::Relaxed);
     }
 }
 
 impl EndpointShared {
-    /// Breaks all connections and stays away for a while.
+    /// Simulates a crash: breaks all connections and stops listening for a while.
     pub fn crash(&self) {
         self.life.fetch_add(1, Ordering::Relaxed);
         self.dying.lock().unwrap().cancel();
     }
 
-    /// Counts an execution of the request; returns how many there are now.
+    /// Counts an execution of the request and returns the number so far.
     pub fn count_execution(&self, headers: &HeaderMap) -> u32 {
         let id = text_of(headers, "standin-id");
         let mut executions = self.executions.lock().unwrap();
@@ -184,26 +184,26 @@
     }
 }
 
-/// What a request wants done wrong.
+/// Fault that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Misdeed {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Crash before anything is answered.
+    /// Crash before answering.
     Crash,
-    /// Answer 503 before anything is done.
+    /// Answer 503 without processing the request.
     Refuse,
-    /// Answer what is no HTTP answer of this API.
+    /// Answer with a body that is not valid for this API.
     Garbage,
-    /// Break off after so many events or bytes.
+    /// Break off after this many events or bytes.
     Cut(u64),
-    /// Wait before the answer.
+    /// Wait before answering.
     Slow(Duration),
-    /// State a longer length than is sent.
+    /// Send a content length greater than the body.
     Short,
 }
 
-/// What the request wants done wrong, if anything, at this execution of it.
+/// Returns the fault that the request asks for in this execution.
 pub fn misdeed(headers: &HeaderMap, execution: u32) -> Misdeed {
     let text = text_of(headers, "standin-do");
     let text = match text.strip_prefix("once-") {
@@ -224,13 +224,13 @@
     }
 }
 
-/// The time on this machine's clock, in nanoseconds since 1970.
+/// Returns the system time in nanoseconds since the Unix epoch.
 pub fn clock_nanos() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// A header as text; empty if absent.
+/// Returns a header as text, or an empty string if it is absent or not text.
 pub fn text_of(headers: &HeaderMap, name: &str) -> String {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().to_owned()
@@ -305,25 +305,25 @@
     Response::new(SentBody::whole(report.to_string()))
 }
 
-/// An answer with a status and a short text.
+/// Builds an answer with a status and a short text.
 pub fn status(status: StatusCode, text: &'static str) -> Response<SentBody> {
     let mut response = Response::new(SentBody::whole(text));
     *response.status_mut() = status;
     response
 }
 
-/// The body of an answer; an error item breaks the connection.
+/// Body of an answer; an error item breaks the connection.
 pub enum SentBody {
-    /// All of it.
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// Chunks as they come.
+    /// Chunks sent as they arrive.
     Chunks(mpsc::Receiver<Result<Bytes, io::Error>>),
-    /// What came in, sent back.
+    /// The request body, sent back.
     Echo(Incoming),
 }
 
 impl SentBody {
-    /// A body that is here already.
+    /// Creates a body from bytes that are already complete.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
--- a/examples/shared/engine.rs
+++ b/examples/shared/engine.rs
@@ -1,7 +1,7 @@
 //! The stand-in model engine: completions, streamed or not, paced like continuous batching.
 //!
-//! Token `n` of an answer is the text ` n`, so that a reader can tell whether any is missing,
-//! doubled or out of order.
+//! Token `n` of an answer is the text ` n`, so that a reader detects missing, duplicated and
+//! reordered tokens.
 
 use std::io;
 use std::sync::Arc;
@@ -85,7 +85,7 @@
     model: String,
 }
 
-/// Counts a running request down, also when its connection breaks.
+/// Decrements the count of running requests on drop, also when the connection breaks.
 struct RunningGuard {
     shared: Arc<EndpointShared>,
     since: Instant,
@@ -160,7 +160,7 @@
             count += 1;
         }
         if count < tokens {
-            // The endpoint has crashed: its connections are about to break.
+            // The endpoint has crashed and its connections are about to break.
             std::future::pending::<()>().await;
         }
         let body = json!({
@@ -177,7 +177,7 @@
         response
     }
 
-    /// Generates the tokens into `sender`, once a slot is free.
+    /// Waits for a slot and then sends the generated tokens to `sender`.
     async fn run(self, sender: mpsc::Sender<Result<Bytes, io::Error>>) {
         let shared = Arc::clone(&self.shared);
         shared.waiting.fetch_add(1, Ordering::Relaxed);
@@ -202,7 +202,7 @@
         guard.ended = self.generate(misdeed, &sender).await;
     }
 
-    /// True if the answer came to its end; false if it was cancelled or broken off.
+    /// Returns true if the answer was sent completely, false if it was cancelled or broken off.
     async fn generate(
         &self,
         misdeed: Misdeed,
@@ -229,12 +229,12 @@
         let mut next = time::Instant::now();
         for index in self.first..self.tokens {
             if misdeed == Misdeed::Cut(index) {
-                // What was sent before has left by then.
+                // Gives the events sent so far time to leave before the connection breaks.
                 time::sleep(Duration::from_millis(20)).await;
                 let _ = sender.send(Err(io::Error::other("cut"))).await;
                 return false;
             }
-            // A fuller batch makes each step longer, by a quarter if all slots are taken.
+            // Each step takes longer as the batch fills, by a quarter when all slots are taken.
             let running = f64::from(self.shared.running.load(Ordering::Relaxed));
             next += token.mul_f64(1.0 + running / slots / 4.0);
             time::sleep_until(next).await;
@@ -260,7 +260,7 @@
     }
 }
 
-/// An answer that states more bytes than come.
+/// Builds an answer with a content length greater than the bytes that are sent.
 fn cut_off() -> Response<SentBody> {
     let (sender, receiver) = mpsc::channel(1);
     let _ = sender.try_send(Ok(Bytes::from_static(b"{\"choices\": [")));
--- a/examples/shared/fleet.rs
+++ b/examples/shared/fleet.rs
@@ -1,4 +1,4 @@
-//! Some routers in one process, with a stand-in of the sources, on loopback.
+//! Several routers in one process on loopback, with a stand-in for the sources.
 
 use std::time::Duration;
 
@@ -20,15 +20,15 @@
 use super::site::Site;
 use super::sources::StandinSources;
 
-/// Routers and their sources.
+/// Routers in this process with their sources.
 pub struct LocalFleet {
-    /// The sources.
+    /// Stand-in for the configuration service and the host list.
     pub sources: StandinSources,
-    /// The routers.
+    /// The running routers.
     pub routers: Vec<Router>,
 }
 
-/// The parts of router `index`, without its sources.
+/// Returns the parts of router `index`, without its sources.
 pub fn router_parts(index: usize) -> RouterParts {
     let peers = PeerParts {
         listen: "127.0.0.1:0".parse().unwrap(),
@@ -51,7 +51,7 @@
 }
 
 impl LocalFleet {
-    /// Starts so many routers that all know each other and the publication of `site`.
+    /// Starts `count` routers and waits until all know each other and the publication of `site`.
     pub async fn start(count: usize, site: &Site) -> Self {
         let sources = StandinSources::start(None).await.unwrap();
         sources.publish(site.publication(1).to_string());
@@ -75,7 +75,7 @@
         fleet
     }
 
-    /// Lists all routers, `leaving` as leaving.
+    /// Lists all routers and marks the router with the index `leaving` as leaving.
     pub fn list_hosts(&self, leaving: Option<usize>) {
         let rows: Vec<_> = self
             .routers
@@ -94,7 +94,7 @@
         self.sources.list_hosts(list.to_string());
     }
 
-    /// Waits until every router has a publication and sees all others alive.
+    /// Waits until every router has a publication and considers all others alive.
     pub async fn wait_joined(&self) {
         for router in &self.routers {
             let count = self.routers.len();
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Ends all routers.
+    /// Stops all routers.
     pub async fn stop(self) {
         for router in self.routers {
             router.stop().await;
--- a/examples/shared/mod.rs
+++ b/examples/shared/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the world around the routers, used by the examples and the tests.
+//! Stand-ins for the services around the routers, used by the examples and the tests.
 
 #![allow(dead_code)]
 
--- a/examples/shared/plain.rs
+++ b/examples/shared/plain.rs
@@ -1,5 +1,5 @@
-//! The stand-in plain service: `.../echo` sends the body back, `.../bytes/N` sends N bytes, and
-//! every other path answers with the count of executions of its `standin-id`.
+//! The stand-in plain service: `.../echo` returns the request body, `.../bytes/N` returns N bytes,
+//! and every other path returns the number of executions of its `standin-id`.
 
 use std::io;
 use std::sync::Arc;
@@ -69,7 +69,7 @@
     Response::new(SentBody::whole(answer.to_string()))
 }
 
-/// So many bytes, with a stated length; broken off after `cut` of them.
+/// Builds an answer of `length` bytes with a content length, broken off after `cut` bytes.
 fn sized(shared: &Arc<EndpointShared>, length: u64, cut: Option<u64>) -> Response<SentBody> {
     let (sender, receiver) = mpsc::channel(2);
     let shared = Arc::clone(shared);
--- a/examples/shared/processes.rs
+++ b/examples/shared/processes.rs
@@ -1,4 +1,4 @@
-//! Routers as processes of their own, each on a loopback number of its own.
+//! Routers as separate processes, each on its own loopback address.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -20,27 +20,27 @@
 const CALLER_PORT: u16 = 8_080;
 const PEER_PORT: u16 = 7_400;
 const ADMIN_PORT: u16 = 7_401;
-/// Longest wait for a process to start, or to end.
+/// Longest wait for a process to start or to exit.
 const PATIENCE: Duration = Duration::from_mins(1);
 
-/// A fleet of processes.
+/// A fleet of router processes with its sources.
 pub struct ProcessFleet {
-    /// The sources.
+    /// Stand-in for the configuration service and the host list.
     pub sources: StandinSources,
-    /// The routers.
+    /// The router processes.
     pub routers: Vec<RouterProcess>,
     folder: PathBuf,
 }
 
-/// One router process. Killed when it is dropped.
+/// One router process; it is killed on drop.
 pub struct RouterProcess {
-    /// Where callers reach it.
+    /// Address of its caller listener.
     pub callers: SocketAddr,
     child: Child,
 }
 
-/// A loopback number that no other test process uses, so that ports can be fixed: a port that
-/// is picked free and given back could be taken before the router listens on it.
+/// Returns a loopback address that no other test process uses, so that ports can be fixed. A free
+/// port that is probed and released could be taken before the router listens on it.
 fn number_of(index: usize) -> Ipv4Addr {
     let [low, high, ..] = std::process::id().to_le_bytes();
     Ipv4Addr::new(127, 100 + high % 100, low, u8::try_from(index + 1).unwrap())
@@ -55,12 +55,12 @@
 }
 
 impl ProcessFleet {
-    /// Starts so many routers of `program`; nothing is published yet.
+    /// Starts `count` routers of `program` and publishes nothing yet.
     pub async fn start(program: &str, count: usize) -> Self {
         Self::start_with(program, count, 60).await
     }
 
-    /// The same, with so many seconds for a shutdown.
+    /// Like `start`, with a shutdown deadline in seconds.
     pub async fn start_with(program: &str, count: usize, deadline_s: u64) -> Self {
         let sources = StandinSources::start(None).await.unwrap();
         let folder = std::env::temp_dir().join(format!("verbenaturn-{}", std::process::id()));
@@ -111,7 +111,7 @@
         fleet
     }
 
-    /// Lists so many routers, `leaving` as leaving.
+    /// Lists `count` routers and marks the router with the index `leaving` as leaving.
     pub fn list_hosts(&self, count: usize, leaving: Option<usize>) {
         let rows: Vec<_> = (0..count)
             .map(|index| {
@@ -127,7 +127,7 @@
         self.sources.list_hosts(list.to_string());
     }
 
-    /// Waits until every one of `routers` answers a call of `team`.
+    /// Waits until each of `routers` answers a call of `team`; panics after a minute.
     pub async fn wait_serving(&self, routers: &[SocketAddr], team: &str) {
         for router in routers {
             let call = Call::new(&key_of(team), "GET", "/portal/ready", "");
@@ -149,35 +149,35 @@
 }
 
 impl RouterProcess {
-    /// Its process id.
+    /// Returns the process id, or 0 after the process has exited.
     pub fn id(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
-    /// Kills it at once.
+    /// Kills the process with SIGKILL.
     pub async fn kill(&mut self) {
         self.child.kill().await.unwrap();
     }
 
-    /// Asks it to drain and end.
+    /// Sends SIGTERM, which makes the router drain and exit.
     pub async fn terminate(&self) {
         self.signal("-TERM").await;
     }
 
-    /// Tells it that its settings changed.
+    /// Sends SIGHUP, which makes the router reload its settings.
     pub async fn hang_up(&self) {
         self.signal("-HUP").await;
     }
 
     async fn signal(&self, name: &str) {
-        let id = self.child.id().expect("it runs").to_string();
+        let id = self.child.id().expect("the process is running").to_string();
         let sent = Command::new("kill").args([name, &id]).status().await;
         assert!(sent.unwrap().success());
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit; panics after a minute.
     pub async fn ended(&mut self) -> ExitStatus {
         let ended = tokio::time::timeout(PATIENCE, self.child.wait()).await;
-        ended.expect("it does not end").unwrap()
+        ended.expect("the process did not exit in time").unwrap()
     }
 }
--- a/examples/shared/single.rs
+++ b/examples/shared/single.rs
@@ -1,4 +1,4 @@
-//! One router alone in this process, with a stand-in engine and a stand-in plain service.
+//! A single router in this process, with a stand-in engine and a stand-in plain service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,28 +18,28 @@
 use super::endpoint::StandinEndpoint;
 use super::site::Site;
 
-/// The router and its world.
+/// A router with its stand-in endpoints.
 pub struct SingleRouter {
     /// The router.
     pub router: Router,
-    /// An engine of model `luma` with 8 slots.
+    /// An engine with the model `luma` and 8 slots.
     pub engine: StandinEndpoint,
     /// The plain service `portal` with 8 slots.
     pub portal: StandinEndpoint,
 }
 
-/// What a test wants otherwise than usual.
+/// Settings that a test can override.
 #[derive(Debug, Clone)]
 pub struct SingleOptions {
     /// Settings of the decision core.
     pub core: CoreConfig,
-    /// Settings of the traffic side.
+    /// Settings of the traffic path.
     pub traffic: TrafficConfig,
-    /// True if the engine can resume.
+    /// True if the engine can resume a stream.
     pub resumes: bool,
-    /// Published limits.
+    /// The `limits` object of the publication.
     pub limits: Value,
-    /// Requests that a team may have waiting.
+    /// Requests that a team may have waiting at once.
     pub queue_limit: u32,
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl SingleRouter {
-    /// Starts them; the team `nadi` is published.
+    /// Starts the router and its endpoints and publishes the team `nadi`.
     pub async fn start(options: SingleOptions) -> Self {
         let listen = "127.0.0.1:0".parse().unwrap();
         let engine = EndpointRole::Engine {
--- a/examples/shared/site.rs
+++ b/examples/shared/site.rs
@@ -1,4 +1,4 @@
-//! Publications for the stand-ins.
+//! Builds publications for the stand-ins.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 use super::endpoint::EndpointRole;
 use super::endpoint::StandinEndpoint;
 
-/// The key of a team.
+/// Returns the API key of a team.
 pub fn key_of(team: &str) -> String {
     format!("key-of-{team}")
 }
 
-/// What is published for some stand-ins and teams.
+/// Builder of a publication with stand-in endpoints and teams.
 #[derive(Debug, Clone, Default)]
 pub struct Site {
     teams: BTreeMap<String, u32>,
@@ -24,13 +24,13 @@
 }
 
 impl Site {
-    /// Adds a team with a share.
+    /// Adds a team with its share.
     pub fn team(mut self, name: &str, share: u32) -> Self {
         self.teams.insert(name.to_owned(), share);
         self
     }
 
-    /// Adds a stand-in under a name, with so many published slots.
+    /// Adds a stand-in endpoint under a name, published with `slots` slots.
     pub fn endpoint(mut self, name: &str, endpoint: &StandinEndpoint, slots: u32) -> Self {
         let (pool, entry) = match &endpoint.shared.role {
             EndpointRole::Engine { model, .. } => (model, json!({"protocol": "engine"})),
@@ -50,8 +50,8 @@
         self
     }
 
-    /// The publication. Every team has the kinds `review` (batch), `query` (interactive), `tag`
-    /// (unrepeatable) and `log` (unrepeatable: `POST /portal/log`).
+    /// Builds the publication. Every team has the kinds `review` (batch), `query` (interactive),
+    /// `tag` (unrepeatable) and `log` (unrepeatable: `POST /portal/log`).
     pub fn publication(&self, revision: u64) -> Value {
         let teams: BTreeMap<_, _> = self
             .teams
--- a/examples/shared/sources.rs
+++ b/examples/shared/sources.rs
@@ -1,7 +1,7 @@
-//! A stand-in of the sources: the configuration service and the host list over HTTP.
+//! A stand-in for the sources: the configuration service and the host list over HTTP.
 //!
-//! `GET /config` and `GET /hosts` as `verbenaturn::sources::http` reads them, with counters and
-//! switches for the ways in which the real ones fail. Ends when it is dropped.
+//! Serves `GET /config` and `GET /hosts` as `verbenaturn::sources::http` reads them, counts calls
+//! and simulates the failures of the real services. Stops when it is dropped.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,27 +23,27 @@
 /// A published value with its revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PublishedValue {
-    /// The revision.
+    /// Revision of the value.
     pub revision: u64,
-    /// The text.
+    /// Content of the value.
     pub text: Bytes,
 }
 
-/// How the configuration service answers.
+/// Response behaviour of the configuration service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum ServiceMode {
-    /// As it should.
+    /// Answers correctly.
     #[default]
     Healthy,
-    /// Takes requests and never answers.
+    /// Accepts requests and never answers.
     Hanging,
-    /// Answers everything with this older value.
+    /// Answers every request with this outdated value.
     Old(PublishedValue),
     /// Answers with this many bytes.
     Oversized(usize),
-    /// Answers with bytes that are no publication, under a new revision.
+    /// Answers with bytes that are not a valid publication, under a new revision.
     Garbage,
-    /// Answers with this status.
+    /// Answers with this HTTP status.
     Failing(u16),
 }
 
@@ -61,7 +61,7 @@
     open_watches: AtomicI64,
 }
 
-/// The stand-in.
+/// A running stand-in for the configuration service and the host list.
 #[derive(Debug)]
 pub struct StandinSources {
     address: SocketAddr,
@@ -74,7 +74,7 @@
     /// Starts on a free loopback port, or on `address`.
     ///
     /// # Errors
-    /// When the address can't be had.
+    /// Fails if the address can't be bound.
     pub async fn start(address: Option<SocketAddr>) -> std::io::Result<Self> {
         let wanted = address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
         let listener = TcpListener::bind(wanted).await?;
@@ -98,19 +98,19 @@
         })
     }
 
-    /// The configuration service's URL.
+    /// Returns the URL of the configuration service.
     #[must_use]
     pub fn config_url(&self) -> String {
         format!("http://{}/config", self.address)
     }
 
-    /// The host list's URL.
+    /// Returns the URL of the host list.
     #[must_use]
     pub fn hosts_url(&self) -> String {
         format!("http://{}/hosts", self.address)
     }
 
-    /// Publishes a text under the next revision, which is returned.
+    /// Publishes a text under the next revision and returns that revision.
     pub fn publish(&self, text: impl Into<Bytes>) -> u64 {
         let text = text.into();
         let mut revision = 0;
@@ -128,24 +128,24 @@
         self.state.send_modify(|state| state.hosts = text);
     }
 
-    /// Makes the configuration service fail, or get well.
+    /// Sets the response behaviour of the configuration service.
     pub fn set_mode(&self, mode: ServiceMode) {
         self.state.send_modify(|state| state.mode = mode);
     }
 
-    /// Calls of the configuration service so far, reads and watches.
+    /// Number of calls of the configuration service so far, reads and watches.
     #[must_use]
     pub fn config_calls(&self) -> u64 {
         self.counters.config_calls.load(Ordering::Relaxed)
     }
 
-    /// Reads of the host list so far.
+    /// Number of reads of the host list so far.
     #[must_use]
     pub fn hosts_calls(&self) -> u64 {
         self.counters.hosts_calls.load(Ordering::Relaxed)
     }
 
-    /// Watches that wait now.
+    /// Number of watches that are waiting.
     #[must_use]
     pub fn open_watches(&self) -> i64 {
         self.counters.open_watches.load(Ordering::Relaxed)
@@ -195,7 +195,7 @@
     answer_by_mood(state, known).await
 }
 
-/// A watch that waits, counted while it does.
+/// Counts a waiting watch until it is dropped.
 struct OpenWatch(Option<Arc<CallCounters>>);
 
 impl OpenWatch {
--- a/examples/shared/traffic.rs
+++ b/examples/shared/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers' traffic: streams, plain calls and unrepeatable calls, and what became of each.
+//! Callers' traffic: streams, plain calls and unrepeatable calls, with counts of their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 use super::caller::streamed_text;
 use super::site::key_of;
 
-/// Sends of one call through different routers at most.
+/// Greatest number of sends of one call, through different routers.
 const MOST_SENDS: usize = 20;
-/// Rest before a refused call is sent again.
+/// Delay before a failed call is sent again.
 const REST: Duration = Duration::from_millis(100);
 
-/// The source's balancer before the routers, as simple as can be.
+/// A minimal load balancer in front of the routers.
 #[derive(Debug, Default)]
 pub struct Balancer {
     routers: Mutex<Vec<SocketAddr>>,
@@ -33,7 +33,7 @@
 }
 
 impl Balancer {
-    /// Balances over these routers.
+    /// Creates a balancer over these routers.
     pub fn new(routers: Vec<SocketAddr>) -> Arc<Self> {
         Arc::new(Self {
             routers: Mutex::new(routers),
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Sends no more new calls to a router.
+    /// Stops sending new calls to a router.
     pub fn remove(&self, router: SocketAddr) {
         self.routers
             .lock()
@@ -49,7 +49,7 @@
             .retain(|other| *other != router);
     }
 
-    /// Notes that a router is killed: calls through it may break.
+    /// Records that a router is killed, so that broken connections to it are expected.
     pub fn note_kill(&self, router: SocketAddr) {
         self.killed.lock().unwrap().push(router);
     }
@@ -58,7 +58,7 @@
         self.killed.lock().unwrap().contains(&router)
     }
 
-    /// One of the routers; the first ones are picked more often, as tenants are spread unevenly.
+    /// Picks a router at random. Earlier ones are picked more often, as teams are spread unevenly.
     fn pick(&self, random: &mut StdRng) -> SocketAddr {
         let routers = self.routers.lock().unwrap();
         let first = random.random_range(0..routers.len());
@@ -67,24 +67,24 @@
     }
 }
 
-/// What became of the calls of one team.
+/// Counts of the outcomes of one team's calls.
 #[derive(Debug, Default)]
 pub struct CallTally {
-    /// Whole answers.
+    /// Complete answers.
     pub answered: AtomicU64,
-    /// Refusals with "not run".
+    /// Errors with the outcome `not-run`.
     pub refused: AtomicU64,
-    /// Errors with "unknown".
+    /// Errors with the outcome `unknown`.
     pub unknown: AtomicU64,
-    /// Connections that broke with a router that was killed.
+    /// Connections that broke because their router was killed.
     pub killed: AtomicU64,
-    /// Calls that got no answer and no error, or an error without an outcome.
+    /// Calls that got an error without a known outcome.
     pub lost: AtomicU64,
-    /// Answers that broke off, or were not whole, or were not the caller's own.
+    /// Answers that were broken off, incomplete or did not match the request.
     pub cut: AtomicU64,
-    /// Microseconds of all whole answers together.
+    /// Total time of all complete answers, in microseconds.
     pub micros: AtomicU64,
-    /// Longest time of a whole answer, in microseconds.
+    /// Longest time of a complete answer, in microseconds.
     pub longest: AtomicU64,
 }
 
@@ -101,21 +101,21 @@
     }
 }
 
-/// One team's callers.
+/// The callers of one team.
 #[derive(Clone)]
 pub struct TeamCallers {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// Where its calls go.
+    /// Balancer that picks the router of each call.
     pub balancer: Arc<Balancer>,
-    /// What became of them.
+    /// Outcomes of the calls.
     pub tally: Arc<CallTally>,
-    /// Ends them.
+    /// Stops the callers.
     pub stop: CancellationToken,
 }
 
 impl TeamCallers {
-    /// The callers of a team.
+    /// Creates the callers of a team.
     pub fn new(team: &str, balancer: &Arc<Balancer>, stop: &CancellationToken) -> Self {
         Self {
             team: team.to_owned(),
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Keeps `width` streams going, of 10 to `tokens` tokens each, until stopped; waits for the
-    /// last to end.
+    /// Keeps `width` streams of 10 to `tokens` tokens each open until stopped, then waits for the
+    /// last one to end.
     pub async fn flood(self, width: u64, tokens: u64) {
         let mut workers = Vec::new();
         for worker in 0..width {
@@ -147,7 +147,8 @@
         }
     }
 
-    /// One streamed query of so many tokens each `pause`, until stopped.
+    /// Sends one streamed query of `tokens` tokens at a time, with `pause` between them, until
+    /// stopped.
     pub async fn ask(self, pause: Duration, tokens: u64) {
         let mut random = StdRng::seed_from_u64(99);
         let mut number = 0;
@@ -159,8 +160,9 @@
         }
     }
 
-    /// One unrepeatable call each `pause`, until stopped; each is sent a second time with its
-    /// ticket, as by a caller who lost the first answer. Returns the ids used.
+    /// Sends one unrepeatable call at a time, with `pause` between them, until stopped. Each is
+    /// sent a second time with its ticket, like a caller that lost the first answer. Returns the
+    /// ids.
     pub async fn log(self, pause: Duration) -> Vec<String> {
         let mut random = StdRng::seed_from_u64(7);
         let mut ids = Vec::new();
@@ -173,7 +175,7 @@
         ids
     }
 
-    /// Sends a stream until it is answered whole.
+    /// Sends a streamed call, with retries, until it is answered completely.
     async fn stream(&self, id: &str, tokens: u64, random: &mut StdRng) {
         let call = Call::completion(&key_of(&self.team), "luma", tokens, true)
             .header("standin-id", id)
@@ -227,11 +229,11 @@
         }
     }
 
-    /// Counts a call that was not answered; true if it is not to be sent again.
+    /// Counts a failed call; returns true if it must not be sent again.
     fn note_failure(&self, end: &CallEnd, router: SocketAddr) -> bool {
         let tally = &self.tally;
         match end {
-            // Nothing was sent: the balancer takes another router.
+            // Nothing was sent, so the call is retried and the balancer picks a router again.
             CallEnd::Unreachable => {}
             CallEnd::Broken if self.balancer.was_killed(router) => CallTally::add(&tally.killed),
             CallEnd::Broken => {
