--- a/examples/decisions.rs
+++ b/examples/decisions.rs
@@ -1,6 +1,6 @@
-//! Time of one gateway decision (arrival, placement, end) against the number of endpoints.
+//! Measures the time of one gateway decision (arrival, placement, end) by number of endpoints.
 //!
-//! `cargo run --release --locked --example decisions` prints one line a size.
+//! `cargo run --release --locked --example decisions` prints one line per size.
 
 use std::time::Instant;
 
@@ -26,7 +26,7 @@
 /// Decisions timed for each size.
 const ROUNDS: u64 = 20_000;
 
-/// Different shared parts, as a registry's cohorts.
+/// Number of distinct prompt parts that requests share, such as a registry's cohorts.
 const PARTS: u64 = 300;
 
 fn prompt(round: u64) -> PromptShape {
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,8 +1,8 @@
-//! The fleet at work, by itself, in under a minute: stand-in engines, a stand-in plain service
-//! and three routers in this process, on loopback.
+//! Self-contained demo of a fleet that takes under a minute: stand-in engines, a stand-in plain
+//! service and three routers in this process, on loopback.
 //!
-//! Two teams flood the engines with shares 3 and 1, a quiet team asks now and then and logs
-//! mixings that must never be logged twice, and one router is drained halfway. Exits with 1 if
+//! Two teams with shares 3 and 1 flood the engines. A third team with a light load sends queries
+//! and logs mixings that must never be logged twice. One router is drained halfway. Exits with 1 if
 //! any request was lost, doubled or cut.
 
 use std::net::SocketAddr;
@@ -33,13 +33,13 @@
 const ENGINES: usize = 4;
 const ENGINE_SLOTS: u32 = 8;
 const TOKEN: Duration = Duration::from_millis(5);
-/// Before fairness is measured: routers find each other, queues fill.
+/// Time before fairness is measured, in which routers join and queues fill.
 const WARM_UP: Duration = Duration::from_secs(2);
 const HALF: Duration = Duration::from_secs(10);
-/// Requests that each flooding team keeps going.
+/// Concurrent requests of each flooding team.
 const FLOOD: u64 = 60;
 const LONGEST_STREAM: u64 = 60;
-/// How long the balancer goes on sending calls to a router that drains.
+/// Time for which the balancer still sends calls to a draining router.
 const BALANCER_LAG: Duration = Duration::from_millis(300);
 const TEAMS: [(&str, u32); 3] = [("registry", 3), ("salons", 1), ("nurses", 1)];
 
@@ -99,7 +99,7 @@
         .sum()
 }
 
-/// Samples how many engine slots are busy, until stopped; returns the mean per mille.
+/// Samples the busy engine slots until stopped; returns their mean share in parts per thousand.
 async fn sample_busy(engines: Vec<StandinEndpoint>, stop: CancellationToken) -> u64 {
     let (mut busy, mut samples) = (0, 0);
     let mut interval = tokio::time::interval(Duration::from_millis(5));
@@ -115,7 +115,7 @@
     busy * 1_000 / all.max(1)
 }
 
-/// Requests of which an endpoint began more than one execution.
+/// Counts the requests that were executed more than once on all endpoints together.
 fn doubled(world: &World) -> usize {
     let endpoints = world.engines.iter().chain([&world.portal]);
     let mut all = std::collections::BTreeMap::<String, u32>::new();
@@ -192,7 +192,7 @@
     };
     let address = leaving.callers;
     let drained = Instant::now();
-    // The source's balancer sees a little later that the router is not ready any more.
+    // The load balancer notices with a delay that the router is no longer ready.
     let balancing = async {
         tokio::time::sleep(BALANCER_LAG).await;
         balancer.remove(address);
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -1,8 +1,9 @@
-//! Load on the data path, against a router process and directly against the same stand-ins, in
-//! one run: `cargo run --release --locked --example load` after `cargo build --release --locked`.
+//! Load test of the data path, through a router process and directly against the same stand-ins,
+//! in one run: `cargo run --release --locked --example load` after
+//! `cargo build --release --locked`.
 //!
-//! Prints one line a measure. Events carry the time at which the stand-in wrote them, so the
-//! delay of each event is known to the reader on the same machine.
+//! Prints one line per measure. Events carry the time at which the stand-in wrote them, so the
+//! reader, which uses the same clock, can compute the delay of each event.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -32,11 +33,11 @@
 use self::shared::site::Site;
 use self::shared::site::key_of;
 
-/// Time between two tokens of a stream: the aim for 95 in 100.
+/// Time between two tokens of a stream, equal to the target for the 95th percentile.
 const TOKEN: Duration = Duration::from_millis(49);
 const SLOTS: u32 = 1_024;
 const PLAIN_CONNECTIONS: usize = 32;
-/// Clock ticks a second in `/proc`.
+/// Clock ticks per second in `/proc`.
 const TICKS: u64 = 100;
 const TEAM: &str = "nadi";
 
@@ -60,12 +61,12 @@
         )
 }
 
-/// Nanoseconds, up to a minute.
+/// Creates a histogram of nanoseconds up to a minute.
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("the bounds are right")
 }
 
-/// What `/proc` says of a process.
+/// CPU time and memory of a process, read from `/proc`.
 #[derive(Debug, Clone, Copy)]
 struct ProcessUse {
     cpu_millis: u64,
@@ -88,14 +89,14 @@
     }
 }
 
-/// Delays of events and times to the first one, in nanoseconds.
+/// Event delays and times to the first event, in nanoseconds, and the number of complete streams.
 struct StreamDelays {
     events: Histogram<u64>,
     first: Histogram<u64>,
     whole: u64,
 }
 
-/// Reads one stream; `None` if it was not whole.
+/// Reads one stream and returns the nanoseconds to its first event, or `None` if it was incomplete.
 async fn read_stream(address: SocketAddr, tokens: u64, events: &mut Histogram<u64>) -> Option<u64> {
     let call = Call::completion(&key_of(TEAM), "luma", tokens, true).header("standin-stamp", "1");
     let began = clock_nanos();
@@ -120,7 +121,7 @@
     first.filter(|_| done)
 }
 
-/// Keeps `width` streams open at once for about `time`, all begun within one token's time.
+/// Opens `width` concurrent streams for about `time`, with starts spread over one token interval.
 async fn streams(address: SocketAddr, width: usize, time: Duration) -> StreamDelays {
     let tokens = u64::try_from(time.as_millis() / TOKEN.as_millis()).unwrap_or(1);
     let spread = TOKEN / u32::try_from(width).unwrap_or(1);
@@ -154,7 +155,7 @@
     latency: Histogram<u64>,
 }
 
-/// Small plain calls over kept connections, each as soon as the last is answered.
+/// Sends small plain calls over kept connections, each as soon as the previous one is answered.
 async fn plain(address: SocketAddr, connections: usize, time: Duration) -> PlainResult {
     let stop = CancellationToken::new();
     let mut workers = Vec::new();
@@ -289,7 +290,7 @@
         resumes: true,
         checks_fence: true,
     };
-    // Many more slots than are published: the stand-in shall not slow down.
+    // Many more slots than published, so that the stand-in's steps do not slow down under load.
     let engine = StandinEndpoint::start(listen, engine, 1_000_000).await?;
     let portal = EndpointRole::Plain {
         pool: "portal".to_owned(),
--- a/examples/standin.rs
+++ b/examples/standin.rs
@@ -1,6 +1,6 @@
-//! Stand-in endpoints as a process of their own, to try a router against.
+//! Runs a stand-in endpoint as a separate process, for trying out a router.
 //!
-//! `standin --listen 127.0.0.1:9001 --model luma` is a model engine,
+//! `standin --listen 127.0.0.1:9001 --model luma` starts a model engine,
 //! `standin --listen 127.0.0.1:9002 --pool portal` a plain service.
 
 use std::net::SocketAddr;
@@ -36,14 +36,14 @@
         .arg(
             Arg::new("pool")
                 .long("pool")
-                .help("Be the plain service of this pool instead"),
+                .help("Run a plain service for this pool instead"),
         )
         .arg(
             Arg::new("slots")
                 .long("slots")
                 .default_value("32")
                 .value_parser(value_parser!(usize))
-                .help("Requests that run at once"),
+                .help("Concurrent requests"),
         )
         .arg(
             Arg::new("token-ms")
