--- a/examples/measure/slopes.rs
+++ b/examples/measure/slopes.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// Runs all series with a seed, prints them, and returns whether every bound held.
+/// Runs all series with a seed, prints them, and returns whether all values are within bounds.
 pub fn run(seed: u64) -> bool {
     let mut held = true;
     for axis in SweepAxis::ALL {
