--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -249,7 +249,7 @@
             | Item::Load(seat, ..) => *seat,
             Item::Fault(_) => usize::MAX,
         };
-        if let Some(wakes_at) = self.seats.get(seat).map(|seat| seat.wakes_at)
+        if let Some(wakes_at) = self.seats.get(seat).map(|router| router.wakes_at)
             && wakes_at > self.now
         {
             self.push(wakes_at, item);
@@ -587,7 +587,7 @@
     pub fn revisions(&self) -> Vec<u64> {
         let seats = self.seats.iter();
         seats
-            .map(|seat| seat.core.state().catalog.revision.0)
+            .map(|router| router.core.state().catalog.revision.0)
             .collect()
     }
 
--- a/examples/measure/slopes.rs
+++ b/examples/measure/slopes.rs
@@ -310,7 +310,7 @@
     let seat = fleet
         .seats
         .iter()
-        .position(|seat| Some(&seat.core.state().identity.host) == host);
+        .position(|router| Some(&router.core.state().identity.host) == host);
     seat.expect("a live router owns the pool")
 }
 
