--- a/examples/measure/scenarios.rs
+++ b/examples/measure/scenarios.rs
@@ -394,15 +394,15 @@
     for step in 0..8 {
         let bits = draw.rotate_right(step * 7) ^ (draw >> step);
         let at = 5_000_000 + u64::from(step) * 5_000_000 + bits % 4_000_000;
-        let seat = usize::try_from(bits % 8).unwrap_or(0);
+        let index = usize::try_from(bits % 8).unwrap_or(0);
         faults.push((
             at,
             match bits / 8 % 5 {
-                0 => FleetFault::Part(seat.max(1)),
+                0 => FleetFault::Part(index.max(1)),
                 1 => FleetFault::Heal,
-                2 => FleetFault::Restart(seat),
-                3 => FleetFault::Pause(seat, 200 + bits % 4_000),
-                _ => FleetFault::Crash(seat),
+                2 => FleetFault::Restart(index),
+                3 => FleetFault::Pause(index, 200 + bits % 4_000),
+                _ => FleetFault::Crash(index),
             },
         ));
     }
