--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -51,12 +51,12 @@
         match fault {
             FleetFault::Part(cut) => self.part(cut),
             FleetFault::Heal => self.heal(),
-            FleetFault::Restart(seat) => self.restart(seat),
-            FleetFault::Pause(seat, millis) => {
-                self.seats[seat].wakes_at = self.now + millis * 1_000;
+            FleetFault::Restart(router_index) => self.restart(router_index),
+            FleetFault::Pause(router_index, millis) => {
+                self.seats[router_index].wakes_at = self.now + millis * 1_000;
             }
             FleetFault::Leave(place, deaf) => self.leave(place, deaf),
-            FleetFault::ShowLeaving(place, seat) => self.show_leaving(place, seat),
+            FleetFault::ShowLeaving(place, router_index) => self.show_leaving(place, router_index),
             FleetFault::Loaded(place, pool) => self.tally.moves(self.names[place], pool),
             FleetFault::Crash(place) => self.crash(place),
             FleetFault::Publish(revision, factor) => self.publish(revision, factor),
@@ -83,10 +83,10 @@
         }
     }
 
-    fn restart(&mut self, seat: usize) {
-        let life = self.seats[seat].life;
-        let core = self.make_core(seat, life + 1);
-        self.seats[seat] = Seat {
+    fn restart(&mut self, router_index: usize) {
+        let life = self.seats[router_index].life;
+        let core = self.make_core(router_index, life + 1);
+        self.seats[router_index] = Seat {
             core,
             life: life + 1,
             wakes_at: 0,
@@ -94,7 +94,7 @@
         let runs: Vec<_> = self
             .running
             .keys()
-            .filter(|key| (key.0, key.1) == (seat, life))
+            .filter(|key| (key.0, key.1) == (router_index, life))
             .copied()
             .collect();
         for key in runs {
@@ -107,7 +107,7 @@
         let calls: Vec<_> = self
             .calls
             .keys()
-            .filter(|key| (key.0, key.1) == (seat, life))
+            .filter(|key| (key.0, key.1) == (router_index, life))
             .copied()
             .collect();
         for key in calls {
@@ -118,19 +118,24 @@
             self.close(call, RunOutcome::Unknown, false);
         }
         for other in 0..self.seats.len() {
-            if other != seat {
-                self.tell(other, CoreEvent::PeerClosed { host: host(seat) });
+            if other != router_index {
+                self.tell(
+                    other,
+                    CoreEvent::PeerClosed {
+                        host: host(router_index),
+                    },
+                );
             }
         }
-        self.begin(seat);
+        self.begin(router_index);
     }
 
     fn leave(&mut self, place: usize, deaf: usize) {
         let endpoint = self.names[place];
         self.left.push((endpoint, self.now));
         self.tally.closes(endpoint);
-        for seat in (0..self.seats.len()).filter(|seat| *seat != deaf) {
-            self.show_leaving(place, seat);
+        for router_index in (0..self.seats.len()).filter(|router_index| *router_index != deaf) {
+            self.show_leaving(place, router_index);
         }
         // Gossip from peers informs the router whose list lags, unless a partition isolates it;
         // then only its own list does.
@@ -138,10 +143,10 @@
         self.plan(late, FleetFault::ShowLeaving(place, deaf));
     }
 
-    fn show_leaving(&mut self, place: usize, seat: usize) {
+    fn show_leaving(&mut self, place: usize, router_index: usize) {
         let leaving = vec![(self.names[place], 1)];
         let routers = Vec::new();
-        self.tell(seat, CoreEvent::HostsListed { routers, leaving });
+        self.tell(router_index, CoreEvent::HostsListed { routers, leaving });
     }
 
     /// Applies a model order at an endpoint, which rejects stale fencing numbers and loads the
@@ -169,9 +174,9 @@
             .filter(|(_, run)| run.endpoint == endpoint)
             .map(|(key, run)| (*key, run.attempt))
             .collect();
-        for ((seat, life, request), attempt) in runs {
+        for ((router_index, life, request), attempt) in runs {
             let outcome = AttemptOutcome::LostBeforeAnswer;
-            self.end(seat, life, request, attempt, outcome);
+            self.end(router_index, life, request, attempt, outcome);
         }
     }
 
@@ -188,10 +193,10 @@
             self.tally.shares_changed(&catalog);
             self.catalog = Arc::clone(&catalog);
         }
-        for seat in 0..self.seats.len() {
+        for router_index in 0..self.seats.len() {
             let text = bytes::Bytes::new();
             let catalog = Arc::clone(&catalog);
-            self.tell(seat, CoreEvent::Published { catalog, text });
+            self.tell(router_index, CoreEvent::Published { catalog, text });
         }
     }
 }
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -240,36 +240,38 @@
     }
 
     fn step(&mut self, item: Item) {
-        let seat = match &item {
-            Item::Tick(seat, _)
-            | Item::Deliver(_, seat, ..)
-            | Item::Call(_, seat, _)
-            | Item::Progress(seat, ..)
-            | Item::Done(seat, ..)
-            | Item::Load(seat, ..) => *seat,
+        let router_index = match &item {
+            Item::Tick(router_index, _)
+            | Item::Deliver(_, router_index, ..)
+            | Item::Call(_, router_index, _)
+            | Item::Progress(router_index, ..)
+            | Item::Done(router_index, ..)
+            | Item::Load(router_index, ..) => *router_index,
             Item::Fault(_) => usize::MAX,
         };
-        if let Some(wakes_at) = self.seats.get(seat).map(|router| router.wakes_at)
+        if let Some(wakes_at) = self.seats.get(router_index).map(|router| router.wakes_at)
             && wakes_at > self.now
         {
             self.push(wakes_at, item);
             return;
         }
         match item {
-            Item::Tick(seat, life) if self.seats[seat].life == life => {
-                self.tell(seat, CoreEvent::Tick);
-                self.push(self.now + TICK_US, Item::Tick(seat, life));
+            Item::Tick(router_index, life) if self.seats[router_index].life == life => {
+                self.tell(router_index, CoreEvent::Tick);
+                self.push(self.now + TICK_US, Item::Tick(router_index, life));
             }
             Item::Tick(..) => {}
             Item::Deliver(from, to, life, message) => self.deliver(from, to, life, *message),
-            Item::Call(call, seat, ticket) => self.call(call, seat, ticket),
-            Item::Progress(seat, life, request, attempt) => {
-                self.progress(seat, life, request, attempt);
+            Item::Call(call, router_index, ticket) => self.call(call, router_index, ticket),
+            Item::Progress(router_index, life, request, attempt) => {
+                self.progress(router_index, life, request, attempt);
             }
-            Item::Done(seat, life, request, attempt) => {
-                self.end(seat, life, request, attempt, AttemptOutcome::Whole);
+            Item::Done(router_index, life, request, attempt) => {
+                self.end(router_index, life, request, attempt, AttemptOutcome::Whole);
+            }
+            Item::Load(router_index, life, endpoint) => {
+                self.report_load(router_index, life, endpoint)
             }
-            Item::Load(seat, life, endpoint) => self.report_load(seat, life, endpoint),
             Item::Fault(fault) => self.fault(fault),
         }
     }
@@ -290,7 +292,7 @@
         );
     }
 
-    fn call(&mut self, call: u64, seat: usize, ticket: Option<TicketName>) {
+    fn call(&mut self, call: u64, router_index: usize, ticket: Option<TicketName>) {
         let spec = self.load.spec(call);
         if ticket.is_none() && !self.tickets.contains_key(&call) {
             self.tally.arrived(call, &spec);
@@ -304,7 +306,7 @@
         self.next_request += 1;
         let request = RequestId(self.next_request);
         self.calls
-            .insert((seat, self.seats[seat].life, request), call);
+            .insert((router_index, self.seats[router_index].life, request), call);
         let repeat = if spec.unrepeatable {
             RepeatRule::Unrepeatable(ticket)
         } else {
@@ -312,7 +314,7 @@
         };
         self.tally.waits(call, &spec, true);
         self.tell(
-            seat,
+            router_index,
             CoreEvent::Arrived(RequestFacts {
                 request,
                 team: spec.team,
@@ -328,40 +330,44 @@
         );
     }
 
-    pub(super) fn tell(&mut self, seat: usize, event: CoreEvent) {
+    pub(super) fn tell(&mut self, router_index: usize, event: CoreEvent) {
         let started = std::time::Instant::now();
-        let actions = self.seats[seat].core.handle(Moment(self.now), event);
+        let actions = self.seats[router_index]
+            .core
+            .handle(Moment(self.now), event);
         self.tally.spent(started.elapsed());
         for action in actions {
-            self.carry_out(seat, action);
+            self.carry_out(router_index, action);
         }
     }
 
-    fn carry_out(&mut self, seat: usize, action: CoreAction) {
-        let life = self.seats[seat].life;
+    fn carry_out(&mut self, router_index: usize, action: CoreAction) {
+        let life = self.seats[router_index].life;
         match action {
-            CoreAction::Send { host: to, message } => self.send(seat, &to, &message),
+            CoreAction::Send { host: to, message } => self.send(router_index, &to, &message),
             CoreAction::Dispatch {
                 request,
                 attempt,
                 endpoint,
                 ..
             } => {
-                self.dispatch(seat, request, attempt, endpoint);
+                self.dispatch(router_index, request, attempt, endpoint);
             }
             CoreAction::Cancel { request, .. } => {
-                if let Some(run) = self.running.remove(&(seat, life, request)) {
+                if let Some(run) = self.running.remove(&(router_index, life, request)) {
                     self.tally.stops(run.endpoint);
                 }
             }
-            CoreAction::Complete { request } => self.finish(seat, request, RunOutcome::Ran, true),
+            CoreAction::Complete { request } => {
+                self.finish(router_index, request, RunOutcome::Ran, true)
+            }
             CoreAction::Refuse {
                 request, outcome, ..
             } => {
-                self.finish(seat, request, outcome, false);
+                self.finish(router_index, request, outcome, false);
             }
             CoreAction::OfferTicket { request, ticket } => {
-                if let Some(call) = self.calls.remove(&(seat, life, request)) {
+                if let Some(call) = self.calls.remove(&(router_index, life, request)) {
                     self.tally.waits(call, &self.load.spec(call), false);
                     self.tickets.insert(call, ticket);
                     let via = self.random.random_range(0..self.seats.len());
@@ -369,7 +375,7 @@
                 }
             }
             CoreAction::Forward { request, host: to } => {
-                let Some(call) = self.calls.remove(&(seat, life, request)) else {
+                let Some(call) = self.calls.remove(&(router_index, life, request)) else {
                     return;
                 };
                 self.tally.waits(call, &self.load.spec(call), false);
@@ -378,9 +384,9 @@
                 self.push(self.now + self.latency, Item::Call(call, to, ticket));
             }
             CoreAction::WatchLoad { endpoint, on: true }
-                if self.watched.insert((seat, life, endpoint)) =>
+                if self.watched.insert((router_index, life, endpoint)) =>
             {
-                self.push(self.now + LOAD_US, Item::Load(seat, life, endpoint));
+                self.push(self.now + LOAD_US, Item::Load(router_index, life, endpoint));
             }
             CoreAction::OrderModel {
                 endpoint,
@@ -391,17 +397,19 @@
                 endpoint,
                 on: false,
             } => {
-                self.watched.remove(&(seat, life, endpoint));
+                self.watched.remove(&(router_index, life, endpoint));
             }
             _ => {}
         }
     }
 
-    fn report_load(&mut self, seat: usize, life: u64, endpoint: EndpointId) {
-        if !self.watched.contains(&(seat, life, endpoint)) || self.seats[seat].life != life {
+    fn report_load(&mut self, router_index: usize, life: u64, endpoint: EndpointId) {
+        if !self.watched.contains(&(router_index, life, endpoint))
+            || self.seats[router_index].life != life
+        {
             return;
         }
-        self.push(self.now + LOAD_US, Item::Load(seat, life, endpoint));
+        self.push(self.now + LOAD_US, Item::Load(router_index, life, endpoint));
         let active = self.tally.home_of(endpoint);
         let (running, waiting) = self.tally.load_of(endpoint);
         let event = CoreEvent::EndpointLoad {
@@ -412,7 +420,7 @@
             life: self.lives.get(&endpoint).copied().unwrap_or(1),
             fence: self.fences.get(&endpoint).map_or(0, |fence| fence.0),
         };
-        self.tell(seat, event);
+        self.tell(router_index, event);
     }
 
     fn index_of(&self, name: &HostName) -> usize {
@@ -441,13 +449,13 @@
 
     fn dispatch(
         &mut self,
-        seat: usize,
+        router_index: usize,
         request: RequestId,
         attempt: AttemptNumber,
         to: EndpointId,
     ) {
-        let life = self.seats[seat].life;
-        let call = self.calls[&(seat, life, request)];
+        let life = self.seats[router_index].life;
+        let call = self.calls[&(router_index, life, request)];
         let spec = self.load.spec(call);
         self.tally.starts(call, &spec, to);
         if let Some((_, at)) = self.left.iter().find(|(endpoint, _)| *endpoint == to) {
@@ -471,16 +479,16 @@
             seen: 0,
             cost: spec.cost,
         };
-        self.running.insert((seat, life, request), run);
+        self.running.insert((router_index, life, request), run);
         if until - since > PROGRESS_US {
             self.push(
                 since + PROGRESS_US,
-                Item::Progress(seat, life, request, attempt),
+                Item::Progress(router_index, life, request, attempt),
             );
         }
         self.push(
             until + self.latency,
-            Item::Done(seat, life, request, attempt),
+            Item::Done(router_index, life, request, attempt),
         );
     }
 
@@ -493,12 +501,12 @@
     /// units. Returns `None` if the request has no running attempt or a different one.
     fn served(
         &mut self,
-        seat: usize,
+        router_index: usize,
         life: u64,
         request: RequestId,
         attempt: AttemptNumber,
     ) -> Option<u64> {
-        let run = self.running.get_mut(&(seat, life, request))?;
+        let run = self.running.get_mut(&(router_index, life, request))?;
         if run.attempt != attempt {
             return None;
         }
@@ -510,14 +518,20 @@
         Some(so_far)
     }
 
-    fn progress(&mut self, seat: usize, life: u64, request: RequestId, attempt: AttemptNumber) {
-        let Some(so_far) = self.served(seat, life, request, attempt) else {
+    fn progress(
+        &mut self,
+        router_index: usize,
+        life: u64,
+        request: RequestId,
+        attempt: AttemptNumber,
+    ) {
+        let Some(so_far) = self.served(router_index, life, request, attempt) else {
             return;
         };
-        let until = self.running[&(seat, life, request)].until;
+        let until = self.running[&(router_index, life, request)].until;
         let service = ServiceUnits(so_far);
         self.tell(
-            seat,
+            router_index,
             CoreEvent::Progress {
                 request,
                 attempt,
@@ -527,33 +541,33 @@
         if self.now + PROGRESS_US < until {
             self.push(
                 self.now + PROGRESS_US,
-                Item::Progress(seat, life, request, attempt),
+                Item::Progress(router_index, life, request, attempt),
             );
         }
     }
 
     pub(super) fn end(
         &mut self,
-        seat: usize,
+        router_index: usize,
         life: u64,
         request: RequestId,
         attempt: AttemptNumber,
         outcome: AttemptOutcome,
     ) {
-        let Some(so_far) = self.served(seat, life, request, attempt) else {
+        let Some(so_far) = self.served(router_index, life, request, attempt) else {
             return;
         };
-        let Some(run) = self.running.remove(&(seat, life, request)) else {
+        let Some(run) = self.running.remove(&(router_index, life, request)) else {
             return;
         };
         self.tally.stops(run.endpoint);
         if outcome != AttemptOutcome::Whole {
             self.tally.waits(run.call, &self.load.spec(run.call), true);
         }
-        if self.seats[seat].life == life {
+        if self.seats[router_index].life == life {
             let service = ServiceUnits(so_far);
             self.tell(
-                seat,
+                router_index,
                 CoreEvent::AttemptEnded {
                     request,
                     attempt,
@@ -564,9 +578,15 @@
         }
     }
 
-    fn finish(&mut self, seat: usize, request: RequestId, outcome: RunOutcome, whole: bool) {
-        let life = self.seats[seat].life;
-        if let Some(call) = self.calls.remove(&(seat, life, request)) {
+    fn finish(
+        &mut self,
+        router_index: usize,
+        request: RequestId,
+        outcome: RunOutcome,
+        whole: bool,
+    ) {
+        let life = self.seats[router_index].life;
+        if let Some(call) = self.calls.remove(&(router_index, life, request)) {
             self.close(call, outcome, whole);
         }
     }
--- a/examples/measure/slopes.rs
+++ b/examples/measure/slopes.rs
@@ -274,7 +274,8 @@
     fleet.run(END_US);
     let owner = owner_of(&fleet, &scenarios::engine_pool());
     let other = owner_of(&fleet, &scenarios::plain_pool());
-    let entry = (0..size.routers).find(|seat| *seat != owner && *seat != other);
+    let entry =
+        (0..size.routers).find(|router_index| *router_index != owner && *router_index != other);
     let entry = entry.expect("more routers than pools");
     let sizes = state_bytes::count(fleet.seats[owner].core.state());
     let figure = |name, unit, value| SlopeFigure { name, unit, value };
@@ -307,11 +308,11 @@
 fn owner_of(fleet: &CoreFleet, pool: &PoolName) -> usize {
     let members = &fleet.seats[0].core.state().members;
     let host = members.owner_of(PoolId::from(pool));
-    let seat = fleet
+    let router_index = fleet
         .seats
         .iter()
         .position(|router| Some(&router.core.state().identity.host) == host);
-    seat.expect("a live router owns the pool")
+    router_index.expect("a live router owns the pool")
 }
 
 /// CPU time of all cores together per second of simulated time, in microseconds.
@@ -343,17 +344,17 @@
 /// Median cost in microseconds of handling one event for each running attempt of one router.
 fn attempt_cost(
     fleet: &mut CoreFleet,
-    seat: usize,
+    router_index: usize,
     event: impl Fn(RequestId, AttemptNumber) -> CoreEvent,
 ) -> f64 {
-    let life = fleet.seats[seat].life;
+    let life = fleet.seats[router_index].life;
     let runs: Vec<RequestId> = fleet
         .running
         .keys()
-        .filter(|key| (key.0, key.1) == (seat, life))
+        .filter(|key| (key.0, key.1) == (router_index, life))
         .map(|key| key.2)
         .collect();
-    let core = &mut fleet.seats[seat].core;
+    let core = &mut fleet.seats[router_index].core;
     let mut costs = Vec::new();
     for request in runs {
         let row = core.state().requests.get(request);
@@ -383,8 +384,8 @@
 }
 
 /// Median cost in microseconds of a tick at one router, with `stride` tick periods between ticks.
-fn tick_cost(fleet: &mut CoreFleet, seat: usize, stride: u64) -> f64 {
-    let core = &mut fleet.seats[seat].core;
+fn tick_cost(fleet: &mut CoreFleet, router_index: usize, stride: u64) -> f64 {
+    let core = &mut fleet.seats[router_index].core;
     let from = core.state().now.0;
     let costs = (1..=TIMED_TICKS)
         .map(|step| timed(core, from + step * stride * TICK_US, CoreEvent::Tick))
