--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -11,7 +11,7 @@
 use verbenaturn::units::PoolId;
 
 use super::fleet::CoreFleet;
-use super::fleet::Seat;
+use super::fleet::SimulatedRouter;
 use super::fleet::host;
 
 /// Microseconds by which a stale host list lags behind the others.
@@ -86,7 +86,7 @@
     fn restart(&mut self, router_index: usize) {
         let life = self.seats[router_index].life;
         let core = self.make_core(router_index, life + 1);
-        self.seats[router_index] = Seat {
+        self.seats[router_index] = SimulatedRouter {
             core,
             life: life + 1,
             wakes_at: 0,
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -69,7 +69,7 @@
 }
 
 /// One router: its core, its incarnation counter and the end of its pause in microseconds.
-pub(super) struct Seat {
+pub(super) struct SimulatedRouter {
     pub(super) core: RouterCore,
     pub(super) life: u64,
     pub(super) wakes_at: u64,
@@ -79,7 +79,7 @@
 pub struct CoreFleet {
     /// Counters of the run.
     pub tally: FleetTally,
-    pub(super) seats: Vec<Seat>,
+    pub(super) seats: Vec<SimulatedRouter>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     items: BTreeMap<u64, Item>,
     order: u64,
@@ -136,7 +136,7 @@
         };
         for index in 0..routers {
             let core = fleet.make_core(index, 1);
-            fleet.seats.push(Seat {
+            fleet.seats.push(SimulatedRouter {
                 core,
                 life: 1,
                 wakes_at: 0,
