--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -53,7 +53,7 @@
             FleetFault::Heal => self.heal(),
             FleetFault::Restart(router_index) => self.restart(router_index),
             FleetFault::Pause(router_index, millis) => {
-                self.seats[router_index].wakes_at = self.now + millis * 1_000;
+                self.simulated_routers[router_index].wakes_at = self.now + millis * 1_000;
             }
             FleetFault::Leave(place, deaf) => self.leave(place, deaf),
             FleetFault::ShowLeaving(place, router_index) => self.show_leaving(place, router_index),
@@ -67,7 +67,7 @@
     fn part(&mut self, cut: usize) {
         self.parted = Some(cut);
         for left in 0..cut {
-            for right in cut..self.seats.len() {
+            for right in cut..self.simulated_routers.len() {
                 self.tell(left, CoreEvent::PeerClosed { host: host(right) });
                 self.tell(right, CoreEvent::PeerClosed { host: host(left) });
             }
@@ -76,17 +76,17 @@
 
     fn heal(&mut self) {
         self.parted = None;
-        for left in 0..self.seats.len() {
-            for right in 0..self.seats.len() {
+        for left in 0..self.simulated_routers.len() {
+            for right in 0..self.simulated_routers.len() {
                 self.open(left, right);
             }
         }
     }
 
     fn restart(&mut self, router_index: usize) {
-        let life = self.seats[router_index].life;
+        let life = self.simulated_routers[router_index].life;
         let core = self.make_core(router_index, life + 1);
-        self.seats[router_index] = SimulatedRouter {
+        self.simulated_routers[router_index] = SimulatedRouter {
             core,
             life: life + 1,
             wakes_at: 0,
@@ -117,7 +117,7 @@
                 .expect("key was collected from the map");
             self.close(call, RunOutcome::Unknown, false);
         }
-        for other in 0..self.seats.len() {
+        for other in 0..self.simulated_routers.len() {
             if other != router_index {
                 self.tell(
                     other,
@@ -134,7 +134,9 @@
         let endpoint = self.names[place];
         self.left.push((endpoint, self.now));
         self.tally.closes(endpoint);
-        for router_index in (0..self.seats.len()).filter(|router_index| *router_index != deaf) {
+        for router_index in
+            (0..self.simulated_routers.len()).filter(|router_index| *router_index != deaf)
+        {
             self.show_leaving(place, router_index);
         }
         // Gossip from peers informs the router whose list lags, unless a partition isolates it;
@@ -193,7 +195,7 @@
             self.tally.shares_changed(&catalog);
             self.catalog = Arc::clone(&catalog);
         }
-        for router_index in 0..self.seats.len() {
+        for router_index in 0..self.simulated_routers.len() {
             let text = bytes::Bytes::new();
             let catalog = Arc::clone(&catalog);
             self.tell(router_index, CoreEvent::Published { catalog, text });
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -79,7 +79,7 @@
 pub struct CoreFleet {
     /// Counters of the run.
     pub tally: FleetTally,
-    pub(super) seats: Vec<SimulatedRouter>,
+    pub(super) simulated_routers: Vec<SimulatedRouter>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     items: BTreeMap<u64, Item>,
     order: u64,
@@ -112,7 +112,7 @@
         let names = catalog.endpoints.keys().copied().collect();
         let mut fleet = Self {
             tally: FleetTally::new(&catalog, routers),
-            seats: Vec::new(),
+            simulated_routers: Vec::new(),
             queue: BinaryHeap::new(),
             items: BTreeMap::new(),
             order: 0,
@@ -136,7 +136,7 @@
         };
         for index in 0..routers {
             let core = fleet.make_core(index, 1);
-            fleet.seats.push(SimulatedRouter {
+            fleet.simulated_routers.push(SimulatedRouter {
                 core,
                 life: 1,
                 wakes_at: 0,
@@ -166,7 +166,7 @@
     }
 
     pub(super) fn begin(&mut self, index: usize) {
-        let routers = (0..self.seats.len())
+        let routers = (0..self.simulated_routers.len())
             .map(|other| ListedRouter {
                 host: host(other),
                 address: format!("127.0.0.1:{}", 7_000 + other).into(),
@@ -181,18 +181,22 @@
         let catalog = Arc::clone(&self.catalog);
         let text = bytes::Bytes::new();
         self.tell(index, CoreEvent::Published { catalog, text });
-        for other in 0..self.seats.len() {
+        for other in 0..self.simulated_routers.len() {
             self.open(index, other);
             self.open(other, index);
         }
-        let life = self.seats[index].life;
+        let life = self.simulated_routers[index].life;
         let offset = self.random.random_range(0..TICK_US);
         self.push(self.now + offset, Item::Tick(index, life));
     }
 
     pub(super) fn open(&mut self, index: usize, other: usize) {
         if index != other && self.reach(index, other) {
-            let incarnation = self.seats[other].core.state().identity.incarnation;
+            let incarnation = self.simulated_routers[other]
+                .core
+                .state()
+                .identity
+                .incarnation;
             let opened = CoreEvent::PeerOpened {
                 host: host(other),
                 incarnation,
@@ -218,7 +222,7 @@
 
     /// Schedules the first call of every lane of the load plan.
     pub fn begin_load(&mut self) {
-        for (at, call, router) in self.load.first_calls(self.seats.len()) {
+        for (at, call, router) in self.load.first_calls(self.simulated_routers.len()) {
             self.push(at, Item::Call(call, router, None));
         }
     }
@@ -249,14 +253,17 @@
             | Item::Load(router_index, ..) => *router_index,
             Item::Fault(_) => usize::MAX,
         };
-        if let Some(wakes_at) = self.seats.get(router_index).map(|router| router.wakes_at)
+        if let Some(wakes_at) = self
+            .simulated_routers
+            .get(router_index)
+            .map(|router| router.wakes_at)
             && wakes_at > self.now
         {
             self.push(wakes_at, item);
             return;
         }
         match item {
-            Item::Tick(router_index, life) if self.seats[router_index].life == life => {
+            Item::Tick(router_index, life) if self.simulated_routers[router_index].life == life => {
                 self.tell(router_index, CoreEvent::Tick);
                 self.push(self.now + TICK_US, Item::Tick(router_index, life));
             }
@@ -277,10 +284,14 @@
     }
 
     fn deliver(&mut self, from: usize, to: usize, life: u64, message: PeerMessage) {
-        if !self.reach(from, to) || self.seats[from].life != life {
+        if !self.reach(from, to) || self.simulated_routers[from].life != life {
             return;
         }
-        let incarnation = self.seats[from].core.state().identity.incarnation;
+        let incarnation = self.simulated_routers[from]
+            .core
+            .state()
+            .identity
+            .incarnation;
         let from = host(from);
         self.tell(
             to,
@@ -296,7 +307,7 @@
         let spec = self.load.spec(call);
         if ticket.is_none() && !self.tickets.contains_key(&call) {
             self.tally.arrived(call, &spec);
-            let follower = self.load.follower(call, self.seats.len());
+            let follower = self.load.follower(call, self.simulated_routers.len());
             if let Some((wait, next, router)) = follower
                 && self.load.lasts(call, self.now)
             {
@@ -305,8 +316,14 @@
         }
         self.next_request += 1;
         let request = RequestId(self.next_request);
-        self.calls
-            .insert((router_index, self.seats[router_index].life, request), call);
+        self.calls.insert(
+            (
+                router_index,
+                self.simulated_routers[router_index].life,
+                request,
+            ),
+            call,
+        );
         let repeat = if spec.unrepeatable {
             RepeatRule::Unrepeatable(ticket)
         } else {
@@ -332,7 +349,7 @@
 
     pub(super) fn tell(&mut self, router_index: usize, event: CoreEvent) {
         let started = std::time::Instant::now();
-        let actions = self.seats[router_index]
+        let actions = self.simulated_routers[router_index]
             .core
             .handle(Moment(self.now), event);
         self.tally.spent(started.elapsed());
@@ -342,7 +359,7 @@
     }
 
     fn carry_out(&mut self, router_index: usize, action: CoreAction) {
-        let life = self.seats[router_index].life;
+        let life = self.simulated_routers[router_index].life;
         match action {
             CoreAction::Send { host: to, message } => self.send(router_index, &to, &message),
             CoreAction::Dispatch {
@@ -370,7 +387,7 @@
                 if let Some(call) = self.calls.remove(&(router_index, life, request)) {
                     self.tally.waits(call, &self.load.spec(call), false);
                     self.tickets.insert(call, ticket);
-                    let via = self.random.random_range(0..self.seats.len());
+                    let via = self.random.random_range(0..self.simulated_routers.len());
                     self.push(self.now + 2_000, Item::Call(call, via, Some(ticket)));
                 }
             }
@@ -405,7 +422,7 @@
 
     fn report_load(&mut self, router_index: usize, life: u64, endpoint: EndpointId) {
         if !self.watched.contains(&(router_index, life, endpoint))
-            || self.seats[router_index].life != life
+            || self.simulated_routers[router_index].life != life
         {
             return;
         }
@@ -424,7 +441,7 @@
     }
 
     fn index_of(&self, name: &HostName) -> usize {
-        let index = (0..self.seats.len()).find(|index| host(*index) == *name);
+        let index = (0..self.simulated_routers.len()).find(|index| host(*index) == *name);
         index.expect("cores name only listed hosts")
     }
 }
@@ -434,7 +451,7 @@
         let to = self.index_of(to);
         let bytes = message.encoded_len() as u64 + FRAME_BYTES;
         self.tally.control(from, bytes);
-        let life = self.seats[from].life;
+        let life = self.simulated_routers[from].life;
         let copies = match self.random.random_range(0..1_000) {
             draw if draw < self.noise => 0,
             draw if draw < 2 * self.noise => 2,
@@ -454,7 +471,7 @@
         attempt: AttemptNumber,
         to: EndpointId,
     ) {
-        let life = self.seats[router_index].life;
+        let life = self.simulated_routers[router_index].life;
         let call = self.calls[&(router_index, life, request)];
         let spec = self.load.spec(call);
         self.tally.starts(call, &spec, to);
@@ -564,7 +581,7 @@
         if outcome != AttemptOutcome::Whole {
             self.tally.waits(run.call, &self.load.spec(run.call), true);
         }
-        if self.seats[router_index].life == life {
+        if self.simulated_routers[router_index].life == life {
             let service = ServiceUnits(so_far);
             self.tell(
                 router_index,
@@ -585,7 +602,7 @@
         outcome: RunOutcome,
         whole: bool,
     ) {
-        let life = self.seats[router_index].life;
+        let life = self.simulated_routers[router_index].life;
         if let Some(call) = self.calls.remove(&(router_index, life, request)) {
             self.close(call, outcome, whole);
         }
@@ -598,15 +615,18 @@
         if !self.load.lasts(call, self.now) {
             return;
         }
-        if let Some((wait, next, router)) = self.load.next_call(call, whole, self.seats.len()) {
+        if let Some((wait, next, router)) =
+            self.load
+                .next_call(call, whole, self.simulated_routers.len())
+        {
             self.push(self.now + wait, Item::Call(next, router, None));
         }
     }
 
     /// Returns the revision in force at each router.
     pub fn revisions(&self) -> Vec<u64> {
-        let seats = self.seats.iter();
-        seats
+        let simulated_routers = self.simulated_routers.iter();
+        simulated_routers
             .map(|router| router.core.state().catalog.revision.0)
             .collect()
     }
--- a/examples/measure/slopes.rs
+++ b/examples/measure/slopes.rs
@@ -277,7 +277,7 @@
     let entry =
         (0..size.routers).find(|router_index| *router_index != owner && *router_index != other);
     let entry = entry.expect("more routers than pools");
-    let sizes = state_bytes::count(fleet.seats[owner].core.state());
+    let sizes = state_bytes::count(fleet.simulated_routers[owner].core.state());
     let figure = |name, unit, value| SlopeFigure { name, unit, value };
     vec![
         figure("event_cost", "us", fleet.tally.event_micros()),
@@ -306,10 +306,10 @@
 }
 
 fn owner_of(fleet: &CoreFleet, pool: &PoolName) -> usize {
-    let members = &fleet.seats[0].core.state().members;
+    let members = &fleet.simulated_routers[0].core.state().members;
     let host = members.owner_of(PoolId::from(pool));
     let router_index = fleet
-        .seats
+        .simulated_routers
         .iter()
         .position(|router| Some(&router.core.state().identity.host) == host);
     router_index.expect("a live router owns the pool")
@@ -347,14 +347,14 @@
     router_index: usize,
     event: impl Fn(RequestId, AttemptNumber) -> CoreEvent,
 ) -> f64 {
-    let life = fleet.seats[router_index].life;
+    let life = fleet.simulated_routers[router_index].life;
     let runs: Vec<RequestId> = fleet
         .running
         .keys()
         .filter(|key| (key.0, key.1) == (router_index, life))
         .map(|key| key.2)
         .collect();
-    let core = &mut fleet.seats[router_index].core;
+    let core = &mut fleet.simulated_routers[router_index].core;
     let mut costs = Vec::new();
     for request in runs {
         let row = core.state().requests.get(request);
@@ -385,7 +385,7 @@
 
 /// Median cost in microseconds of a tick at one router, with `stride` tick periods between ticks.
 fn tick_cost(fleet: &mut CoreFleet, router_index: usize, stride: u64) -> f64 {
-    let core = &mut fleet.seats[router_index].core;
+    let core = &mut fleet.simulated_routers[router_index].core;
     let from = core.state().now.0;
     let costs = (1..=TIMED_TICKS)
         .map(|step| timed(core, from + step * stride * TICK_US, CoreEvent::Tick))
