--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -68,8 +68,8 @@
         self.parted = Some(cut);
         for left in 0..cut {
             for right in cut..self.simulated_routers.len() {
-                self.tell(left, CoreEvent::PeerClosed { host: host(right) });
-                self.tell(right, CoreEvent::PeerClosed { host: host(left) });
+                self.deliver_event(left, CoreEvent::PeerClosed { host: host(right) });
+                self.deliver_event(right, CoreEvent::PeerClosed { host: host(left) });
             }
         }
     }
@@ -119,7 +119,7 @@
         }
         for other in 0..self.simulated_routers.len() {
             if other != router_index {
-                self.tell(
+                self.deliver_event(
                     other,
                     CoreEvent::PeerClosed {
                         host: host(router_index),
@@ -148,7 +148,7 @@
     fn show_leaving(&mut self, place: usize, router_index: usize) {
         let leaving = vec![(self.names[place], 1)];
         let routers = Vec::new();
-        self.tell(router_index, CoreEvent::HostsListed { routers, leaving });
+        self.deliver_event(router_index, CoreEvent::HostsListed { routers, leaving });
     }
 
     /// Applies a model order at an endpoint, which rejects stale fencing numbers and loads the
@@ -198,7 +198,7 @@
         for router_index in 0..self.simulated_routers.len() {
             let text = bytes::Bytes::new();
             let catalog = Arc::clone(&catalog);
-            self.tell(router_index, CoreEvent::Published { catalog, text });
+            self.deliver_event(router_index, CoreEvent::Published { catalog, text });
         }
     }
 }
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -177,10 +177,10 @@
             })
             .collect();
         let leaving = Vec::new();
-        self.tell(index, CoreEvent::HostsListed { routers, leaving });
+        self.deliver_event(index, CoreEvent::HostsListed { routers, leaving });
         let catalog = Arc::clone(&self.catalog);
         let text = bytes::Bytes::new();
-        self.tell(index, CoreEvent::Published { catalog, text });
+        self.deliver_event(index, CoreEvent::Published { catalog, text });
         for other in 0..self.simulated_routers.len() {
             self.open(index, other);
             self.open(other, index);
@@ -201,7 +201,7 @@
                 host: host(other),
                 incarnation,
             };
-            self.tell(index, opened);
+            self.deliver_event(index, opened);
         }
     }
 
@@ -264,7 +264,7 @@
         }
         match item {
             Item::Tick(router_index, life) if self.simulated_routers[router_index].life == life => {
-                self.tell(router_index, CoreEvent::Tick);
+                self.deliver_event(router_index, CoreEvent::Tick);
                 self.push(self.now + TICK_US, Item::Tick(router_index, life));
             }
             Item::Tick(..) => {}
@@ -293,7 +293,7 @@
             .identity
             .incarnation;
         let from = host(from);
-        self.tell(
+        self.deliver_event(
             to,
             CoreEvent::Message {
                 from,
@@ -330,7 +330,7 @@
             RepeatRule::Repeatable
         };
         self.tally.waits(call, &spec, true);
-        self.tell(
+        self.deliver_event(
             router_index,
             CoreEvent::Arrived(RequestFacts {
                 request,
@@ -347,7 +347,7 @@
         );
     }
 
-    pub(super) fn tell(&mut self, router_index: usize, event: CoreEvent) {
+    pub(super) fn deliver_event(&mut self, router_index: usize, event: CoreEvent) {
         let started = std::time::Instant::now();
         let actions = self.simulated_routers[router_index]
             .core
@@ -437,7 +437,7 @@
             life: self.lives.get(&endpoint).copied().unwrap_or(1),
             fence: self.fences.get(&endpoint).map_or(0, |fence| fence.0),
         };
-        self.tell(router_index, event);
+        self.deliver_event(router_index, event);
     }
 
     fn index_of(&self, name: &HostName) -> usize {
@@ -547,7 +547,7 @@
         };
         let until = self.running[&(router_index, life, request)].until;
         let service = ServiceUnits(so_far);
-        self.tell(
+        self.deliver_event(
             router_index,
             CoreEvent::Progress {
                 request,
@@ -583,7 +583,7 @@
         }
         if self.simulated_routers[router_index].life == life {
             let service = ServiceUnits(so_far);
-            self.tell(
+            self.deliver_event(
                 router_index,
                 CoreEvent::AttemptEnded {
                     request,
