--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -65,7 +65,7 @@
     }
 
     fn part(&mut self, cut: usize) {
-        self.parted = Some(cut);
+        self.partition_cut = Some(cut);
         for left in 0..cut {
             for right in cut..self.simulated_routers.len() {
                 self.deliver_event(left, CoreEvent::PeerClosed { host: host(right) });
@@ -75,7 +75,7 @@
     }
 
     fn heal(&mut self) {
-        self.parted = None;
+        self.partition_cut = None;
         for left in 0..self.simulated_routers.len() {
             for right in 0..self.simulated_routers.len() {
                 self.open(left, right);
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -91,7 +91,7 @@
     pub(super) calls: BTreeMap<(usize, u64, RequestId), u64>,
     pub(super) running: BTreeMap<(usize, u64, RequestId), Running>,
     next_request: u64,
-    pub(super) parted: Option<usize>,
+    pub(super) partition_cut: Option<usize>,
     pub(super) noise: u32,
     latency: u64,
     pub(super) left: Vec<(EndpointId, u64)>,
@@ -124,7 +124,7 @@
             calls: BTreeMap::new(),
             running: BTreeMap::new(),
             next_request: 0,
-            parted: None,
+            partition_cut: None,
             noise: 0,
             latency: 500,
             left: Vec::new(),
@@ -206,7 +206,8 @@
     }
 
     pub(super) fn reach(&self, left: usize, right: usize) -> bool {
-        self.parted.is_none_or(|cut| (left < cut) == (right < cut))
+        self.partition_cut
+            .is_none_or(|cut| (left < cut) == (right < cut))
     }
 
     fn push(&mut self, at: u64, item: Item) {
