--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -49,7 +49,7 @@
 impl CoreFleet {
     pub(super) fn fault(&mut self, fault: FleetFault) {
         match fault {
-            FleetFault::Part(cut) => self.part(cut),
+            FleetFault::Part(cut) => self.start_partition(cut),
             FleetFault::Heal => self.heal(),
             FleetFault::Restart(router_index) => self.restart(router_index),
             FleetFault::Pause(router_index, millis) => {
@@ -64,7 +64,7 @@
         }
     }
 
-    fn part(&mut self, cut: usize) {
+    fn start_partition(&mut self, cut: usize) {
         self.partition_cut = Some(cut);
         for left in 0..cut {
             for right in cut..self.simulated_routers.len() {
