--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FleetFault {
     /// A partition separates the routers below this index from the others.
-    Part(usize),
+    Partition(usize),
     /// The partition ends.
     Heal,
     /// A router restarts with empty state.
@@ -49,7 +49,7 @@
 impl CoreFleet {
     pub(super) fn fault(&mut self, fault: FleetFault) {
         match fault {
-            FleetFault::Part(cut) => self.start_partition(cut),
+            FleetFault::Partition(cut) => self.start_partition(cut),
             FleetFault::Heal => self.heal(),
             FleetFault::Restart(router_index) => self.restart(router_index),
             FleetFault::Pause(router_index, millis) => {
--- a/examples/measure/scenarios.rs
+++ b/examples/measure/scenarios.rs
@@ -355,14 +355,14 @@
     match scenario.name {
         "leaving" => vec![
             (10 * second, FleetFault::Leave(one, other)),
-            (15 * second, FleetFault::Part(other.max(1))),
+            (15 * second, FleetFault::Partition(other.max(1))),
             (16 * second, FleetFault::Leave(one + 1, other)),
             (25 * second, FleetFault::Heal),
         ],
         "partition" => vec![
-            (15 * second, FleetFault::Part(one.max(1))),
+            (15 * second, FleetFault::Partition(one.max(1))),
             (30 * second, FleetFault::Heal),
-            (40 * second, FleetFault::Part(other.max(1))),
+            (40 * second, FleetFault::Partition(other.max(1))),
             (45 * second, FleetFault::Heal),
         ],
         "restart" => vec![
@@ -371,7 +371,7 @@
             (25 * second, FleetFault::Restart(one)),
         ],
         "orders" => vec![
-            (130 * second, FleetFault::Part(one.max(1))),
+            (130 * second, FleetFault::Partition(one.max(1))),
             (145 * second, FleetFault::Heal),
         ],
         "stale_config" => vec![
@@ -398,7 +398,7 @@
         faults.push((
             at,
             match bits / 8 % 5 {
-                0 => FleetFault::Part(index.max(1)),
+                0 => FleetFault::Partition(index.max(1)),
                 1 => FleetFault::Heal,
                 2 => FleetFault::Restart(index),
                 3 => FleetFault::Pause(index, 200 + bits % 4_000),
--- a/tests/differential.rs
+++ b/tests/differential.rs
@@ -222,7 +222,7 @@
 fn any_fault() -> impl Strategy<Value = (u64, FleetFault)> {
     let router_index = 0..SMALL.routers;
     let fault = prop_oneof![
-        (1..SMALL.routers).prop_map(FleetFault::Part),
+        (1..SMALL.routers).prop_map(FleetFault::Partition),
         Just(FleetFault::Heal),
         router_index.clone().prop_map(FleetFault::Restart),
         (router_index, 100_u64..9_000)
