--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -191,7 +191,7 @@
     }
 
     pub(super) fn open(&mut self, index: usize, other: usize) {
-        if index != other && self.reach(index, other) {
+        if index != other && self.can_reach(index, other) {
             let incarnation = self.simulated_routers[other]
                 .core
                 .state()
@@ -205,7 +205,7 @@
         }
     }
 
-    pub(super) fn reach(&self, left: usize, right: usize) -> bool {
+    pub(super) fn can_reach(&self, left: usize, right: usize) -> bool {
         self.partition_cut
             .is_none_or(|cut| (left < cut) == (right < cut))
     }
@@ -285,7 +285,7 @@
     }
 
     fn deliver(&mut self, from: usize, to: usize, life: u64, message: PeerMessage) {
-        if !self.reach(from, to) || self.simulated_routers[from].life != life {
+        if !self.can_reach(from, to) || self.simulated_routers[from].life != life {
             return;
         }
         let incarnation = self.simulated_routers[from]
