--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -55,7 +55,7 @@
             FleetFault::Pause(router_index, millis) => {
                 self.simulated_routers[router_index].wakes_at = self.now + millis * 1_000;
             }
-            FleetFault::Leave(place, deaf) => self.leave(place, deaf),
+            FleetFault::Leave(place, lagging_router) => self.leave(place, lagging_router),
             FleetFault::ShowLeaving(place, router_index) => self.show_leaving(place, router_index),
             FleetFault::Loaded(place, pool) => self.tally.moves(self.names[place], pool),
             FleetFault::Crash(place) => self.crash(place),
@@ -130,19 +130,19 @@
         self.begin(router_index);
     }
 
-    fn leave(&mut self, place: usize, deaf: usize) {
+    fn leave(&mut self, place: usize, lagging_router: usize) {
         let endpoint = self.names[place];
         self.left.push((endpoint, self.now));
         self.tally.closes(endpoint);
         for router_index in
-            (0..self.simulated_routers.len()).filter(|router_index| *router_index != deaf)
+            (0..self.simulated_routers.len()).filter(|router_index| *router_index != lagging_router)
         {
             self.show_leaving(place, router_index);
         }
         // Gossip from peers informs the router whose list lags, unless a partition isolates it;
         // then only its own list does.
         let late = self.now + LIST_LAG_US;
-        self.plan(late, FleetFault::ShowLeaving(place, deaf));
+        self.plan(late, FleetFault::ShowLeaving(place, lagging_router));
     }
 
     fn show_leaving(&mut self, place: usize, router_index: usize) {
