--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -308,8 +308,8 @@
         let spec = self.load.spec(call);
         if ticket.is_none() && !self.tickets.contains_key(&call) {
             self.tally.arrived(call, &spec);
-            let follower = self.load.follower(call, self.simulated_routers.len());
-            if let Some((wait, next, router)) = follower
+            let next_arrival = self.load.next_arrival(call, self.simulated_routers.len());
+            if let Some((wait, next, router)) = next_arrival
                 && self.load.lasts(call, self.now)
             {
                 self.push(self.now + wait, Item::Call(next, router, None));
--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -162,7 +162,7 @@
 
     /// For an open stream, returns the call that follows an arrival: wait in microseconds, call
     /// number and router.
-    pub fn follower(&self, call: u64, routers: usize) -> Option<(u64, u64, usize)> {
+    pub fn next_arrival(&self, call: u64, routers: usize) -> Option<(u64, u64, usize)> {
         if self.stream(call).pace == CallPace::Closed {
             return None;
         }
--- a/examples/measure/naive.rs
+++ b/examples/measure/naive.rs
@@ -110,7 +110,7 @@
         let spec = self.load.spec(call);
         self.tally.arrived(call, &spec);
         self.tally.waits(call, &spec, true);
-        if let Some((wait, next, _)) = self.load.follower(call, 1)
+        if let Some((wait, next, _)) = self.load.next_arrival(call, 1)
             && self.load.lasts(call, now)
         {
             self.queue.push(Reverse((now + wait, Item::Call(next))));
