--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -310,7 +310,7 @@
             self.tally.arrived(call, &spec);
             let next_arrival = self.load.next_arrival(call, self.simulated_routers.len());
             if let Some((wait, next, router)) = next_arrival
-                && self.load.lasts(call, self.now)
+                && self.load.is_stream_active(call, self.now)
             {
                 self.push(self.now + wait, Item::Call(next, router, None));
             }
@@ -613,7 +613,7 @@
     pub(super) fn close(&mut self, call: u64, outcome: RunOutcome, whole: bool) {
         let spec = self.load.spec(call);
         self.tally.ended(call, &spec, outcome, whole);
-        if !self.load.lasts(call, self.now) {
+        if !self.load.is_stream_active(call, self.now) {
             return;
         }
         if let Some((wait, next, router)) =
--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -171,7 +171,7 @@
     }
 
     /// Returns true if the call's stream still sends calls at `now`.
-    pub fn lasts(&self, call: u64, now: u64) -> bool {
+    pub fn is_stream_active(&self, call: u64, now: u64) -> bool {
         self.stream(call).span.1 > now
     }
 }
--- a/examples/measure/naive.rs
+++ b/examples/measure/naive.rs
@@ -111,7 +111,7 @@
         self.tally.arrived(call, &spec);
         self.tally.waits(call, &spec, true);
         if let Some((wait, next, _)) = self.load.next_arrival(call, 1)
-            && self.load.lasts(call, now)
+            && self.load.is_stream_active(call, now)
         {
             self.queue.push(Reverse((now + wait, Item::Call(next))));
         }
@@ -193,7 +193,7 @@
         self.tally.stops(run.endpoint);
         self.tally.ended(call, &spec, RunOutcome::Ran, true);
         self.free.entry(spec.pool).or_default().push(run.endpoint);
-        if self.load.lasts(call, now)
+        if self.load.is_stream_active(call, now)
             && let Some((wait, next, _)) = self.load.next_call(call, true, 1)
         {
             self.queue.push(Reverse((now + wait, Item::Call(next))));
