--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -70,7 +70,7 @@
 pub struct LoadPlan {
     /// Streams of calls; a stream's index is part of its calls' numbers.
     pub streams: Vec<CallStream>,
-    /// Seed of all draws.
+    /// Seed of all call_rng.
     pub seed: u64,
 }
 
@@ -80,7 +80,7 @@
 const STREAM_SHIFT: u64 = 40;
 
 impl LoadPlan {
-    fn draws(&self, call: u64) -> StdRng {
+    fn call_rng(&self, call: u64) -> StdRng {
         StdRng::seed_from_u64(self.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ call)
     }
 
@@ -91,8 +91,8 @@
     /// Returns the properties of a call; they depend only on the seed and the call number.
     pub fn spec(&self, call: u64) -> CallSpec {
         let stream = self.stream(call);
-        let mut draws = self.draws(call);
-        let cost = draws.random_range(stream.costs.0..=stream.costs.1);
+        let mut call_rng = self.call_rng(call);
+        let cost = call_rng.random_range(stream.costs.0..=stream.costs.1);
         CallSpec {
             team: stream.team,
             kind: stream.kind.clone(),
@@ -115,7 +115,7 @@
     }
 
     fn router(&self, call: u64, routers: usize) -> usize {
-        let free = self.draws(!call).random_range(0..routers);
+        let free = self.call_rng(!call).random_range(0..routers);
         self.stream(call)
             .router
             .map_or(free, |index| index % routers)
@@ -125,7 +125,7 @@
         match self.stream(call).pace {
             CallPace::Closed => 0,
             CallPace::Open(per_s) => {
-                let draw: f64 = self.draws(call ^ 0xFF).random_range(1e-9..1.0);
+                let draw: f64 = self.call_rng(call ^ 0xFF).random_range(1e-9..1.0);
                 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
                 let gap = (-draw.ln() * 1e6 / per_s) as u64;
                 gap
