--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -339,7 +339,7 @@
                 kind: spec.kind.clone(),
                 pool: spec.pool,
                 repeat,
-                deadline: Moment(self.now + spec.patience_us),
+                deadline: Moment(self.now + spec.timeout_us),
                 fingerprint: RequestFingerprint(self.load.fingerprint(call)),
                 prefix: 0,
                 resumable: false,
--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -22,7 +22,7 @@
     /// Duration in microseconds on an endpoint that runs no more than its limit.
     pub duration_us: u64,
     /// Microseconds until the caller's deadline.
-    pub patience_us: u64,
+    pub timeout_us: u64,
     /// True if the call may run at most once.
     pub unrepeatable: bool,
     /// True if the call crashes the endpoint that runs it.
@@ -99,7 +99,7 @@
             pool: stream.pool,
             cost,
             duration_us: (cost * 1_000_000 / stream.rate).max(1),
-            patience_us: 600_000_000,
+            timeout_us: 600_000_000,
             unrepeatable: stream.unrepeatable,
             poison: stream.poison,
         }
