--- a/examples/measure/scenarios.rs
+++ b/examples/measure/scenarios.rs
@@ -282,8 +282,8 @@
 pub fn gap_bound(size: FleetSize, streams: &[CallStream]) -> f64 {
     let engine = PoolId::from(&engine_pool());
     let costs = streams.iter().filter(|stream| stream.pool == engine);
-    let dearest = costs.map(|stream| stream.costs.1).max().unwrap_or(0);
-    let units = u64::from(slots_of(size)) * dearest;
+    let max_cost = costs.map(|stream| stream.costs.1).max().unwrap_or(0);
+    let units = u64::from(slots_of(size)) * max_cost;
     f64::from(u32::try_from(units).unwrap_or(u32::MAX))
 }
 
