--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -53,7 +53,7 @@
             FleetFault::Heal => self.heal(),
             FleetFault::Restart(router_index) => self.restart(router_index),
             FleetFault::Pause(router_index, millis) => {
-                self.simulated_routers[router_index].wakes_at = self.now + millis * 1_000;
+                self.simulated_routers[router_index].paused_until_us = self.now + millis * 1_000;
             }
             FleetFault::Leave(place, lagging_router) => self.leave(place, lagging_router),
             FleetFault::ShowLeaving(place, router_index) => self.show_leaving(place, router_index),
@@ -89,7 +89,7 @@
         self.simulated_routers[router_index] = SimulatedRouter {
             core,
             life: life + 1,
-            wakes_at: 0,
+            paused_until_us: 0,
         };
         let runs: Vec<_> = self
             .running
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -72,7 +72,7 @@
 pub(super) struct SimulatedRouter {
     pub(super) core: RouterCore,
     pub(super) life: u64,
-    pub(super) wakes_at: u64,
+    pub(super) paused_until_us: u64,
 }
 
 /// A simulated fleet: the cores, the event queue and the endpoints.
@@ -139,7 +139,7 @@
             fleet.simulated_routers.push(SimulatedRouter {
                 core,
                 life: 1,
-                wakes_at: 0,
+                paused_until_us: 0,
             });
         }
         for index in 0..routers {
@@ -254,13 +254,13 @@
             | Item::Load(router_index, ..) => *router_index,
             Item::Fault(_) => usize::MAX,
         };
-        if let Some(wakes_at) = self
+        if let Some(paused_until_us) = self
             .simulated_routers
             .get(router_index)
-            .map(|router| router.wakes_at)
-            && wakes_at > self.now
+            .map(|router| router.paused_until_us)
+            && paused_until_us > self.now
         {
-            self.push(wakes_at, item);
+            self.push(paused_until_us, item);
             return;
         }
         match item {
