--- a/examples/measure/main.rs
+++ b/examples/measure/main.rs
@@ -88,20 +88,20 @@
         eprintln!("measure: no such scenario; see --list");
         return ExitCode::from(2);
     }
-    let mut held = true;
+    let mut within_bounds = true;
     let seed = matches.get_one("seed").copied().unwrap_or(1);
     let seeds: u64 = matches.get_one("seeds").copied().unwrap_or(1);
     for seed in seed..seed + seeds {
         for size in sizes(&matches) {
             for scenario in &chosen {
-                held &= run(*scenario, size, seed);
+                within_bounds &= run(*scenario, size, seed);
             }
         }
     }
     if slopes {
-        held &= slopes::run(seed);
+        within_bounds &= slopes::run(seed);
     }
-    if held {
+    if within_bounds {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/examples/measure/slopes.rs
+++ b/examples/measure/slopes.rs
@@ -143,7 +143,7 @@
 
 /// Runs all series with a seed, prints them, and returns whether all values are within bounds.
 pub fn run(seed: u64) -> bool {
-    let mut held = true;
+    let mut within_bounds = true;
     for axis in SweepAxis::ALL {
         let runs: Vec<(usize, Vec<SlopeFigure>)> = axis
             .sizes()
@@ -151,7 +151,7 @@
             .map(|size| (*size, figures(axis.fleet(*size), seed)))
             .collect();
         for place in 0..runs[0].1.len() {
-            held &= report(axis.name(), seed, &series(&runs, place));
+            within_bounds &= report(axis.name(), seed, &series(&runs, place));
         }
     }
     for (row, bytes) in state_bytes::row_sizes() {
@@ -162,7 +162,7 @@
         .map(|teams| (*teams, publication_figures(*teams)))
         .collect();
     for place in 0..runs[0].1.len() {
-        held &= report("published_teams", seed, &series(&runs, place));
+        within_bounds &= report("published_teams", seed, &series(&runs, place));
     }
     for message in ["allotment", "report", "gossip"] {
         let name = if message == "gossip" { "news" } else { "rows" };
@@ -175,9 +175,9 @@
             .iter()
             .map(|size| (*size, vec![message_bytes(message, *size)]))
             .collect();
-        held &= report(name, seed, &series(&runs, 0));
+        within_bounds &= report(name, seed, &series(&runs, 0));
     }
-    held
+    within_bounds
 }
 
 fn series(runs: &[(usize, Vec<SlopeFigure>)], place: usize) -> Vec<(usize, SlopeFigure)> {
