--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -531,7 +531,7 @@
         let passed = self.now.clamp(run.since, run.until) - run.since;
         let so_far = run.cost * passed / (run.until - run.since).max(1);
         self.tally
-            .serves(&self.load.spec(run.call), so_far - run.seen);
+            .add_service(&self.load.spec(run.call), so_far - run.seen);
         run.seen = so_far;
         Some(so_far)
     }
--- a/examples/measure/naive.rs
+++ b/examples/measure/naive.rs
@@ -180,7 +180,7 @@
         };
         let spec = self.load.spec(call);
         let so_far = spec.cost * (now.min(run.until) - run.since) / (run.until - run.since).max(1);
-        self.tally.serves(&spec, so_far - run.seen);
+        self.tally.add_service(&spec, so_far - run.seen);
         run.seen = so_far;
     }
 
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -239,7 +239,7 @@
 
     /// Adds service units to the team of a call.
     #[allow(clippy::cast_precision_loss)]
-    pub fn serves(&mut self, spec: &CallSpec, units: u64) {
+    pub fn add_service(&mut self, spec: &CallSpec, units: u64) {
         let share = self.shares.get(&spec.team).copied().unwrap_or(1.0);
         let team = self.teams.entry((spec.pool, spec.team)).or_default();
         team.normal += units as f64 / share;
