--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -330,7 +330,7 @@
         } else {
             RepeatRule::Repeatable
         };
-        self.tally.waits(call, &spec, true);
+        self.tally.set_waiting(call, &spec, true);
         self.deliver_event(
             router_index,
             CoreEvent::Arrived(RequestFacts {
@@ -386,7 +386,7 @@
             }
             CoreAction::OfferTicket { request, ticket } => {
                 if let Some(call) = self.calls.remove(&(router_index, life, request)) {
-                    self.tally.waits(call, &self.load.spec(call), false);
+                    self.tally.set_waiting(call, &self.load.spec(call), false);
                     self.tickets.insert(call, ticket);
                     let via = self.random.random_range(0..self.simulated_routers.len());
                     self.push(self.now + 2_000, Item::Call(call, via, Some(ticket)));
@@ -396,7 +396,7 @@
                 let Some(call) = self.calls.remove(&(router_index, life, request)) else {
                     return;
                 };
-                self.tally.waits(call, &self.load.spec(call), false);
+                self.tally.set_waiting(call, &self.load.spec(call), false);
                 let ticket = self.tickets.get(&call).copied();
                 let to = self.index_of(&to);
                 self.push(self.now + self.latency, Item::Call(call, to, ticket));
@@ -580,7 +580,8 @@
         };
         self.tally.stops(run.endpoint);
         if outcome != AttemptOutcome::Whole {
-            self.tally.waits(run.call, &self.load.spec(run.call), true);
+            self.tally
+                .set_waiting(run.call, &self.load.spec(run.call), true);
         }
         if self.simulated_routers[router_index].life == life {
             let service = ServiceUnits(so_far);
--- a/examples/measure/naive.rs
+++ b/examples/measure/naive.rs
@@ -109,7 +109,7 @@
     fn call(&mut self, now: u64, call: u64) {
         let spec = self.load.spec(call);
         self.tally.arrived(call, &spec);
-        self.tally.waits(call, &spec, true);
+        self.tally.set_waiting(call, &spec, true);
         if let Some((wait, next, _)) = self.load.next_arrival(call, 1)
             && self.load.is_stream_active(call, now)
         {
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -137,7 +137,7 @@
     }
 
     /// Records that a call waits for a slot, or no longer does.
-    pub fn waits(&mut self, call: u64, spec: &CallSpec, waits: bool) {
+    pub fn set_waiting(&mut self, call: u64, spec: &CallSpec, waits: bool) {
         let life = self.calls.entry(call).or_default();
         if life.waiting == waits {
             return;
@@ -200,7 +200,7 @@
 
     /// Records that an attempt starts on an endpoint.
     pub fn starts(&mut self, call: u64, spec: &CallSpec, endpoint: EndpointId) {
-        self.waits(call, spec, false);
+        self.set_waiting(call, spec, false);
         self.move_running(endpoint, 1);
         self.attempts += 1;
         let now = self.now;
@@ -250,7 +250,7 @@
         let life = self.calls.entry(call).or_default();
         life.endings += 1;
         life.told_not_run |= outcome == RunOutcome::NotRun;
-        self.waits(call, spec, false);
+        self.set_waiting(call, spec, false);
         self.whole += u64::from(whole);
         self.refused += u64::from(!whole && outcome == RunOutcome::NotRun);
         self.unknown += u64::from(!whole && outcome == RunOutcome::Unknown);
