--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -475,7 +475,7 @@
         let life = self.simulated_routers[router_index].life;
         let call = self.calls[&(router_index, life, request)];
         let spec = self.load.spec(call);
-        self.tally.starts(call, &spec, to);
+        self.tally.record_start(call, &spec, to);
         if let Some((_, at)) = self.left.iter().find(|(endpoint, _)| *endpoint == to) {
             self.tally.dispatched_to_leaving(self.now - at);
         }
--- a/examples/measure/naive.rs
+++ b/examples/measure/naive.rs
@@ -157,7 +157,7 @@
             let spec = self.load.spec(call);
             let share = self.shares.get(&key.1).copied().unwrap_or(1);
             *self.times.entry(key).or_default() += spec.cost * 1_000 / share;
-            self.tally.starts(call, &spec, endpoint);
+            self.tally.record_start(call, &spec, endpoint);
             let until = now + spec.duration_us;
             let run = Running {
                 endpoint,
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -199,7 +199,7 @@
     }
 
     /// Records that an attempt starts on an endpoint.
-    pub fn starts(&mut self, call: u64, spec: &CallSpec, endpoint: EndpointId) {
+    pub fn record_start(&mut self, call: u64, spec: &CallSpec, endpoint: EndpointId) {
         self.set_waiting(call, spec, false);
         self.move_running(endpoint, 1);
         self.attempts += 1;
