--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -102,7 +102,7 @@
                 .running
                 .remove(&key)
                 .expect("key was collected from the map");
-            self.tally.stops(run.endpoint);
+            self.tally.record_stop(run.endpoint);
         }
         let calls: Vec<_> = self
             .calls
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -373,7 +373,7 @@
             }
             CoreAction::Cancel { request, .. } => {
                 if let Some(run) = self.running.remove(&(router_index, life, request)) {
-                    self.tally.stops(run.endpoint);
+                    self.tally.record_stop(run.endpoint);
                 }
             }
             CoreAction::Complete { request } => {
@@ -578,7 +578,7 @@
         let Some(run) = self.running.remove(&(router_index, life, request)) else {
             return;
         };
-        self.tally.stops(run.endpoint);
+        self.tally.record_stop(run.endpoint);
         if outcome != AttemptOutcome::Whole {
             self.tally
                 .set_waiting(run.call, &self.load.spec(run.call), true);
--- a/examples/measure/naive.rs
+++ b/examples/measure/naive.rs
@@ -190,7 +190,7 @@
             return;
         };
         let spec = self.load.spec(call);
-        self.tally.stops(run.endpoint);
+        self.tally.record_stop(run.endpoint);
         self.tally.ended(call, &spec, RunOutcome::Ran, true);
         self.free.entry(spec.pool).or_default().push(run.endpoint);
         if self.load.is_stream_active(call, now)
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -217,7 +217,7 @@
     }
 
     /// Records that an attempt ended on an endpoint.
-    pub fn stops(&mut self, endpoint: EndpointId) {
+    pub fn record_stop(&mut self, endpoint: EndpointId) {
         self.move_running(endpoint, -1);
     }
 
