--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -168,7 +168,7 @@
     }
 
     /// Moves an endpoint to another pool and counts a model load.
-    pub fn moves(&mut self, endpoint: EndpointId, pool: PoolId) {
+    pub fn record_model_load(&mut self, endpoint: EndpointId, pool: PoolId) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(0);
         let free = (limit - running).max(0);
