--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -135,7 +135,7 @@
     fn leave(&mut self, place: usize, lagging_router: usize) {
         let endpoint = self.names[place];
         self.left.push((endpoint, self.now));
-        self.tally.closes(endpoint);
+        self.tally.close_endpoint(endpoint);
         for router_index in
             (0..self.simulated_routers.len()).filter(|router_index| *router_index != lagging_router)
         {
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -190,7 +190,7 @@
     }
 
     /// Closes an endpoint to new work; its free slots no longer count as idle.
-    pub fn closes(&mut self, endpoint: EndpointId) {
+    pub fn close_endpoint(&mut self, endpoint: EndpointId) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.insert(endpoint, 0).unwrap_or(0);
         if let Some(pool) = self.homes.get(&endpoint) {
