--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -353,7 +353,7 @@
         let actions = self.simulated_routers[router_index]
             .core
             .handle(Moment(self.now), event);
-        self.tally.spent(started.elapsed());
+        self.tally.record_event_cost(started.elapsed());
         for action in actions {
             self.carry_out(router_index, action);
         }
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -273,7 +273,7 @@
     }
 
     /// Records the CPU time that a core took for one event.
-    pub fn spent(&mut self, cost: Duration) {
+    pub fn record_event_cost(&mut self, cost: Duration) {
         self.cost += cost;
         self.events += 1;
     }
