--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -161,7 +161,7 @@
             return;
         }
         *seen = fence;
-        if self.tally.home_of(endpoint) == pool {
+        if self.tally.pool_served_by(endpoint) == pool {
             return;
         }
         let place = self.place_of(endpoint);
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -428,7 +428,7 @@
             return;
         }
         self.push(self.now + LOAD_US, Item::Load(router_index, life, endpoint));
-        let active = self.tally.home_of(endpoint);
+        let active = self.tally.pool_served_by(endpoint);
         let (running, waiting) = self.tally.load_of(endpoint);
         let event = CoreEvent::EndpointLoad {
             endpoint,
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -163,7 +163,7 @@
     }
 
     /// Returns the pool that an endpoint serves.
-    pub fn home_of(&self, endpoint: EndpointId) -> PoolId {
+    pub fn pool_served_by(&self, endpoint: EndpointId) -> PoolId {
         self.homes.get(&endpoint).copied().unwrap_or_default()
     }
 
