--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -43,7 +43,7 @@
     now: u64,
     shares: BTreeMap<TeamId, f64>,
     limits: BTreeMap<EndpointId, i64>,
-    homes: BTreeMap<EndpointId, PoolId>,
+    served_pools: BTreeMap<EndpointId, PoolId>,
     loads: BTreeMap<EndpointId, u32>,
     running: BTreeMap<EndpointId, i64>,
     waiting: BTreeMap<PoolId, i64>,
@@ -86,7 +86,7 @@
         for (endpoint, entry) in &catalog.endpoints {
             let slots = i64::from(entry.slots.0);
             tally.limits.insert(*endpoint, slots);
-            tally.homes.insert(*endpoint, entry.pools[0]);
+            tally.served_pools.insert(*endpoint, entry.pools[0]);
             *tally.free.entry(entry.pools[0]).or_default() += slots;
         }
         tally
@@ -157,14 +157,17 @@
         let before = (limit - *running).max(0);
         *running += change;
         let after = (limit - *running).max(0);
-        if let Some(pool) = self.homes.get(&endpoint) {
+        if let Some(pool) = self.served_pools.get(&endpoint) {
             *self.free.entry(*pool).or_default() += after - before;
         }
     }
 
     /// Returns the pool that an endpoint serves.
     pub fn pool_served_by(&self, endpoint: EndpointId) -> PoolId {
-        self.homes.get(&endpoint).copied().unwrap_or_default()
+        self.served_pools
+            .get(&endpoint)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Moves an endpoint to another pool and counts a model load.
@@ -172,7 +175,7 @@
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(0);
         let free = (limit - running).max(0);
-        if let Some(before) = self.homes.insert(endpoint, pool) {
+        if let Some(before) = self.served_pools.insert(endpoint, pool) {
             *self.free.entry(before).or_default() -= free;
         }
         *self.free.entry(pool).or_default() += free;
@@ -193,7 +196,7 @@
     pub fn close_endpoint(&mut self, endpoint: EndpointId) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.insert(endpoint, 0).unwrap_or(0);
-        if let Some(pool) = self.homes.get(&endpoint) {
+        if let Some(pool) = self.served_pools.get(&endpoint) {
             *self.free.entry(*pool).or_default() -= (limit - running).max(0);
         }
     }
