--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -485,7 +485,7 @@
                 Item::Fault(FleetFault::Crash(self.place_of(to))),
             );
         }
-        let crowd = self.tally.crowding(to);
+        let crowd = self.tally.load_percent(to);
         let since = self.now + self.latency;
         let until = since + spec.duration_us * crowd / 100;
         let run = Running {
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -234,7 +234,7 @@
     }
 
     /// Running requests as a percentage of the endpoint's limit, at least 100.
-    pub fn crowding(&self, endpoint: EndpointId) -> u64 {
+    pub fn load_percent(&self, endpoint: EndpointId) -> u64 {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(1).max(1);
         u64::try_from(running * 100 / limit).unwrap_or(0).max(100)
