--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -25,7 +25,7 @@
     started: Option<u64>,
     executions: u32,
     endings: u32,
-    told_not_run: bool,
+    reported_not_run: bool,
     unrepeatable: bool,
     waiting: bool,
 }
@@ -252,7 +252,7 @@
     pub fn ended(&mut self, call: u64, spec: &CallSpec, outcome: RunOutcome, whole: bool) {
         let life = self.calls.entry(call).or_default();
         life.endings += 1;
-        life.told_not_run |= outcome == RunOutcome::NotRun;
+        life.reported_not_run |= outcome == RunOutcome::NotRun;
         self.set_waiting(call, spec, false);
         self.whole += u64::from(whole);
         self.refused += u64::from(!whole && outcome == RunOutcome::NotRun);
@@ -342,7 +342,7 @@
     pub fn false_not_run(&self) -> usize {
         let calls = self.calls.values();
         calls
-            .filter(|life| life.told_not_run && life.executions > 0)
+            .filter(|life| life.reported_not_run && life.executions > 0)
             .count()
     }
 
