--- a/examples/measure/checks.rs
+++ b/examples/measure/checks.rs
@@ -139,10 +139,10 @@
         check(
             "query_wait_p99",
             "s",
-            &|tally| tally.late_wait("query"),
+            &|tally| tally.wait_p99("query"),
             None,
         ),
-        check("tag_wait_p99", "s", &|tally| tally.late_wait("tag"), None),
+        check("tag_wait_p99", "s", &|tally| tally.wait_p99("tag"), None),
     ]
 }
 
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -322,7 +322,7 @@
     }
 
     /// 99th percentile of the wait for a first attempt of calls of one kind, in seconds.
-    pub fn late_wait(&self, kind: &str) -> f64 {
+    pub fn wait_p99(&self, kind: &str) -> f64 {
         let rows = self.queued.iter().filter(|(row, _)| row.as_str() == kind);
         let mut waits: Vec<u64> = rows.flat_map(|(_, waits)| waits).copied().collect();
         waits.sort_unstable();
