--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -20,7 +20,7 @@
 
 /// State of one call from arrival to end.
 #[derive(Debug, Clone, Default)]
-struct CallLife {
+struct CallRecord {
     arrived: u64,
     started: Option<u64>,
     executions: u32,
@@ -51,7 +51,7 @@
     idle: f64,
     capacity: f64,
     busy: f64,
-    calls: BTreeMap<u64, CallLife>,
+    calls: BTreeMap<u64, CallRecord>,
     teams: BTreeMap<(PoolId, TeamId), TeamSamples>,
     sampled: u64,
     /// Control bytes sent, by router.
