--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -121,9 +121,9 @@
 
     /// Records that a call came from its caller.
     pub fn arrived(&mut self, call: u64, spec: &CallSpec) {
-        let life = self.calls.entry(call).or_default();
-        life.arrived = self.now;
-        life.unrepeatable = spec.unrepeatable;
+        let record = self.calls.entry(call).or_default();
+        record.arrived = self.now;
+        record.unrepeatable = spec.unrepeatable;
         let team = self.teams.entry((spec.pool, spec.team)).or_default();
         if team.samples.is_empty() {
             let before = self.sampled.saturating_sub(WARM_UP_US) / SAMPLE_US;
@@ -138,11 +138,11 @@
 
     /// Records that a call waits for a slot, or no longer does.
     pub fn set_waiting(&mut self, call: u64, spec: &CallSpec, waits: bool) {
-        let life = self.calls.entry(call).or_default();
-        if life.waiting == waits {
+        let record = self.calls.entry(call).or_default();
+        if record.waiting == waits {
             return;
         }
-        life.waiting = waits;
+        record.waiting = waits;
         let change = if waits { 1 } else { -1 };
         *self.waiting.entry(spec.pool).or_default() += change;
         self.teams
@@ -207,11 +207,11 @@
         self.move_running(endpoint, 1);
         self.attempts += 1;
         let now = self.now;
-        let life = self.calls.entry(call).or_default();
-        life.executions += 1;
-        if life.started.is_none() {
-            life.started = Some(now);
-            let waited = now - life.arrived;
+        let record = self.calls.entry(call).or_default();
+        record.executions += 1;
+        if record.started.is_none() {
+            record.started = Some(now);
+            let waited = now - record.arrived;
             self.queued
                 .entry(spec.kind.clone())
                 .or_default()
@@ -250,9 +250,9 @@
 
     /// Records that the caller got the answer or refusal of a call.
     pub fn ended(&mut self, call: u64, spec: &CallSpec, outcome: RunOutcome, whole: bool) {
-        let life = self.calls.entry(call).or_default();
-        life.endings += 1;
-        life.reported_not_run |= outcome == RunOutcome::NotRun;
+        let record = self.calls.entry(call).or_default();
+        record.endings += 1;
+        record.reported_not_run |= outcome == RunOutcome::NotRun;
         self.set_waiting(call, spec, false);
         self.whole += u64::from(whole);
         self.refused += u64::from(!whole && outcome == RunOutcome::NotRun);
@@ -334,7 +334,7 @@
     pub fn doubled(&self) -> usize {
         let calls = self.calls.values();
         calls
-            .filter(|life| life.unrepeatable && life.executions > 1)
+            .filter(|record| record.unrepeatable && record.executions > 1)
             .count()
     }
 
@@ -342,18 +342,24 @@
     pub fn false_not_run(&self) -> usize {
         let calls = self.calls.values();
         calls
-            .filter(|life| life.reported_not_run && life.executions > 0)
+            .filter(|record| record.reported_not_run && record.executions > 0)
             .count()
     }
 
     /// Number of calls that ended more than once.
     pub fn ended_twice(&self) -> usize {
-        self.calls.values().filter(|life| life.endings > 1).count()
+        self.calls
+            .values()
+            .filter(|record| record.endings > 1)
+            .count()
     }
 
     /// Number of calls that did not end.
     pub fn unended(&self) -> usize {
-        self.calls.values().filter(|life| life.endings == 0).count()
+        self.calls
+            .values()
+            .filter(|record| record.endings == 0)
+            .count()
     }
 
     /// Fraction of calls whose outcome was reported as unknown.
@@ -366,7 +372,7 @@
         let started = self
             .calls
             .values()
-            .filter(|life| life.executions > 0)
+            .filter(|record| record.executions > 0)
             .count();
         self.attempts as f64 / started.max(1) as f64
     }
