--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Default)]
 struct TeamSamples {
     waiting: i64,
-    normal: f64,
+    service_per_share: f64,
     samples: Vec<(f64, bool)>,
 }
 
@@ -114,7 +114,8 @@
         while self.sampled + SAMPLE_US <= now {
             self.sampled += SAMPLE_US;
             for team in self.teams.values_mut() {
-                team.samples.push((team.normal, team.waiting > 0));
+                team.samples
+                    .push((team.service_per_share, team.waiting > 0));
             }
         }
     }
@@ -245,7 +246,7 @@
     pub fn add_service(&mut self, spec: &CallSpec, units: u64) {
         let share = self.shares.get(&spec.team).copied().unwrap_or(1.0);
         let team = self.teams.entry((spec.pool, spec.team)).or_default();
-        team.normal += units as f64 / share;
+        team.service_per_share += units as f64 / share;
     }
 
     /// Records that the caller got the answer or refusal of a call.
