--- a/examples/shared/endpoint.rs
+++ b/examples/shared/endpoint.rs
@@ -186,7 +186,7 @@
 
 /// Fault that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Misdeed {
+pub enum InjectedFault {
     /// No fault.
     None,
     /// Crash before answering.
@@ -204,7 +204,7 @@
 }
 
 /// Returns the fault that the request asks for in this execution.
-pub fn misdeed(headers: &HeaderMap, execution: u32) -> Misdeed {
+pub fn misdeed(headers: &HeaderMap, execution: u32) -> InjectedFault {
     let text = text_of(headers, "standin-do");
     let text = match text.strip_prefix("once-") {
         Some(_) if execution > 1 => "",
@@ -214,13 +214,13 @@
     let (name, value) = text.split_once('=').unwrap_or((text, "0"));
     let value = value.parse().unwrap_or(0);
     match name {
-        "crash" => Misdeed::Crash,
-        "refuse" => Misdeed::Refuse,
-        "garbage" => Misdeed::Garbage,
-        "cut" => Misdeed::Cut(value),
-        "slow" => Misdeed::Slow(Duration::from_millis(value)),
-        "short" => Misdeed::Short,
-        _ => Misdeed::None,
+        "crash" => InjectedFault::Crash,
+        "refuse" => InjectedFault::Refuse,
+        "garbage" => InjectedFault::Garbage,
+        "cut" => InjectedFault::Cut(value),
+        "slow" => InjectedFault::Slow(Duration::from_millis(value)),
+        "short" => InjectedFault::Short,
+        _ => InjectedFault::None,
     }
 }
 
--- a/examples/shared/engine.rs
+++ b/examples/shared/engine.rs
@@ -24,7 +24,7 @@
 
 use super::endpoint::EndpointRole;
 use super::endpoint::EndpointShared;
-use super::endpoint::Misdeed;
+use super::endpoint::InjectedFault;
 use super::endpoint::SentBody;
 use super::endpoint::clock_nanos;
 use super::endpoint::misdeed;
@@ -197,7 +197,7 @@
         };
         let misdeed = match self.first {
             0 => misdeed(&self.headers, shared.count_execution(&self.headers)),
-            _ => Misdeed::None,
+            _ => InjectedFault::None,
         };
         guard.ended = self.generate(misdeed, &sender).await;
     }
@@ -205,22 +205,22 @@
     /// Returns true if the answer was sent completely, false if it was cancelled or broken off.
     async fn generate(
         &self,
-        misdeed: Misdeed,
+        misdeed: InjectedFault,
         sender: &mpsc::Sender<Result<Bytes, io::Error>>,
     ) -> bool {
         let EndpointRole::Engine { token, .. } = self.shared.role else {
             return false;
         };
         match misdeed {
-            Misdeed::Crash => {
+            InjectedFault::Crash => {
                 self.shared.crash();
                 return false;
             }
-            Misdeed::Garbage => {
+            InjectedFault::Garbage => {
                 let garbage = Bytes::from_static(b"<html>not an answer</html>");
                 return sender.send(Ok(garbage)).await.is_ok();
             }
-            Misdeed::Slow(wait) => time::sleep(wait).await,
+            InjectedFault::Slow(wait) => time::sleep(wait).await,
             _ => {}
         }
         let team = text_of(&self.headers, "standin-team");
@@ -228,7 +228,7 @@
         let slots = f64::from(u32::try_from(self.shared.slot_count).unwrap_or(u32::MAX));
         let mut next = time::Instant::now();
         for index in self.first..self.tokens {
-            if misdeed == Misdeed::Cut(index) {
+            if misdeed == InjectedFault::Cut(index) {
                 // Gives the events sent so far time to leave before the connection breaks.
                 time::sleep(Duration::from_millis(20)).await;
                 let _ = sender.send(Err(io::Error::other("cut"))).await;
--- a/examples/shared/plain.rs
+++ b/examples/shared/plain.rs
@@ -20,7 +20,7 @@
 
 use super::endpoint::EndpointRole;
 use super::endpoint::EndpointShared;
-use super::endpoint::Misdeed;
+use super::endpoint::InjectedFault;
 use super::endpoint::SentBody;
 use super::endpoint::misdeed;
 use super::endpoint::status;
@@ -41,14 +41,14 @@
     };
     let execution = shared.count_execution(request.headers());
     match misdeed(request.headers(), execution) {
-        Misdeed::Crash => {
+        InjectedFault::Crash => {
             shared.crash();
             time::sleep(Duration::from_secs(1)).await;
         }
-        Misdeed::Slow(wait) => time::sleep(wait).await,
-        Misdeed::Cut(after) => return sized(&shared, u64::MAX / 2, Some(after)),
-        Misdeed::Short => return sized(&shared, CHUNK as u64, Some(10)),
-        Misdeed::Refuse => return status(StatusCode::SERVICE_UNAVAILABLE, "busy"),
+        InjectedFault::Slow(wait) => time::sleep(wait).await,
+        InjectedFault::Cut(after) => return sized(&shared, u64::MAX / 2, Some(after)),
+        InjectedFault::Short => return sized(&shared, CHUNK as u64, Some(10)),
+        InjectedFault::Refuse => return status(StatusCode::SERVICE_UNAVAILABLE, "busy"),
         _ => {}
     }
     if work > Duration::ZERO {
