--- a/examples/shared/endpoint.rs
+++ b/examples/shared/endpoint.rs
@@ -204,7 +204,7 @@
 }
 
 /// Returns the fault that the request asks for in this execution.
-pub fn misdeed(headers: &HeaderMap, execution: u32) -> InjectedFault {
+pub fn injected_fault(headers: &HeaderMap, execution: u32) -> InjectedFault {
     let text = text_of(headers, "standin-do");
     let text = match text.strip_prefix("once-") {
         Some(_) if execution > 1 => "",
--- a/examples/shared/engine.rs
+++ b/examples/shared/engine.rs
@@ -27,7 +27,7 @@
 use super::endpoint::InjectedFault;
 use super::endpoint::SentBody;
 use super::endpoint::clock_nanos;
-use super::endpoint::misdeed;
+use super::endpoint::injected_fault;
 use super::endpoint::status;
 use super::endpoint::text_of;
 
@@ -195,23 +195,23 @@
             since: Instant::now(),
             ended: false,
         };
-        let misdeed = match self.first {
-            0 => misdeed(&self.headers, shared.count_execution(&self.headers)),
+        let injected_fault = match self.first {
+            0 => injected_fault(&self.headers, shared.count_execution(&self.headers)),
             _ => InjectedFault::None,
         };
-        guard.ended = self.generate(misdeed, &sender).await;
+        guard.ended = self.generate(injected_fault, &sender).await;
     }
 
     /// Returns true if the answer was sent completely, false if it was cancelled or broken off.
     async fn generate(
         &self,
-        misdeed: InjectedFault,
+        injected_fault: InjectedFault,
         sender: &mpsc::Sender<Result<Bytes, io::Error>>,
     ) -> bool {
         let EndpointRole::Engine { token, .. } = self.shared.role else {
             return false;
         };
-        match misdeed {
+        match injected_fault {
             InjectedFault::Crash => {
                 self.shared.crash();
                 return false;
@@ -228,7 +228,7 @@
         let slots = f64::from(u32::try_from(self.shared.slot_count).unwrap_or(u32::MAX));
         let mut next = time::Instant::now();
         for index in self.first..self.tokens {
-            if misdeed == InjectedFault::Cut(index) {
+            if injected_fault == InjectedFault::Cut(index) {
                 // Gives the events sent so far time to leave before the connection breaks.
                 time::sleep(Duration::from_millis(20)).await;
                 let _ = sender.send(Err(io::Error::other("cut"))).await;
--- a/examples/shared/plain.rs
+++ b/examples/shared/plain.rs
@@ -22,7 +22,7 @@
 use super::endpoint::EndpointShared;
 use super::endpoint::InjectedFault;
 use super::endpoint::SentBody;
-use super::endpoint::misdeed;
+use super::endpoint::injected_fault;
 use super::endpoint::status;
 use super::endpoint::text_of;
 
@@ -40,7 +40,7 @@
         return status(StatusCode::SERVICE_UNAVAILABLE, "closed");
     };
     let execution = shared.count_execution(request.headers());
-    match misdeed(request.headers(), execution) {
+    match injected_fault(request.headers(), execution) {
         InjectedFault::Crash => {
             shared.crash();
             time::sleep(Duration::from_secs(1)).await;
