--- a/examples/shared/traffic.rs
+++ b/examples/shared/traffic.rs
@@ -23,7 +23,7 @@
 /// Greatest number of sends of one call, through different routers.
 const MOST_SENDS: usize = 20;
 /// Delay before a failed call is sent again.
-const REST: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A minimal load balancer in front of the routers.
 #[derive(Debug, Default)]
@@ -196,7 +196,7 @@
             if self.note_failure(&end, router) {
                 return;
             }
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -225,7 +225,7 @@
             if self.note_failure(&end, router) || end.outcome() == "unknown" {
                 return;
             }
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
