--- a/examples/shared/traffic.rs
+++ b/examples/shared/traffic.rs
@@ -21,7 +21,7 @@
 use super::site::key_of;
 
 /// Greatest number of sends of one call, through different routers.
-const MOST_SENDS: usize = 20;
+const MAX_CALL_SENDS: usize = 20;
 /// Delay before a failed call is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
@@ -180,7 +180,7 @@
         let call = Call::completion(&key_of(&self.team), "luma", tokens, true)
             .header("standin-id", id)
             .header("standin-team", &self.team);
-        for _ in 0..MOST_SENDS {
+        for _ in 0..MAX_CALL_SENDS {
             let router = self.balancer.pick(random);
             let began = Instant::now();
             let end = call.send(router).await;
@@ -206,7 +206,7 @@
             .header("standin-team", &self.team);
         let mut call = plain.clone();
         let mut answers = 0;
-        for _ in 0..MOST_SENDS {
+        for _ in 0..MAX_CALL_SENDS {
             let router = self.balancer.pick(random);
             let began = Instant::now();
             let end = call.send(router).await;
