--- a/examples/shared/endpoint.rs
+++ b/examples/shared/endpoint.rs
@@ -42,7 +42,7 @@
 use super::plain;
 
 /// Time after a crash until the endpoint listens again.
-const AWAY: Duration = Duration::from_millis(300);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// Kind of a stand-in endpoint.
 #[derive(Debug, Clone)]
@@ -245,7 +245,7 @@
     let mut listener = Some(first);
     while !closing.is_cancelled() {
         let Some(open) = listener.take() else {
-            time::sleep(AWAY).await;
+            time::sleep(RESTART_DELAY).await;
             listener = TcpListener::bind(address).await.ok();
             continue;
         };
