--- a/examples/shared/endpoint.rs
+++ b/examples/shared/endpoint.rs
@@ -99,7 +99,7 @@
     /// Tokens and calls served, by the team in the `standin-team` header.
     pub by_team: Mutex<BTreeMap<String, u64>>,
     refuse_all: AtomicBool,
-    dying: Mutex<CancellationToken>,
+    crash_token: Mutex<CancellationToken>,
 }
 
 /// A running stand-in endpoint.
@@ -137,7 +137,7 @@
             executions: Mutex::default(),
             by_team: Mutex::default(),
             refuse_all: AtomicBool::new(false),
-            dying: Mutex::new(CancellationToken::new()),
+            crash_token: Mutex::new(CancellationToken::new()),
         });
         let closing = CancellationToken::new();
         let serving = serve(listener, address, Arc::clone(&shared), closing.clone());
@@ -171,7 +171,7 @@
     /// Simulates a crash: breaks all connections and stops listening for a while.
     pub fn crash(&self) {
         self.life.fetch_add(1, Ordering::Relaxed);
-        self.dying.lock().unwrap().cancel();
+        self.crash_token.lock().unwrap().cancel();
     }
 
     /// Counts an execution of the request and returns the number so far.
@@ -249,25 +249,25 @@
             listener = TcpListener::bind(address).await.ok();
             continue;
         };
-        let dying = CancellationToken::new();
-        *shared.dying.lock().unwrap() = dying.clone();
-        accept_until(&open, &shared, &dying).await;
+        let crash_token = CancellationToken::new();
+        *shared.crash_token.lock().unwrap() = crash_token.clone();
+        accept_until(&open, &shared, &crash_token).await;
     }
 }
 
 async fn accept_until(
     listener: &TcpListener,
     shared: &Arc<EndpointShared>,
-    dying: &CancellationToken,
+    crash_token: &CancellationToken,
 ) {
     loop {
         let accepted = tokio::select! {
-            () = dying.cancelled() => return,
+            () = crash_token.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
         if let Ok((stream, _)) = accepted {
-            let (shared, dying) = (Arc::clone(shared), dying.clone());
-            tokio::spawn(dying.run_until_cancelled_owned(connection(stream, shared)));
+            let (shared, crash_token) = (Arc::clone(shared), crash_token.clone());
+            tokio::spawn(crash_token.run_until_cancelled_owned(connection(stream, shared)));
         }
     }
 }
