--- a/examples/shared/processes.rs
+++ b/examples/shared/processes.rs
@@ -41,7 +41,7 @@
 
 /// Returns a loopback address that no other test process uses, so that ports can be fixed. A free
 /// port that is probed and released could be taken before the router listens on it.
-fn number_of(index: usize) -> Ipv4Addr {
+fn loopback_address_of(index: usize) -> Ipv4Addr {
     let [low, high, ..] = std::process::id().to_le_bytes();
     Ipv4Addr::new(127, 100 + high % 100, low, u8::try_from(index + 1).unwrap())
 }
@@ -72,13 +72,13 @@
             let text = json!({
                 "host": host(index),
                 "domain": domain(index),
-                "callers": {"listen": SocketAddr::from((number_of(index), CALLER_PORT))},
+                "callers": {"listen": SocketAddr::from((loopback_address_of(index), CALLER_PORT))},
                 "peers": {
-                    "listen": SocketAddr::from((number_of(index), PEER_PORT)),
+                    "listen": SocketAddr::from((loopback_address_of(index), PEER_PORT)),
                     "key_files": [key],
                 },
                 "admin": {
-                    "listen": SocketAddr::from((number_of(index), ADMIN_PORT)),
+                    "listen": SocketAddr::from((loopback_address_of(index), ADMIN_PORT)),
                     "credential_file": key,
                 },
                 "sources": {
@@ -98,7 +98,7 @@
                 .spawn()
                 .unwrap();
             RouterProcess {
-                callers: SocketAddr::from((number_of(index), CALLER_PORT)),
+                callers: SocketAddr::from((loopback_address_of(index), CALLER_PORT)),
                 child,
             }
         });
@@ -117,7 +117,7 @@
             .map(|index| {
                 json!({
                     "host": host(index),
-                    "address": SocketAddr::from((number_of(index), PEER_PORT)),
+                    "address": SocketAddr::from((loopback_address_of(index), PEER_PORT)),
                     "domain": domain(index),
                     "leaving": leaving == Some(index),
                 })
