--- a/examples/shared/processes.rs
+++ b/examples/shared/processes.rs
@@ -165,7 +165,7 @@
     }
 
     /// Sends SIGHUP, which makes the router reload its settings.
-    pub async fn hang_up(&self) {
+    pub async fn signal_reload(&self) {
         self.signal("-HUP").await;
     }
 
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -28,7 +28,7 @@
     fleet.sources.publish(site.publication(1).to_string());
     let address = fleet.routers[0].callers;
     fleet.wait_serving(&[address], "nadi").await;
-    fleet.routers[0].hang_up().await;
+    fleet.routers[0].signal_reload().await;
     let early = tokio::time::timeout(Duration::from_millis(500), fleet.routers[0].ended()).await;
     assert!(early.is_err(), "the router ended: {early:?}");
     fleet.wait_serving(&[address], "nadi").await;
