--- a/examples/shared/sources.rs
+++ b/examples/shared/sources.rs
@@ -192,7 +192,7 @@
         return status(StatusCode::NOT_MODIFIED);
     }
     let state = state.borrow().clone();
-    answer_by_mood(state, known).await
+    answer_by_mode(state, known).await
 }
 
 /// Counts a waiting watch until it is dropped.
@@ -222,7 +222,7 @@
     }
 }
 
-async fn answer_by_mood(state: SourceState, known: Option<u64>) -> Response<Bytes> {
+async fn answer_by_mode(state: SourceState, known: Option<u64>) -> Response<Bytes> {
     let next = known.unwrap_or(state.config.revision) + 1;
     match state.mode {
         ServiceMode::Healthy if state.config.revision == 0 => status(StatusCode::NOT_FOUND),
