--- a/examples/shared/sources.rs
+++ b/examples/shared/sources.rs
@@ -183,7 +183,7 @@
         .and_then(|text| text.strip_prefix("wait=")?.parse().ok())
         .map_or(Duration::ZERO, Duration::from_secs);
     let _open = OpenWatch::new(known.is_some(), counters);
-    let news = timeout(wait, state.wait_for(|state| is_news(state, known)));
+    let news = timeout(wait, state.wait_for(|state| has_update(state, known)));
     let timed_out = news.await.is_err();
     if state.has_changed().is_err() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
@@ -215,7 +215,7 @@
     }
 }
 
-fn is_news(state: &SourceState, known: Option<u64>) -> bool {
+fn has_update(state: &SourceState, known: Option<u64>) -> bool {
     match state.mode {
         ServiceMode::Healthy => known != Some(state.config.revision),
         _ => true,
