--- a/examples/shared/caller.rs
+++ b/examples/shared/caller.rs
@@ -21,7 +21,7 @@
 use tokio::time;
 
 /// Longest wait for a complete answer.
-const PATIENCE: Duration = Duration::from_mins(1);
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Result of a call as the caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -168,7 +168,7 @@
                 body: body.to_bytes(),
             }
         };
-        time::timeout(PATIENCE, work)
+        time::timeout(WAIT_TIMEOUT, work)
             .await
             .unwrap_or(CallEnd::Broken)
     }
--- a/examples/shared/processes.rs
+++ b/examples/shared/processes.rs
@@ -21,7 +21,7 @@
 const PEER_PORT: u16 = 7_400;
 const ADMIN_PORT: u16 = 7_401;
 /// Longest wait for a process to start or to exit.
-const PATIENCE: Duration = Duration::from_mins(1);
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// A fleet of router processes with its sources.
 pub struct ProcessFleet {
@@ -136,7 +136,7 @@
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             };
-            let waited = tokio::time::timeout(PATIENCE, serves).await;
+            let waited = tokio::time::timeout(WAIT_TIMEOUT, serves).await;
             waited.unwrap_or_else(|_| panic!("{router} does not serve {team}"));
         }
     }
@@ -177,7 +177,7 @@
 
     /// Waits for the process to exit; panics after a minute.
     pub async fn ended(&mut self) -> ExitStatus {
-        let ended = tokio::time::timeout(PATIENCE, self.child.wait()).await;
+        let ended = tokio::time::timeout(WAIT_TIMEOUT, self.child.wait()).await;
         ended.expect("the process did not exit in time").unwrap()
     }
 }
