--- a/examples/shared/plain.rs
+++ b/examples/shared/plain.rs
@@ -46,8 +46,10 @@
             time::sleep(Duration::from_secs(1)).await;
         }
         InjectedFault::Slow(wait) => time::sleep(wait).await,
-        InjectedFault::Cut(after) => return sized(&shared, u64::MAX / 2, Some(after)),
-        InjectedFault::Short => return sized(&shared, CHUNK as u64, Some(10)),
+        InjectedFault::Cut(after) => {
+            return fixed_length_response(&shared, u64::MAX / 2, Some(after));
+        }
+        InjectedFault::Short => return fixed_length_response(&shared, CHUNK as u64, Some(10)),
         InjectedFault::Refuse => return status(StatusCode::SERVICE_UNAVAILABLE, "busy"),
         _ => {}
     }
@@ -62,7 +64,7 @@
         return Response::new(SentBody::Echo(request.into_body()));
     }
     if let Some((_, count)) = path.rsplit_once("/bytes/") {
-        return sized(&shared, count.parse().unwrap_or(0), None);
+        return fixed_length_response(&shared, count.parse().unwrap_or(0), None);
     }
     let answer = json!({"path": path, "execution": execution});
     let _ = request.into_body().collect().await;
@@ -70,7 +72,11 @@
 }
 
 /// Builds an answer of `length` bytes with a content length, broken off after `cut` bytes.
-fn sized(shared: &Arc<EndpointShared>, length: u64, cut: Option<u64>) -> Response<SentBody> {
+fn fixed_length_response(
+    shared: &Arc<EndpointShared>,
+    length: u64,
+    cut: Option<u64>,
+) -> Response<SentBody> {
     let (sender, receiver) = mpsc::channel(2);
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
