--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -43,13 +43,13 @@
 const BALANCER_LAG: Duration = Duration::from_millis(300);
 const TEAMS: [(&str, u32); 3] = [("registry", 3), ("salons", 1), ("nurses", 1)];
 
-struct World {
+struct DemoFleet {
     engines: Vec<StandinEndpoint>,
     portal: StandinEndpoint,
     fleet: LocalFleet,
 }
 
-async fn start() -> std::io::Result<World> {
+async fn start() -> std::io::Result<DemoFleet> {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut site = TEAMS.iter().fold(Site::default(), |site, (team, share)| {
         site.team(team, *share)
@@ -73,7 +73,7 @@
     let portal = StandinEndpoint::start(listen, role, 8).await?;
     site = site.endpoint("portal-0", &portal, 8);
     let fleet = LocalFleet::start(ROUTERS, &site).await;
-    Ok(World {
+    Ok(DemoFleet {
         engines,
         portal,
         fleet,
@@ -116,7 +116,7 @@
 }
 
 /// Counts the requests that were executed more than once on all endpoints together.
-fn doubled(world: &World) -> usize {
+fn doubled(world: &DemoFleet) -> usize {
     let endpoints = world.engines.iter().chain([&world.portal]);
     let mut all = std::collections::BTreeMap::<String, u32>::new();
     for endpoint in endpoints {
@@ -179,7 +179,7 @@
     println!("Teams registry and salons flood; nurses ask; mixings are logged.");
     let window = CancellationToken::new();
     let busy = tokio::spawn(sample_busy(world.engines.clone(), window.clone()));
-    let tokens = |world: &World| TEAMS.map(|(team, _)| tokens_of(&world.engines, team));
+    let tokens = |world: &DemoFleet| TEAMS.map(|(team, _)| tokens_of(&world.engines, team));
     let (before, bytes, since) = (tokens(&world), control_bytes(&world.fleet), Instant::now());
     tokio::time::sleep(HALF).await;
     let bytes = control_bytes(&world.fleet) - bytes;
