--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -116,8 +116,8 @@
 }
 
 /// Counts the requests that were executed more than once on all endpoints together.
-fn doubled(world: &DemoFleet) -> usize {
-    let endpoints = world.engines.iter().chain([&world.portal]);
+fn doubled(demo: &DemoFleet) -> usize {
+    let endpoints = demo.engines.iter().chain([&demo.portal]);
     let mut all = std::collections::BTreeMap::<String, u32>::new();
     for endpoint in endpoints {
         for (id, count) in endpoint.shared.executions.lock().unwrap().iter() {
@@ -157,8 +157,8 @@
 async fn run() -> std::io::Result<bool> {
     let began = Instant::now();
     println!("Starting {ENGINES} engines, 1 plain service and {ROUTERS} routers on loopback.");
-    let mut world = start().await?;
-    let routers = world.fleet.routers.iter().map(|router| router.callers);
+    let mut demo = start().await?;
+    let routers = demo.fleet.routers.iter().map(|router| router.callers);
     let balancer = Balancer::new(routers.collect());
     let stop = CancellationToken::new();
     let callers: Vec<_> = TEAMS
@@ -178,16 +178,16 @@
 
     println!("Teams registry and salons flood; nurses ask; mixings are logged.");
     let window = CancellationToken::new();
-    let busy = tokio::spawn(sample_busy(world.engines.clone(), window.clone()));
-    let tokens = |world: &DemoFleet| TEAMS.map(|(team, _)| tokens_of(&world.engines, team));
-    let (before, bytes, since) = (tokens(&world), control_bytes(&world.fleet), Instant::now());
+    let busy = tokio::spawn(sample_busy(demo.engines.clone(), window.clone()));
+    let tokens = |demo: &DemoFleet| TEAMS.map(|(team, _)| tokens_of(&demo.engines, team));
+    let (before, bytes, since) = (tokens(&demo), control_bytes(&demo.fleet), Instant::now());
     tokio::time::sleep(HALF).await;
-    let bytes = control_bytes(&world.fleet) - bytes;
+    let bytes = control_bytes(&demo.fleet) - bytes;
     let seconds = since.elapsed().as_secs().max(1);
 
     println!("Draining router entry-{}.", ROUTERS - 1);
-    world.fleet.list_hosts(Some(ROUTERS - 1));
-    let Some(leaving) = world.fleet.routers.pop() else {
+    demo.fleet.list_hosts(Some(ROUTERS - 1));
+    let Some(leaving) = demo.fleet.routers.pop() else {
         return Ok(false);
     };
     let address = leaving.callers;
@@ -201,7 +201,7 @@
     leaving.stop().await;
     println!("It was drained in {} ms.", drained.elapsed().as_millis());
     tokio::time::sleep(HALF.saturating_sub(drained.elapsed())).await;
-    let after = tokens(&world);
+    let after = tokens(&demo);
     window.cancel();
     let busy = busy.await.unwrap_or(0);
     stop.cancel();
@@ -235,10 +235,10 @@
     );
     let lost = sum(&all, |tally| &tally.lost);
     let cut = sum(&all, |tally| &tally.cut);
-    let doubled = doubled(&world);
+    let doubled = doubled(&demo);
     println!("lost {lost}, doubled {doubled}, cut {cut}");
     println!("Ended after {} s.", began.elapsed().as_secs());
-    world.fleet.stop().await;
+    demo.fleet.stop().await;
     Ok(lost == 0 && doubled == 0 && cut == 0)
 }
 
