--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -35,7 +35,7 @@
 const TOKEN: Duration = Duration::from_millis(5);
 /// Time before fairness is measured, in which routers join and queues fill.
 const WARM_UP: Duration = Duration::from_secs(2);
-const HALF: Duration = Duration::from_secs(10);
+const PHASE_DURATION: Duration = Duration::from_secs(10);
 /// Concurrent requests of each flooding team.
 const FLOOD: u64 = 60;
 const LONGEST_STREAM: u64 = 60;
@@ -181,7 +181,7 @@
     let busy = tokio::spawn(sample_busy(demo.engines.clone(), window.clone()));
     let tokens = |demo: &DemoFleet| TEAMS.map(|(team, _)| tokens_of(&demo.engines, team));
     let (before, bytes, since) = (tokens(&demo), control_bytes(&demo.fleet), Instant::now());
-    tokio::time::sleep(HALF).await;
+    tokio::time::sleep(PHASE_DURATION).await;
     let bytes = control_bytes(&demo.fleet) - bytes;
     let seconds = since.elapsed().as_secs().max(1);
 
@@ -200,7 +200,7 @@
     tokio::join!(leaving.drain(), balancing);
     leaving.stop().await;
     println!("It was drained in {} ms.", drained.elapsed().as_millis());
-    tokio::time::sleep(HALF.saturating_sub(drained.elapsed())).await;
+    tokio::time::sleep(PHASE_DURATION.saturating_sub(drained.elapsed())).await;
     let after = tokens(&demo);
     window.cancel();
     let busy = busy.await.unwrap_or(0);
