--- a/examples/load.rs
+++ b/examples/load.rs
@@ -227,7 +227,7 @@
     let idle = process_use(id);
     println!("router memory before streams: {} KiB", idle.resident_kib);
     for width in widths {
-        let by_itself = streams(direct, *width, time).await;
+        let direct_run = streams(direct, *width, time).await;
         let before = process_use(id);
         let began = Instant::now();
         let open = tokio::spawn(streams(routed, *width, time));
@@ -239,16 +239,16 @@
         let cpu = process_use(id).cpu_millis - before.cpu_millis;
         println!(
             "{width} streams: {} direct and {} routed whole",
-            by_itself.whole, through.whole
+            direct_run.whole, through.whole
         );
         print_pair(
             &format!("{width} streams, event delay"),
-            &by_itself.events,
+            &direct_run.events,
             &through.events,
         );
         print_pair(
             &format!("{width} streams, first event"),
-            &by_itself.first,
+            &direct_run.first,
             &through.first,
         );
         let wall = u64::try_from(began.elapsed().as_millis()).unwrap_or(1);
@@ -262,22 +262,22 @@
 
 async fn measure_plain(direct: SocketAddr, routed: SocketAddr, id: u32, time: Duration) {
     for connections in [1, PLAIN_CONNECTIONS] {
-        let by_itself = plain(direct, connections, time).await;
+        let direct_run = plain(direct, connections, time).await;
         let before = process_use(id);
         let through = plain(routed, connections, time).await;
         let cpu = process_use(id).cpu_millis.saturating_sub(before.cpu_millis);
         print_pair(
             &format!("plain, {connections} connections"),
-            &by_itself.latency,
+            &direct_run.latency,
             &through.latency,
         );
         let per_core = through.calls * 1_000 / cpu.max(1);
         let (calls, seconds) = (through.calls, time.as_secs());
         println!(
             "plain, {connections} connections: direct {}/s, routed {}/s, {per_core} calls per core-second of the router, {} failed",
-            by_itself.calls / seconds,
+            direct_run.calls / seconds,
             calls / seconds,
-            by_itself.failed + through.failed,
+            direct_run.failed + through.failed,
         );
     }
 }
