--- a/examples/load.rs
+++ b/examples/load.rs
@@ -233,23 +233,23 @@
         let open = tokio::spawn(streams(routed, *width, time));
         tokio::time::sleep(time * 2 / 3).await;
         let at_most = process_use(id);
-        let Ok(through) = open.await else {
+        let Ok(routed_run) = open.await else {
             return;
         };
         let cpu = process_use(id).cpu_millis - before.cpu_millis;
         println!(
             "{width} streams: {} direct and {} routed whole",
-            direct_run.whole, through.whole
+            direct_run.whole, routed_run.whole
         );
         print_pair(
             &format!("{width} streams, event delay"),
             &direct_run.events,
-            &through.events,
+            &routed_run.events,
         );
         print_pair(
             &format!("{width} streams, first event"),
             &direct_run.first,
-            &through.first,
+            &routed_run.first,
         );
         let wall = u64::try_from(began.elapsed().as_millis()).unwrap_or(1);
         println!("{width} streams: router used {cpu} ms of processor time in {wall} ms");
@@ -264,20 +264,20 @@
     for connections in [1, PLAIN_CONNECTIONS] {
         let direct_run = plain(direct, connections, time).await;
         let before = process_use(id);
-        let through = plain(routed, connections, time).await;
+        let routed_run = plain(routed, connections, time).await;
         let cpu = process_use(id).cpu_millis.saturating_sub(before.cpu_millis);
         print_pair(
             &format!("plain, {connections} connections"),
             &direct_run.latency,
-            &through.latency,
+            &routed_run.latency,
         );
-        let per_core = through.calls * 1_000 / cpu.max(1);
-        let (calls, seconds) = (through.calls, time.as_secs());
+        let per_core = routed_run.calls * 1_000 / cpu.max(1);
+        let (calls, seconds) = (routed_run.calls, time.as_secs());
         println!(
             "plain, {connections} connections: direct {}/s, routed {}/s, {per_core} calls per core-second of the router, {} failed",
             direct_run.calls / seconds,
             calls / seconds,
-            direct_run.failed + through.failed,
+            direct_run.failed + routed_run.failed,
         );
     }
 }
