--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -58,7 +58,7 @@
             FleetFault::Leave(place, lagging_router) => self.leave(place, lagging_router),
             FleetFault::ShowLeaving(place, router_index) => self.show_leaving(place, router_index),
             FleetFault::Loaded(place, pool) => {
-                self.tally.record_model_load(self.names[place], pool)
+                self.tally.record_model_load(self.names[place], pool);
             }
             FleetFault::Crash(place) => self.crash(place),
             FleetFault::Publish(revision, factor) => self.publish(revision, factor),
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -278,7 +278,7 @@
                 self.end(router_index, life, request, attempt, AttemptOutcome::Whole);
             }
             Item::Load(router_index, life, endpoint) => {
-                self.report_load(router_index, life, endpoint)
+                self.report_load(router_index, life, endpoint);
             }
             Item::Fault(fault) => self.fault(fault),
         }
@@ -377,7 +377,7 @@
                 }
             }
             CoreAction::Complete { request } => {
-                self.finish(router_index, request, RunOutcome::Ran, true)
+                self.finish(router_index, request, RunOutcome::Ran, true);
             }
             CoreAction::Refuse {
                 request, outcome, ..
--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -70,7 +70,7 @@
 pub struct LoadPlan {
     /// Streams of calls; a stream's index is part of its calls' numbers.
     pub streams: Vec<CallStream>,
-    /// Seed of all call_rng.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
@@ -150,7 +150,7 @@
     }
 
     /// For a closed stream, returns the call that follows an ended one: wait in microseconds, call
-    /// number and router. The wait is 100 ms after a refusal and 0 otherwise.
+    /// number and router. The wait is 0 after a complete answer and 100 ms otherwise.
     pub fn next_call(&self, call: u64, whole: bool, routers: usize) -> Option<(u64, u64, usize)> {
         if self.stream(call).pace != CallPace::Closed {
             return None;
