--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,8 +1,8 @@
-//! The fleet at work, by itself, in under a minute: stand-in engines, a stand-in plain service
-//! and three routers in this process, on loopback.
+//! Self-contained demo of a fleet that takes under a minute: stand-in engines, a stand-in plain
+//! service and three routers in this process, on loopback.
 //!
-//! Two teams flood the engines with shares 3 and 1, a quiet team asks now and then and logs
-//! mixings that must never be logged twice, and one router is drained halfway. Exits with 1 if
+//! Two teams with shares 3 and 1 flood the engines. A third team with a light load sends queries
+//! and logs mixings that must never be logged twice. One router is drained halfway. Exits with 1 if
 //! any request was lost, doubled or cut.
 
 use std::net::SocketAddr;
@@ -33,23 +33,23 @@
 const ENGINES: usize = 4;
 const ENGINE_SLOTS: u32 = 8;
 const TOKEN: Duration = Duration::from_millis(5);
-/// Before fairness is measured: routers find each other, queues fill.
+/// Time before fairness is measured, in which routers join and queues fill.
 const WARM_UP: Duration = Duration::from_secs(2);
-const HALF: Duration = Duration::from_secs(10);
-/// Requests that each flooding team keeps going.
+const PHASE_DURATION: Duration = Duration::from_secs(10);
+/// Concurrent requests of each flooding team.
 const FLOOD: u64 = 60;
 const LONGEST_STREAM: u64 = 60;
-/// How long the balancer goes on sending calls to a router that drains.
+/// Time for which the balancer still sends calls to a draining router.
 const BALANCER_LAG: Duration = Duration::from_millis(300);
 const TEAMS: [(&str, u32); 3] = [("registry", 3), ("salons", 1), ("nurses", 1)];
 
-struct World {
+struct DemoFleet {
     engines: Vec<StandinEndpoint>,
     portal: StandinEndpoint,
     fleet: LocalFleet,
 }
 
-async fn start() -> std::io::Result<World> {
+async fn start() -> std::io::Result<DemoFleet> {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut site = TEAMS.iter().fold(Site::default(), |site, (team, share)| {
         site.team(team, *share)
@@ -73,7 +73,7 @@
     let portal = StandinEndpoint::start(listen, role, 8).await?;
     site = site.endpoint("portal-0", &portal, 8);
     let fleet = LocalFleet::start(ROUTERS, &site).await;
-    Ok(World {
+    Ok(DemoFleet {
         engines,
         portal,
         fleet,
@@ -99,7 +99,7 @@
         .sum()
 }
 
-/// Samples how many engine slots are busy, until stopped; returns the mean per mille.
+/// Samples the busy engine slots until stopped; returns their mean share in parts per thousand.
 async fn sample_busy(engines: Vec<StandinEndpoint>, stop: CancellationToken) -> u64 {
     let (mut busy, mut samples) = (0, 0);
     let mut interval = tokio::time::interval(Duration::from_millis(5));
@@ -115,9 +115,9 @@
     busy * 1_000 / all.max(1)
 }
 
-/// Requests of which an endpoint began more than one execution.
-fn doubled(world: &World) -> usize {
-    let endpoints = world.engines.iter().chain([&world.portal]);
+/// Counts the requests that were executed more than once on all endpoints together.
+fn doubled(demo: &DemoFleet) -> usize {
+    let endpoints = demo.engines.iter().chain([&demo.portal]);
     let mut all = std::collections::BTreeMap::<String, u32>::new();
     for endpoint in endpoints {
         for (id, count) in endpoint.shared.executions.lock().unwrap().iter() {
@@ -157,8 +157,8 @@
 async fn run() -> std::io::Result<bool> {
     let began = Instant::now();
     println!("Starting {ENGINES} engines, 1 plain service and {ROUTERS} routers on loopback.");
-    let mut world = start().await?;
-    let routers = world.fleet.routers.iter().map(|router| router.callers);
+    let mut demo = start().await?;
+    let routers = demo.fleet.routers.iter().map(|router| router.callers);
     let balancer = Balancer::new(routers.collect());
     let stop = CancellationToken::new();
     let callers: Vec<_> = TEAMS
@@ -178,21 +178,21 @@
 
     println!("Teams registry and salons flood; nurses ask; mixings are logged.");
     let window = CancellationToken::new();
-    let busy = tokio::spawn(sample_busy(world.engines.clone(), window.clone()));
-    let tokens = |world: &World| TEAMS.map(|(team, _)| tokens_of(&world.engines, team));
-    let (before, bytes, since) = (tokens(&world), control_bytes(&world.fleet), Instant::now());
-    tokio::time::sleep(HALF).await;
-    let bytes = control_bytes(&world.fleet) - bytes;
+    let busy = tokio::spawn(sample_busy(demo.engines.clone(), window.clone()));
+    let tokens = |demo: &DemoFleet| TEAMS.map(|(team, _)| tokens_of(&demo.engines, team));
+    let (before, bytes, since) = (tokens(&demo), control_bytes(&demo.fleet), Instant::now());
+    tokio::time::sleep(PHASE_DURATION).await;
+    let bytes = control_bytes(&demo.fleet) - bytes;
     let seconds = since.elapsed().as_secs().max(1);
 
     println!("Draining router entry-{}.", ROUTERS - 1);
-    world.fleet.list_hosts(Some(ROUTERS - 1));
-    let Some(leaving) = world.fleet.routers.pop() else {
+    demo.fleet.list_hosts(Some(ROUTERS - 1));
+    let Some(leaving) = demo.fleet.routers.pop() else {
         return Ok(false);
     };
     let address = leaving.callers;
     let drained = Instant::now();
-    // The source's balancer sees a little later that the router is not ready any more.
+    // The load balancer notices with a delay that the router is no longer ready.
     let balancing = async {
         tokio::time::sleep(BALANCER_LAG).await;
         balancer.remove(address);
@@ -200,8 +200,8 @@
     tokio::join!(leaving.drain(), balancing);
     leaving.stop().await;
     println!("It was drained in {} ms.", drained.elapsed().as_millis());
-    tokio::time::sleep(HALF.saturating_sub(drained.elapsed())).await;
-    let after = tokens(&world);
+    tokio::time::sleep(PHASE_DURATION.saturating_sub(drained.elapsed())).await;
+    let after = tokens(&demo);
     window.cancel();
     let busy = busy.await.unwrap_or(0);
     stop.cancel();
@@ -235,10 +235,10 @@
     );
     let lost = sum(&all, |tally| &tally.lost);
     let cut = sum(&all, |tally| &tally.cut);
-    let doubled = doubled(&world);
+    let doubled = doubled(&demo);
     println!("lost {lost}, doubled {doubled}, cut {cut}");
     println!("Ended after {} s.", began.elapsed().as_secs());
-    world.fleet.stop().await;
+    demo.fleet.stop().await;
     Ok(lost == 0 && doubled == 0 && cut == 0)
 }
 
--- a/examples/measure/faults.rs
+++ b/examples/measure/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, or is done by operators, and how the fleet is made to feel it.
+//! Faults and operator actions that a run injects into the fleet.
 
 use std::sync::Arc;
 
@@ -11,140 +11,157 @@
 use verbenaturn::units::PoolId;
 
 use super::fleet::CoreFleet;
-use super::fleet::Seat;
+use super::fleet::SimulatedRouter;
 use super::fleet::host;
 
-/// Microseconds by which a lagging host list is behind the others.
+/// Microseconds by which a stale host list lags behind the others.
 const LIST_LAG_US: u64 = 4_000_000;
 
 /// Microseconds that an endpoint takes to load a model.
 const LOAD_US: u64 = 3_000_000;
 
-/// What can go wrong, or be done by operators, at a moment of a scenario.
+/// A fault or operator action at one time of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FleetFault {
-    /// Routers below this index no longer reach the others.
-    Part(usize),
-    /// All reach all again.
+    /// A partition separates the routers below this index from the others.
+    Partition(usize),
+    /// The partition ends.
     Heal,
-    /// A router restarts with nothing in memory.
+    /// A router restarts with empty state.
     Restart(usize),
-    /// A router sees and does nothing for so many milliseconds.
+    /// A router processes nothing for this many milliseconds.
     Pause(usize, u64),
-    /// An endpoint is on the host list as leaving; this one router's list lags.
+    /// The host list marks an endpoint as leaving; the list of the second index's router lags.
     Leave(usize, usize),
-    /// A lagging list shows a router that an endpoint leaves.
+    /// A router's host list now marks an endpoint as leaving.
     ShowLeaving(usize, usize),
-    /// An endpoint has loaded the model of this pool.
+    /// An endpoint finished loading the model of this pool.
     Loaded(usize, PoolId),
-    /// An endpoint loses all that it runs.
+    /// An endpoint crashes and loses all its running requests.
     Crash(usize),
-    /// A publication with this revision and all shares times this factor for odd teams.
+    /// Publishes a catalog with this revision; shares of teams with odd ids are multiplied by the
+    /// factor.
     Publish(u64, u32),
-    /// Parts per thousand of messages that are lost, and as many doubled.
+    /// Loses this many messages per thousand and duplicates as many.
     Noise(u32),
 }
 
 impl CoreFleet {
     pub(super) fn fault(&mut self, fault: FleetFault) {
         match fault {
-            FleetFault::Part(cut) => self.part(cut),
+            FleetFault::Partition(cut) => self.start_partition(cut),
             FleetFault::Heal => self.heal(),
-            FleetFault::Restart(seat) => self.restart(seat),
-            FleetFault::Pause(seat, millis) => {
-                self.seats[seat].wakes_at = self.now + millis * 1_000;
+            FleetFault::Restart(router_index) => self.restart(router_index),
+            FleetFault::Pause(router_index, millis) => {
+                self.simulated_routers[router_index].paused_until_us = self.now + millis * 1_000;
+            }
+            FleetFault::Leave(place, lagging_router) => self.leave(place, lagging_router),
+            FleetFault::ShowLeaving(place, router_index) => self.show_leaving(place, router_index),
+            FleetFault::Loaded(place, pool) => {
+                self.tally.record_model_load(self.names[place], pool);
             }
-            FleetFault::Leave(place, deaf) => self.leave(place, deaf),
-            FleetFault::ShowLeaving(place, seat) => self.show_leaving(place, seat),
-            FleetFault::Loaded(place, pool) => self.tally.moves(self.names[place], pool),
             FleetFault::Crash(place) => self.crash(place),
             FleetFault::Publish(revision, factor) => self.publish(revision, factor),
             FleetFault::Noise(per_mille) => self.noise = per_mille,
         }
     }
 
-    fn part(&mut self, cut: usize) {
-        self.parted = Some(cut);
+    fn start_partition(&mut self, cut: usize) {
+        self.partition_cut = Some(cut);
         for left in 0..cut {
-            for right in cut..self.seats.len() {
-                self.tell(left, CoreEvent::PeerClosed { host: host(right) });
-                self.tell(right, CoreEvent::PeerClosed { host: host(left) });
+            for right in cut..self.simulated_routers.len() {
+                self.deliver_event(left, CoreEvent::PeerClosed { host: host(right) });
+                self.deliver_event(right, CoreEvent::PeerClosed { host: host(left) });
             }
         }
     }
 
     fn heal(&mut self) {
-        self.parted = None;
-        for left in 0..self.seats.len() {
-            for right in 0..self.seats.len() {
+        self.partition_cut = None;
+        for left in 0..self.simulated_routers.len() {
+            for right in 0..self.simulated_routers.len() {
                 self.open(left, right);
             }
         }
     }
 
-    fn restart(&mut self, seat: usize) {
-        let life = self.seats[seat].life;
-        let core = self.make_core(seat, life + 1);
-        self.seats[seat] = Seat {
+    fn restart(&mut self, router_index: usize) {
+        let life = self.simulated_routers[router_index].life;
+        let core = self.make_core(router_index, life + 1);
+        self.simulated_routers[router_index] = SimulatedRouter {
             core,
             life: life + 1,
-            wakes_at: 0,
+            paused_until_us: 0,
         };
         let runs: Vec<_> = self
             .running
             .keys()
-            .filter(|key| (key.0, key.1) == (seat, life))
+            .filter(|key| (key.0, key.1) == (router_index, life))
             .copied()
             .collect();
         for key in runs {
-            let run = self.running.remove(&key).expect("just listed");
-            self.tally.stops(run.endpoint);
+            let run = self
+                .running
+                .remove(&key)
+                .expect("key was collected from the map");
+            self.tally.record_stop(run.endpoint);
         }
         let calls: Vec<_> = self
             .calls
             .keys()
-            .filter(|key| (key.0, key.1) == (seat, life))
+            .filter(|key| (key.0, key.1) == (router_index, life))
             .copied()
             .collect();
         for key in calls {
-            let call = self.calls.remove(&key).expect("just listed");
+            let call = self
+                .calls
+                .remove(&key)
+                .expect("key was collected from the map");
             self.close(call, RunOutcome::Unknown, false);
         }
-        for other in 0..self.seats.len() {
-            if other != seat {
-                self.tell(other, CoreEvent::PeerClosed { host: host(seat) });
+        for other in 0..self.simulated_routers.len() {
+            if other != router_index {
+                self.deliver_event(
+                    other,
+                    CoreEvent::PeerClosed {
+                        host: host(router_index),
+                    },
+                );
             }
         }
-        self.begin(seat);
+        self.begin(router_index);
     }
 
-    fn leave(&mut self, place: usize, deaf: usize) {
+    fn leave(&mut self, place: usize, lagging_router: usize) {
         let endpoint = self.names[place];
         self.left.push((endpoint, self.now));
-        self.tally.closes(endpoint);
-        for seat in (0..self.seats.len()).filter(|seat| *seat != deaf) {
-            self.show_leaving(place, seat);
+        self.tally.close_endpoint(endpoint);
+        for router_index in
+            (0..self.simulated_routers.len()).filter(|router_index| *router_index != lagging_router)
+        {
+            self.show_leaving(place, router_index);
         }
-        // Peers tell the router whose list lags, unless a partition leaves it alone; then only its
-        // own list can.
+        // Gossip from peers informs the router whose list lags, unless a partition isolates it;
+        // then only its own list does.
         let late = self.now + LIST_LAG_US;
-        self.plan(late, FleetFault::ShowLeaving(place, deaf));
+        self.plan(late, FleetFault::ShowLeaving(place, lagging_router));
     }
 
-    fn show_leaving(&mut self, place: usize, seat: usize) {
+    fn show_leaving(&mut self, place: usize, router_index: usize) {
         let leaving = vec![(self.names[place], 1)];
         let routers = Vec::new();
-        self.tell(seat, CoreEvent::HostsListed { routers, leaving });
+        self.deliver_event(router_index, CoreEvent::HostsListed { routers, leaving });
     }
 
-    /// An order arrives at an endpoint that refuses old fencing numbers and loads in `LOAD_US`.
+    /// Applies a model order at an endpoint, which rejects stale fencing numbers and loads the
+    /// model in `LOAD_US`.
     pub(super) fn order(&mut self, endpoint: EndpointId, pool: PoolId, fence: FenceNumber) {
         let seen = self.fences.entry(endpoint).or_default();
         if fence <= *seen {
             return;
         }
         *seen = fence;
-        if self.tally.home_of(endpoint) == pool {
+        if self.tally.pool_served_by(endpoint) == pool {
             return;
         }
         let place = self.place_of(endpoint);
@@ -161,9 +178,9 @@
             .filter(|(_, run)| run.endpoint == endpoint)
             .map(|(key, run)| (*key, run.attempt))
             .collect();
-        for ((seat, life, request), attempt) in runs {
+        for ((router_index, life, request), attempt) in runs {
             let outcome = AttemptOutcome::LostBeforeAnswer;
-            self.end(seat, life, request, attempt, outcome);
+            self.end(router_index, life, request, attempt, outcome);
         }
     }
 
@@ -180,10 +197,10 @@
             self.tally.shares_changed(&catalog);
             self.catalog = Arc::clone(&catalog);
         }
-        for seat in 0..self.seats.len() {
+        for router_index in 0..self.simulated_routers.len() {
             let text = bytes::Bytes::new();
             let catalog = Arc::clone(&catalog);
-            self.tell(seat, CoreEvent::Published { catalog, text });
+            self.deliver_event(router_index, CoreEvent::Published { catalog, text });
         }
     }
 }
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -1,5 +1,5 @@
-//! The real decision cores joined by one queue of messages, with a fake clock and endpoints of
-//! a few lines each. The queue delivers, delays, drops and doubles; nothing else is modelled.
+//! Simulation of the real decision cores with one event queue, a fake clock and minimal
+//! endpoints. The queue delivers, delays, drops and duplicates messages; nothing else is modelled.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -43,9 +43,9 @@
 const TICK_US: u64 = 5_000;
 /// Microseconds between progress events of a running attempt.
 const PROGRESS_US: u64 = 250_000;
-/// Microseconds between load reports of an endpoint to a router that reads them.
+/// Microseconds between load reports of an endpoint to a router that watches it.
 const LOAD_US: u64 = 500_000;
-/// Bytes of framing around a control message.
+/// Framing bytes added to each control message.
 const FRAME_BYTES: u64 = 8;
 
 enum Item {
@@ -68,18 +68,18 @@
     cost: u64,
 }
 
-/// One router.
-pub(super) struct Seat {
+/// One router: its core, its incarnation counter and the end of its pause in microseconds.
+pub(super) struct SimulatedRouter {
     pub(super) core: RouterCore,
     pub(super) life: u64,
-    pub(super) wakes_at: u64,
+    pub(super) paused_until_us: u64,
 }
 
-/// The cores, the queue and the endpoints.
+/// A simulated fleet: the cores, the event queue and the endpoints.
 pub struct CoreFleet {
-    /// What was counted.
+    /// Counters of the run.
     pub tally: FleetTally,
-    pub(super) seats: Vec<Seat>,
+    pub(super) simulated_routers: Vec<SimulatedRouter>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     items: BTreeMap<u64, Item>,
     order: u64,
@@ -91,7 +91,7 @@
     pub(super) calls: BTreeMap<(usize, u64, RequestId), u64>,
     pub(super) running: BTreeMap<(usize, u64, RequestId), Running>,
     next_request: u64,
-    pub(super) parted: Option<usize>,
+    pub(super) partition_cut: Option<usize>,
     pub(super) noise: u32,
     latency: u64,
     pub(super) left: Vec<(EndpointId, u64)>,
@@ -103,16 +103,16 @@
 }
 
 pub(super) fn host(index: usize) -> HostName {
-    format!("host-{index}").parse().expect("a plain name")
+    format!("host-{index}").parse().expect("a valid name")
 }
 
 impl CoreFleet {
-    /// A fleet of `routers` cores that serve `load` with `catalog`.
+    /// Creates a fleet of `routers` cores that serve `load` with `catalog`.
     pub fn new(routers: usize, catalog: FleetCatalog, load: LoadPlan, seed: u64) -> Self {
         let names = catalog.endpoints.keys().copied().collect();
         let mut fleet = Self {
             tally: FleetTally::new(&catalog, routers),
-            seats: Vec::new(),
+            simulated_routers: Vec::new(),
             queue: BinaryHeap::new(),
             items: BTreeMap::new(),
             order: 0,
@@ -124,7 +124,7 @@
             calls: BTreeMap::new(),
             running: BTreeMap::new(),
             next_request: 0,
-            parted: None,
+            partition_cut: None,
             noise: 0,
             latency: 500,
             left: Vec::new(),
@@ -136,10 +136,10 @@
         };
         for index in 0..routers {
             let core = fleet.make_core(index, 1);
-            fleet.seats.push(Seat {
+            fleet.simulated_routers.push(SimulatedRouter {
                 core,
                 life: 1,
-                wakes_at: 0,
+                paused_until_us: 0,
             });
         }
         for index in 0..routers {
@@ -155,7 +155,7 @@
             incarnation: RouterIncarnation(self.seed << 20 | number << 8 | life),
             domain: format!("domain-{}", index % 3)
                 .parse()
-                .expect("a plain name"),
+                .expect("a valid name"),
             address: format!("127.0.0.1:{}", 7_000 + index).into(),
         };
         RouterCore::new(
@@ -166,43 +166,48 @@
     }
 
     pub(super) fn begin(&mut self, index: usize) {
-        let routers = (0..self.seats.len())
+        let routers = (0..self.simulated_routers.len())
             .map(|other| ListedRouter {
                 host: host(other),
                 address: format!("127.0.0.1:{}", 7_000 + other).into(),
                 domain: format!("domain-{}", other % 3)
                     .parse()
-                    .expect("a plain name"),
+                    .expect("a valid name"),
                 leaving: false,
             })
             .collect();
         let leaving = Vec::new();
-        self.tell(index, CoreEvent::HostsListed { routers, leaving });
+        self.deliver_event(index, CoreEvent::HostsListed { routers, leaving });
         let catalog = Arc::clone(&self.catalog);
         let text = bytes::Bytes::new();
-        self.tell(index, CoreEvent::Published { catalog, text });
-        for other in 0..self.seats.len() {
+        self.deliver_event(index, CoreEvent::Published { catalog, text });
+        for other in 0..self.simulated_routers.len() {
             self.open(index, other);
             self.open(other, index);
         }
-        let life = self.seats[index].life;
+        let life = self.simulated_routers[index].life;
         let offset = self.random.random_range(0..TICK_US);
         self.push(self.now + offset, Item::Tick(index, life));
     }
 
     pub(super) fn open(&mut self, index: usize, other: usize) {
-        if index != other && self.reach(index, other) {
-            let incarnation = self.seats[other].core.state().identity.incarnation;
+        if index != other && self.can_reach(index, other) {
+            let incarnation = self.simulated_routers[other]
+                .core
+                .state()
+                .identity
+                .incarnation;
             let opened = CoreEvent::PeerOpened {
                 host: host(other),
                 incarnation,
             };
-            self.tell(index, opened);
+            self.deliver_event(index, opened);
         }
     }
 
-    pub(super) fn reach(&self, left: usize, right: usize) -> bool {
-        self.parted.is_none_or(|cut| (left < cut) == (right < cut))
+    pub(super) fn can_reach(&self, left: usize, right: usize) -> bool {
+        self.partition_cut
+            .is_none_or(|cut| (left < cut) == (right < cut))
     }
 
     fn push(&mut self, at: u64, item: Item) {
@@ -211,19 +216,19 @@
         self.items.insert(self.order, item);
     }
 
-    /// Adds a fault at a moment in microseconds.
+    /// Schedules a fault at a time in microseconds.
     pub fn plan(&mut self, at: u64, fault: FleetFault) {
         self.push(at, Item::Fault(fault));
     }
 
-    /// Adds all first calls of the load plan.
+    /// Schedules the first call of every lane of the load plan.
     pub fn begin_load(&mut self) {
-        for (at, call, router) in self.load.first_calls(self.seats.len()) {
+        for (at, call, router) in self.load.first_calls(self.simulated_routers.len()) {
             self.push(at, Item::Call(call, router, None));
         }
     }
 
-    /// Runs until `end` microseconds.
+    /// Runs until `end`, in microseconds.
     pub fn run(&mut self, end: u64) {
         while let Some(Reverse((at, order))) = self.queue.pop() {
             if at > end {
@@ -231,53 +236,65 @@
             }
             self.now = at;
             self.tally.advance(at);
-            let item = self.items.remove(&order).expect("queued items are kept");
+            let item = self
+                .items
+                .remove(&order)
+                .expect("every queued number has an item");
             self.step(item);
         }
     }
 
     fn step(&mut self, item: Item) {
-        let seat = match &item {
-            Item::Tick(seat, _)
-            | Item::Deliver(_, seat, ..)
-            | Item::Call(_, seat, _)
-            | Item::Progress(seat, ..)
-            | Item::Done(seat, ..)
-            | Item::Load(seat, ..) => *seat,
+        let router_index = match &item {
+            Item::Tick(router_index, _)
+            | Item::Deliver(_, router_index, ..)
+            | Item::Call(_, router_index, _)
+            | Item::Progress(router_index, ..)
+            | Item::Done(router_index, ..)
+            | Item::Load(router_index, ..) => *router_index,
             Item::Fault(_) => usize::MAX,
         };
-        if let Some(wakes_at) = self.seats.get(seat).map(|seat| seat.wakes_at)
-            && wakes_at > self.now
+        if let Some(paused_until_us) = self
+            .simulated_routers
+            .get(router_index)
+            .map(|router| router.paused_until_us)
+            && paused_until_us > self.now
         {
-            self.push(wakes_at, item);
+            self.push(paused_until_us, item);
             return;
         }
         match item {
-            Item::Tick(seat, life) if self.seats[seat].life == life => {
-                self.tell(seat, CoreEvent::Tick);
-                self.push(self.now + TICK_US, Item::Tick(seat, life));
+            Item::Tick(router_index, life) if self.simulated_routers[router_index].life == life => {
+                self.deliver_event(router_index, CoreEvent::Tick);
+                self.push(self.now + TICK_US, Item::Tick(router_index, life));
             }
             Item::Tick(..) => {}
             Item::Deliver(from, to, life, message) => self.deliver(from, to, life, *message),
-            Item::Call(call, seat, ticket) => self.call(call, seat, ticket),
-            Item::Progress(seat, life, request, attempt) => {
-                self.progress(seat, life, request, attempt);
+            Item::Call(call, router_index, ticket) => self.call(call, router_index, ticket),
+            Item::Progress(router_index, life, request, attempt) => {
+                self.progress(router_index, life, request, attempt);
             }
-            Item::Done(seat, life, request, attempt) => {
-                self.end(seat, life, request, attempt, AttemptOutcome::Whole);
+            Item::Done(router_index, life, request, attempt) => {
+                self.end(router_index, life, request, attempt, AttemptOutcome::Whole);
+            }
+            Item::Load(router_index, life, endpoint) => {
+                self.report_load(router_index, life, endpoint);
             }
-            Item::Load(seat, life, endpoint) => self.report_load(seat, life, endpoint),
             Item::Fault(fault) => self.fault(fault),
         }
     }
 
     fn deliver(&mut self, from: usize, to: usize, life: u64, message: PeerMessage) {
-        if !self.reach(from, to) || self.seats[from].life != life {
+        if !self.can_reach(from, to) || self.simulated_routers[from].life != life {
             return;
         }
-        let incarnation = self.seats[from].core.state().identity.incarnation;
+        let incarnation = self.simulated_routers[from]
+            .core
+            .state()
+            .identity
+            .incarnation;
         let from = host(from);
-        self.tell(
+        self.deliver_event(
             to,
             CoreEvent::Message {
                 from,
@@ -287,36 +304,42 @@
         );
     }
 
-    fn call(&mut self, call: u64, seat: usize, ticket: Option<TicketName>) {
+    fn call(&mut self, call: u64, router_index: usize, ticket: Option<TicketName>) {
         let spec = self.load.spec(call);
         if ticket.is_none() && !self.tickets.contains_key(&call) {
             self.tally.arrived(call, &spec);
-            let follower = self.load.follower(call, self.seats.len());
-            if let Some((wait, next, router)) = follower
-                && self.load.lasts(call, self.now)
+            let next_arrival = self.load.next_arrival(call, self.simulated_routers.len());
+            if let Some((wait, next, router)) = next_arrival
+                && self.load.is_stream_active(call, self.now)
             {
                 self.push(self.now + wait, Item::Call(next, router, None));
             }
         }
         self.next_request += 1;
         let request = RequestId(self.next_request);
-        self.calls
-            .insert((seat, self.seats[seat].life, request), call);
+        self.calls.insert(
+            (
+                router_index,
+                self.simulated_routers[router_index].life,
+                request,
+            ),
+            call,
+        );
         let repeat = if spec.unrepeatable {
             RepeatRule::Unrepeatable(ticket)
         } else {
             RepeatRule::Repeatable
         };
-        self.tally.waits(call, &spec, true);
-        self.tell(
-            seat,
+        self.tally.set_waiting(call, &spec, true);
+        self.deliver_event(
+            router_index,
             CoreEvent::Arrived(RequestFacts {
                 request,
                 team: spec.team,
                 kind: spec.kind.clone(),
                 pool: spec.pool,
                 repeat,
-                deadline: Moment(self.now + spec.patience_us),
+                deadline: Moment(self.now + spec.timeout_us),
                 fingerprint: RequestFingerprint(self.load.fingerprint(call)),
                 prefix: 0,
                 resumable: false,
@@ -325,59 +348,63 @@
         );
     }
 
-    pub(super) fn tell(&mut self, seat: usize, event: CoreEvent) {
+    pub(super) fn deliver_event(&mut self, router_index: usize, event: CoreEvent) {
         let started = std::time::Instant::now();
-        let actions = self.seats[seat].core.handle(Moment(self.now), event);
-        self.tally.spent(started.elapsed());
+        let actions = self.simulated_routers[router_index]
+            .core
+            .handle(Moment(self.now), event);
+        self.tally.record_event_cost(started.elapsed());
         for action in actions {
-            self.carry_out(seat, action);
+            self.carry_out(router_index, action);
         }
     }
 
-    fn carry_out(&mut self, seat: usize, action: CoreAction) {
-        let life = self.seats[seat].life;
+    fn carry_out(&mut self, router_index: usize, action: CoreAction) {
+        let life = self.simulated_routers[router_index].life;
         match action {
-            CoreAction::Send { host: to, message } => self.send(seat, &to, &message),
+            CoreAction::Send { host: to, message } => self.send(router_index, &to, &message),
             CoreAction::Dispatch {
                 request,
                 attempt,
                 endpoint,
                 ..
             } => {
-                self.dispatch(seat, request, attempt, endpoint);
+                self.dispatch(router_index, request, attempt, endpoint);
             }
             CoreAction::Cancel { request, .. } => {
-                if let Some(run) = self.running.remove(&(seat, life, request)) {
-                    self.tally.stops(run.endpoint);
+                if let Some(run) = self.running.remove(&(router_index, life, request)) {
+                    self.tally.record_stop(run.endpoint);
                 }
             }
-            CoreAction::Complete { request } => self.finish(seat, request, RunOutcome::Ran, true),
+            CoreAction::Complete { request } => {
+                self.finish(router_index, request, RunOutcome::Ran, true);
+            }
             CoreAction::Refuse {
                 request, outcome, ..
             } => {
-                self.finish(seat, request, outcome, false);
+                self.finish(router_index, request, outcome, false);
             }
             CoreAction::OfferTicket { request, ticket } => {
-                if let Some(call) = self.calls.remove(&(seat, life, request)) {
-                    self.tally.waits(call, &self.load.spec(call), false);
+                if let Some(call) = self.calls.remove(&(router_index, life, request)) {
+                    self.tally.set_waiting(call, &self.load.spec(call), false);
                     self.tickets.insert(call, ticket);
-                    let via = self.random.random_range(0..self.seats.len());
+                    let via = self.random.random_range(0..self.simulated_routers.len());
                     self.push(self.now + 2_000, Item::Call(call, via, Some(ticket)));
                 }
             }
             CoreAction::Forward { request, host: to } => {
-                let Some(call) = self.calls.remove(&(seat, life, request)) else {
+                let Some(call) = self.calls.remove(&(router_index, life, request)) else {
                     return;
                 };
-                self.tally.waits(call, &self.load.spec(call), false);
+                self.tally.set_waiting(call, &self.load.spec(call), false);
                 let ticket = self.tickets.get(&call).copied();
                 let to = self.index_of(&to);
                 self.push(self.now + self.latency, Item::Call(call, to, ticket));
             }
             CoreAction::WatchLoad { endpoint, on: true }
-                if self.watched.insert((seat, life, endpoint)) =>
+                if self.watched.insert((router_index, life, endpoint)) =>
             {
-                self.push(self.now + LOAD_US, Item::Load(seat, life, endpoint));
+                self.push(self.now + LOAD_US, Item::Load(router_index, life, endpoint));
             }
             CoreAction::OrderModel {
                 endpoint,
@@ -388,18 +415,20 @@
                 endpoint,
                 on: false,
             } => {
-                self.watched.remove(&(seat, life, endpoint));
+                self.watched.remove(&(router_index, life, endpoint));
             }
             _ => {}
         }
     }
 
-    fn report_load(&mut self, seat: usize, life: u64, endpoint: EndpointId) {
-        if !self.watched.contains(&(seat, life, endpoint)) || self.seats[seat].life != life {
+    fn report_load(&mut self, router_index: usize, life: u64, endpoint: EndpointId) {
+        if !self.watched.contains(&(router_index, life, endpoint))
+            || self.simulated_routers[router_index].life != life
+        {
             return;
         }
-        self.push(self.now + LOAD_US, Item::Load(seat, life, endpoint));
-        let active = self.tally.home_of(endpoint);
+        self.push(self.now + LOAD_US, Item::Load(router_index, life, endpoint));
+        let active = self.tally.pool_served_by(endpoint);
         let (running, waiting) = self.tally.load_of(endpoint);
         let event = CoreEvent::EndpointLoad {
             endpoint,
@@ -409,11 +438,11 @@
             life: self.lives.get(&endpoint).copied().unwrap_or(1),
             fence: self.fences.get(&endpoint).map_or(0, |fence| fence.0),
         };
-        self.tell(seat, event);
+        self.deliver_event(router_index, event);
     }
 
     fn index_of(&self, name: &HostName) -> usize {
-        let index = (0..self.seats.len()).find(|index| host(*index) == *name);
+        let index = (0..self.simulated_routers.len()).find(|index| host(*index) == *name);
         index.expect("cores name only listed hosts")
     }
 }
@@ -423,7 +452,7 @@
         let to = self.index_of(to);
         let bytes = message.encoded_len() as u64 + FRAME_BYTES;
         self.tally.control(from, bytes);
-        let life = self.seats[from].life;
+        let life = self.simulated_routers[from].life;
         let copies = match self.random.random_range(0..1_000) {
             draw if draw < self.noise => 0,
             draw if draw < 2 * self.noise => 2,
@@ -438,15 +467,15 @@
 
     fn dispatch(
         &mut self,
-        seat: usize,
+        router_index: usize,
         request: RequestId,
         attempt: AttemptNumber,
         to: EndpointId,
     ) {
-        let life = self.seats[seat].life;
-        let call = self.calls[&(seat, life, request)];
+        let life = self.simulated_routers[router_index].life;
+        let call = self.calls[&(router_index, life, request)];
         let spec = self.load.spec(call);
-        self.tally.starts(call, &spec, to);
+        self.tally.record_start(call, &spec, to);
         if let Some((_, at)) = self.left.iter().find(|(endpoint, _)| *endpoint == to) {
             self.tally.dispatched_to_leaving(self.now - at);
         }
@@ -456,7 +485,7 @@
                 Item::Fault(FleetFault::Crash(self.place_of(to))),
             );
         }
-        let crowd = self.tally.crowding(to);
+        let crowd = self.tally.load_percent(to);
         let since = self.now + self.latency;
         let until = since + spec.duration_us * crowd / 100;
         let run = Running {
@@ -468,16 +497,16 @@
             seen: 0,
             cost: spec.cost,
         };
-        self.running.insert((seat, life, request), run);
+        self.running.insert((router_index, life, request), run);
         if until - since > PROGRESS_US {
             self.push(
                 since + PROGRESS_US,
-                Item::Progress(seat, life, request, attempt),
+                Item::Progress(router_index, life, request, attempt),
             );
         }
         self.push(
             until + self.latency,
-            Item::Done(seat, life, request, attempt),
+            Item::Done(router_index, life, request, attempt),
         );
     }
 
@@ -486,34 +515,41 @@
         place.expect("the catalog's endpoints are listed")
     }
 
-    /// Adds up the service of a running attempt; `None` if another attempt runs or none.
+    /// Adds the service of a running attempt to the tally and returns its total so far, in service
+    /// units. Returns `None` if the request has no running attempt or a different one.
     fn served(
         &mut self,
-        seat: usize,
+        router_index: usize,
         life: u64,
         request: RequestId,
         attempt: AttemptNumber,
     ) -> Option<u64> {
-        let run = self.running.get_mut(&(seat, life, request))?;
+        let run = self.running.get_mut(&(router_index, life, request))?;
         if run.attempt != attempt {
             return None;
         }
         let passed = self.now.clamp(run.since, run.until) - run.since;
         let so_far = run.cost * passed / (run.until - run.since).max(1);
         self.tally
-            .serves(&self.load.spec(run.call), so_far - run.seen);
+            .add_service(&self.load.spec(run.call), so_far - run.seen);
         run.seen = so_far;
         Some(so_far)
     }
 
-    fn progress(&mut self, seat: usize, life: u64, request: RequestId, attempt: AttemptNumber) {
-        let Some(so_far) = self.served(seat, life, request, attempt) else {
+    fn progress(
+        &mut self,
+        router_index: usize,
+        life: u64,
+        request: RequestId,
+        attempt: AttemptNumber,
+    ) {
+        let Some(so_far) = self.served(router_index, life, request, attempt) else {
             return;
         };
-        let until = self.running[&(seat, life, request)].until;
+        let until = self.running[&(router_index, life, request)].until;
         let service = ServiceUnits(so_far);
-        self.tell(
-            seat,
+        self.deliver_event(
+            router_index,
             CoreEvent::Progress {
                 request,
                 attempt,
@@ -523,33 +559,34 @@
         if self.now + PROGRESS_US < until {
             self.push(
                 self.now + PROGRESS_US,
-                Item::Progress(seat, life, request, attempt),
+                Item::Progress(router_index, life, request, attempt),
             );
         }
     }
 
     pub(super) fn end(
         &mut self,
-        seat: usize,
+        router_index: usize,
         life: u64,
         request: RequestId,
         attempt: AttemptNumber,
         outcome: AttemptOutcome,
     ) {
-        let Some(so_far) = self.served(seat, life, request, attempt) else {
+        let Some(so_far) = self.served(router_index, life, request, attempt) else {
             return;
         };
-        let Some(run) = self.running.remove(&(seat, life, request)) else {
+        let Some(run) = self.running.remove(&(router_index, life, request)) else {
             return;
         };
-        self.tally.stops(run.endpoint);
+        self.tally.record_stop(run.endpoint);
         if outcome != AttemptOutcome::Whole {
-            self.tally.waits(run.call, &self.load.spec(run.call), true);
+            self.tally
+                .set_waiting(run.call, &self.load.spec(run.call), true);
         }
-        if self.seats[seat].life == life {
+        if self.simulated_routers[router_index].life == life {
             let service = ServiceUnits(so_far);
-            self.tell(
-                seat,
+            self.deliver_event(
+                router_index,
                 CoreEvent::AttemptEnded {
                     request,
                     attempt,
@@ -560,35 +597,44 @@
         }
     }
 
-    fn finish(&mut self, seat: usize, request: RequestId, outcome: RunOutcome, whole: bool) {
-        let life = self.seats[seat].life;
-        if let Some(call) = self.calls.remove(&(seat, life, request)) {
+    fn finish(
+        &mut self,
+        router_index: usize,
+        request: RequestId,
+        outcome: RunOutcome,
+        whole: bool,
+    ) {
+        let life = self.simulated_routers[router_index].life;
+        if let Some(call) = self.calls.remove(&(router_index, life, request)) {
             self.close(call, outcome, whole);
         }
     }
 
-    /// The caller has its answer or refusal; a closed-loop team sends its next call.
+    /// Records the answer or refusal of a call; a closed stream sends its next call.
     pub(super) fn close(&mut self, call: u64, outcome: RunOutcome, whole: bool) {
         let spec = self.load.spec(call);
         self.tally.ended(call, &spec, outcome, whole);
-        if !self.load.lasts(call, self.now) {
+        if !self.load.is_stream_active(call, self.now) {
             return;
         }
-        if let Some((wait, next, router)) = self.load.next_call(call, whole, self.seats.len()) {
+        if let Some((wait, next, router)) =
+            self.load
+                .next_call(call, whole, self.simulated_routers.len())
+        {
             self.push(self.now + wait, Item::Call(next, router, None));
         }
     }
 
-    /// Revisions in force at the end, one a router.
+    /// Returns the revision in force at each router.
     pub fn revisions(&self) -> Vec<u64> {
-        let seats = self.seats.iter();
-        seats
-            .map(|seat| seat.core.state().catalog.revision.0)
+        let simulated_routers = self.simulated_routers.iter();
+        simulated_routers
+            .map(|router| router.core.state().catalog.revision.0)
             .collect()
     }
 
-    /// Calls that have no answer yet and are known to a router, or on their way to one: sent
-    /// again with a ticket, or forwarded.
+    /// Number of unanswered calls that a router holds or that are in transit to one, sent again
+    /// with a ticket or forwarded.
     pub fn open_calls(&self) -> usize {
         let on_the_way = self
             .items
--- a/examples/measure/main.rs
+++ b/examples/measure/main.rs
@@ -1,5 +1,5 @@
-//! Runs scenarios on the real decision cores beside the naive version and prints one JSON
-//! object a measure. Exits with 1 if an invariant broke.
+//! Runs scenarios on the real decision cores and on the naive version and prints one JSON object
+//! per measure. Exits with 1 if a measure exceeds its bound.
 
 mod checks;
 mod faults;
@@ -27,7 +27,7 @@
 use self::scenarios::SCENARIOS;
 use self::scenarios::WICKRAMASINGHE;
 
-/// The scenario that varies sizes.
+/// Name of the scenario that varies the size of the fleet.
 const SLOPES: &str = "slopes";
 
 fn command() -> Command {
@@ -88,20 +88,20 @@
         eprintln!("measure: no such scenario; see --list");
         return ExitCode::from(2);
     }
-    let mut held = true;
+    let mut within_bounds = true;
     let seed = matches.get_one("seed").copied().unwrap_or(1);
     let seeds: u64 = matches.get_one("seeds").copied().unwrap_or(1);
     for seed in seed..seed + seeds {
         for size in sizes(&matches) {
             for scenario in &chosen {
-                held &= run(*scenario, size, seed);
+                within_bounds &= run(*scenario, size, seed);
             }
         }
     }
     if slopes {
-        held &= slopes::run(seed);
+        within_bounds &= slopes::run(seed);
     }
-    if held {
+    if within_bounds {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/examples/measure/naive.rs
+++ b/examples/measure/naive.rs
@@ -1,5 +1,5 @@
-//! The naive version: one queue for the whole fleet with perfect and instant knowledge. Each
-//! free slot goes to the waiting team of least service over share, charged with the true cost.
+//! The naive version: one queue for the whole fleet with complete, immediate knowledge. Each free
+//! slot goes to the waiting team with the least service per share, charged with the true cost.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -15,10 +15,10 @@
 use super::load::LoadPlan;
 use super::tally::FleetTally;
 
-/// Microseconds between two looks at a running call.
+/// Microseconds between progress updates of a running call.
 const PROGRESS_US: u64 = 250_000;
-/// Nothing starts before this moment, so that all first calls are there for the first picks; the
-/// fleet's owners listen as long.
+/// Microseconds before which nothing starts, so that all first calls have arrived when the first
+/// are chosen. The fleet's pool owners collect reports for the same time.
 const BEGIN_US: u64 = 150_000;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
 
 /// The naive version of the whole fleet.
 pub struct NaiveFleet {
-    /// What was counted.
+    /// Counters of the run.
     pub tally: FleetTally,
     load: LoadPlan,
     shares: BTreeMap<TeamId, u64>,
@@ -51,7 +51,7 @@
 }
 
 impl NaiveFleet {
-    /// A naive fleet that serves `load` with `catalog`.
+    /// Creates a naive fleet that serves `load` with `catalog`.
     pub fn new(catalog: &FleetCatalog, load: LoadPlan) -> Self {
         let mut free: BTreeMap<PoolId, Vec<EndpointId>> = BTreeMap::new();
         for (endpoint, entry) in &catalog.endpoints {
@@ -78,7 +78,7 @@
         fleet
     }
 
-    /// Runs until `end` microseconds.
+    /// Runs until `end`, in microseconds.
     pub fn run(&mut self, end: u64) {
         while let Some(Reverse((now, item))) = self.queue.pop() {
             if now > end {
@@ -109,9 +109,9 @@
     fn call(&mut self, now: u64, call: u64) {
         let spec = self.load.spec(call);
         self.tally.arrived(call, &spec);
-        self.tally.waits(call, &spec, true);
-        if let Some((wait, next, _)) = self.load.follower(call, 1)
-            && self.load.lasts(call, now)
+        self.tally.set_waiting(call, &spec, true);
+        if let Some((wait, next, _)) = self.load.next_arrival(call, 1)
+            && self.load.is_stream_active(call, now)
         {
             self.queue.push(Reverse((now + wait, Item::Call(next))));
         }
@@ -157,7 +157,7 @@
             let spec = self.load.spec(call);
             let share = self.shares.get(&key.1).copied().unwrap_or(1);
             *self.times.entry(key).or_default() += spec.cost * 1_000 / share;
-            self.tally.starts(call, &spec, endpoint);
+            self.tally.record_start(call, &spec, endpoint);
             let until = now + spec.duration_us;
             let run = Running {
                 endpoint,
@@ -180,7 +180,7 @@
         };
         let spec = self.load.spec(call);
         let so_far = spec.cost * (now.min(run.until) - run.since) / (run.until - run.since).max(1);
-        self.tally.serves(&spec, so_far - run.seen);
+        self.tally.add_service(&spec, so_far - run.seen);
         run.seen = so_far;
     }
 
@@ -190,10 +190,10 @@
             return;
         };
         let spec = self.load.spec(call);
-        self.tally.stops(run.endpoint);
+        self.tally.record_stop(run.endpoint);
         self.tally.ended(call, &spec, RunOutcome::Ran, true);
         self.free.entry(spec.pool).or_default().push(run.endpoint);
-        if self.load.lasts(call, now)
+        if self.load.is_stream_active(call, now)
             && let Some((wait, next, _)) = self.load.next_call(call, true, 1)
         {
             self.queue.push(Reverse((now + wait, Item::Call(next))));
--- a/examples/measure/slopes.rs
+++ b/examples/measure/slopes.rs
@@ -1,5 +1,5 @@
-//! How cost, control traffic and state grow with teams, endpoints and routers: short runs of
-//! the real cores at several sizes, and a straight line laid through each series.
+//! Measures how cost, control traffic and state grow with teams, endpoints and routers: short
+//! runs of the real cores at several sizes, and a linear fit of each series.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -34,16 +34,17 @@
 const END_US: u64 = 6_000_000;
 /// Microseconds between two ticks of a core in the timed part.
 const TICK_US: u64 = 5_000;
-/// Slots of one engine of the measured catalogs.
+/// Slots of one engine in the measured catalogs.
 const ENGINE_SLOTS: usize = 16;
-/// Calls a second at one router: 70,000 over 1,300.
+/// Calls per second at one router: 70,000 calls per second over 1,300 routers.
 const CALLS_PER_ROUTER: f64 = 54.0;
 /// Teams in the published texts.
 const PUBLISHED_TEAMS: [usize; 4] = [16, 250, 1_000, 4_000];
-/// Ticks timed at each size. Few: without answers from peers a router begins to suspect them.
+/// Ticks timed at each size. Kept small because a router that gets no replies from its peers
+/// begins to suspect them.
 const TIMED_TICKS: u64 = 10;
 
-/// What is varied.
+/// Dimension of the fleet that a sweep varies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SweepAxis {
     Teams,
@@ -99,23 +100,23 @@
     }
 }
 
-/// One figure of one run.
+/// One measured value of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct SlopeFigure {
-    /// What is measured.
+    /// Name of the measure.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// The figure.
+    /// Measured value.
     pub value: f64,
 }
 
-/// A straight line through points.
+/// Least-squares line through a series of points.
 #[derive(Debug, Clone, Copy)]
 struct SlopeFit {
     slope: f64,
     intercept: f64,
-    /// Part of the variance that the line explains.
+    /// Fraction of the variance that the line explains.
     r2: f64,
 }
 
@@ -140,9 +141,9 @@
     }
 }
 
-/// Runs all series from a seed, prints them, and returns whether the bounds held.
+/// Runs all series with a seed, prints them, and returns whether all values are within bounds.
 pub fn run(seed: u64) -> bool {
-    let mut held = true;
+    let mut within_bounds = true;
     for axis in SweepAxis::ALL {
         let runs: Vec<(usize, Vec<SlopeFigure>)> = axis
             .sizes()
@@ -150,7 +151,7 @@
             .map(|size| (*size, figures(axis.fleet(*size), seed)))
             .collect();
         for place in 0..runs[0].1.len() {
-            held &= report(axis.name(), seed, &series(&runs, place));
+            within_bounds &= report(axis.name(), seed, &series(&runs, place));
         }
     }
     for (row, bytes) in state_bytes::row_sizes() {
@@ -161,7 +162,7 @@
         .map(|teams| (*teams, publication_figures(*teams)))
         .collect();
     for place in 0..runs[0].1.len() {
-        held &= report("published_teams", seed, &series(&runs, place));
+        within_bounds &= report("published_teams", seed, &series(&runs, place));
     }
     for message in ["allotment", "report", "gossip"] {
         let name = if message == "gossip" { "news" } else { "rows" };
@@ -174,16 +175,17 @@
             .iter()
             .map(|size| (*size, vec![message_bytes(message, *size)]))
             .collect();
-        held &= report(name, seed, &series(&runs, 0));
+        within_bounds &= report(name, seed, &series(&runs, 0));
     }
-    held
+    within_bounds
 }
 
 fn series(runs: &[(usize, Vec<SlopeFigure>)], place: usize) -> Vec<(usize, SlopeFigure)> {
     runs.iter().map(|(size, row)| (*size, row[place])).collect()
 }
 
-/// Prints a series and its line. A decision may grow no faster than the logarithm of the size.
+/// Prints a series and its fit. The cost of a decision may grow no faster than the logarithm of
+/// the size.
 #[allow(clippy::cast_precision_loss)]
 fn report(axis: &str, seed: u64, series: &[(usize, SlopeFigure)]) -> bool {
     let figure = series[0].1;
@@ -227,14 +229,15 @@
     })
 }
 
-/// A tenth of the teams is backlogged, with twice the engines' slots outstanding in all; the
-/// others make the size to design for's calls a second at each router, through the plain pool.
+/// Load of a sweep. A tenth of the teams is backlogged, with about twice the engines' slots
+/// outstanding in all; in addition all teams send the design load of `CALLS_PER_ROUTER` calls per
+/// second at each router through the plain pool.
 #[allow(clippy::cast_precision_loss)]
 fn slope_load(size: FleetSize) -> Vec<CallStream> {
     let backlogged = (size.teams / 10).max(2);
     let depth = (2 * ENGINE_SLOTS * size.engines / backlogged).max(4);
     let calls = CALLS_PER_ROUTER * size.routers as f64 / size.teams as f64;
-    let query: KindName = "query".parse().expect("a plain name");
+    let query: KindName = "query".parse().expect("a valid name");
     let stream = |team: usize| CallStream {
         team: TeamId::from(&scenarios::team_name(team)),
         kind: query.clone(),
@@ -271,9 +274,10 @@
     fleet.run(END_US);
     let owner = owner_of(&fleet, &scenarios::engine_pool());
     let other = owner_of(&fleet, &scenarios::plain_pool());
-    let entry = (0..size.routers).find(|seat| *seat != owner && *seat != other);
+    let entry =
+        (0..size.routers).find(|router_index| *router_index != owner && *router_index != other);
     let entry = entry.expect("more routers than pools");
-    let sizes = state_bytes::count(fleet.seats[owner].core.state());
+    let sizes = state_bytes::count(fleet.simulated_routers[owner].core.state());
     let figure = |name, unit, value| SlopeFigure { name, unit, value };
     vec![
         figure("event_cost", "us", fleet.tally.event_micros()),
@@ -302,29 +306,29 @@
 }
 
 fn owner_of(fleet: &CoreFleet, pool: &PoolName) -> usize {
-    let members = &fleet.seats[0].core.state().members;
+    let members = &fleet.simulated_routers[0].core.state().members;
     let host = members.owner_of(PoolId::from(pool));
-    let seat = fleet
-        .seats
+    let router_index = fleet
+        .simulated_routers
         .iter()
-        .position(|seat| Some(&seat.core.state().identity.host) == host);
-    seat.expect("a live router owns the pool")
+        .position(|router| Some(&router.core.state().identity.host) == host);
+    router_index.expect("a live router owns the pool")
 }
 
-/// Processor time of all cores together in a second of their time.
+/// CPU time of all cores together per second of simulated time, in microseconds.
 #[allow(clippy::cast_precision_loss)]
 fn fleet_cpu(fleet: &CoreFleet) -> f64 {
     fleet.tally.cost.as_secs_f64() * 1e12 / END_US as f64
 }
 
-/// Control bytes a second of the quietest router.
+/// Control bytes per second of the router that sent the fewest.
 #[allow(clippy::cast_precision_loss)]
 fn least_control(fleet: &CoreFleet) -> f64 {
     let least = fleet.tally.control.iter().min().copied().unwrap_or(0);
     least as f64 * 1e6 / END_US as f64
 }
 
-/// Median in microseconds; 0 of none.
+/// Returns the median in microseconds, or 0 without values.
 pub fn median(mut costs: Vec<Duration>) -> f64 {
     costs.sort_unstable();
     let middle = costs.get(costs.len() / 2).copied().unwrap_or_default();
@@ -337,20 +341,20 @@
     started.elapsed()
 }
 
-/// Median cost of an event of each attempt that runs at one router.
+/// Median cost in microseconds of handling one event for each running attempt of one router.
 fn attempt_cost(
     fleet: &mut CoreFleet,
-    seat: usize,
+    router_index: usize,
     event: impl Fn(RequestId, AttemptNumber) -> CoreEvent,
 ) -> f64 {
-    let life = fleet.seats[seat].life;
+    let life = fleet.simulated_routers[router_index].life;
     let runs: Vec<RequestId> = fleet
         .running
         .keys()
-        .filter(|key| (key.0, key.1) == (seat, life))
+        .filter(|key| (key.0, key.1) == (router_index, life))
         .map(|key| key.2)
         .collect();
-    let core = &mut fleet.seats[seat].core;
+    let core = &mut fleet.simulated_routers[router_index].core;
     let mut costs = Vec::new();
     for request in runs {
         let row = core.state().requests.get(request);
@@ -360,7 +364,7 @@
     median(costs)
 }
 
-/// The end of an attempt with the choice of what runs next.
+/// The end of an attempt; handling it includes choosing the next request to run.
 fn ended(request: RequestId, attempt: AttemptNumber) -> CoreEvent {
     CoreEvent::AttemptEnded {
         request,
@@ -370,7 +374,7 @@
     }
 }
 
-/// Service of an attempt that goes on.
+/// Progress of an attempt that continues.
 fn progressed(request: RequestId, attempt: AttemptNumber) -> CoreEvent {
     CoreEvent::Progress {
         request,
@@ -379,9 +383,9 @@
     }
 }
 
-/// Median cost of a tick at one router, `stride` ticks after the one before.
-fn tick_cost(fleet: &mut CoreFleet, seat: usize, stride: u64) -> f64 {
-    let core = &mut fleet.seats[seat].core;
+/// Median cost in microseconds of a tick at one router, with `stride` tick periods between ticks.
+fn tick_cost(fleet: &mut CoreFleet, router_index: usize, stride: u64) -> f64 {
+    let core = &mut fleet.simulated_routers[router_index].core;
     let from = core.state().now.0;
     let costs = (1..=TIMED_TICKS)
         .map(|step| timed(core, from + step * stride * TICK_US, CoreEvent::Tick))
--- a/examples/measure/tally.rs
+++ b/examples/measure/tally.rs
@@ -1,4 +1,5 @@
-//! What a run is judged by. The fleet and the naive version fill the same tally.
+//! Counters that the measures of a run are computed from. The fleet and the naive version fill
+//! the same tally.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,17 +15,17 @@
 
 /// Microseconds between samples of service and waiting.
 const SAMPLE_US: u64 = 250_000;
-/// Nothing before this moment counts for gap and utilisation, in microseconds.
+/// Length of the warm-up in microseconds; it is left out of fairness gap and utilisation.
 pub const WARM_UP_US: u64 = 2_000_000;
 
-/// One call's life.
+/// State of one call from arrival to end.
 #[derive(Debug, Clone, Default)]
-struct CallLife {
+struct CallRecord {
     arrived: u64,
     started: Option<u64>,
     executions: u32,
     endings: u32,
-    told_not_run: bool,
+    reported_not_run: bool,
     unrepeatable: bool,
     waiting: bool,
 }
@@ -32,17 +33,17 @@
 #[derive(Debug, Clone, Default)]
 struct TeamSamples {
     waiting: i64,
-    normal: f64,
+    service_per_share: f64,
     samples: Vec<(f64, bool)>,
 }
 
-/// Counts of one run.
+/// Counters of one run.
 #[derive(Debug, Default)]
 pub struct FleetTally {
     now: u64,
     shares: BTreeMap<TeamId, f64>,
     limits: BTreeMap<EndpointId, i64>,
-    homes: BTreeMap<EndpointId, PoolId>,
+    served_pools: BTreeMap<EndpointId, PoolId>,
     loads: BTreeMap<EndpointId, u32>,
     running: BTreeMap<EndpointId, i64>,
     waiting: BTreeMap<PoolId, i64>,
@@ -50,14 +51,14 @@
     idle: f64,
     capacity: f64,
     busy: f64,
-    calls: BTreeMap<u64, CallLife>,
+    calls: BTreeMap<u64, CallRecord>,
     teams: BTreeMap<(PoolId, TeamId), TeamSamples>,
     sampled: u64,
-    /// Control bytes sent, one a router.
+    /// Control bytes sent, by router.
     pub(super) control: Vec<u64>,
     late: u64,
     crashes: BTreeMap<EndpointId, u32>,
-    /// Processor time of all cores.
+    /// CPU time of all cores.
     pub(super) cost: Duration,
     events: u64,
     queued: BTreeMap<KindName, Vec<u64>>,
@@ -75,7 +76,7 @@
 }
 
 impl FleetTally {
-    /// An empty tally.
+    /// Creates an empty tally.
     pub fn new(catalog: &FleetCatalog, routers: usize) -> Self {
         let mut tally = Self {
             shares: share_map(catalog),
@@ -85,18 +86,18 @@
         for (endpoint, entry) in &catalog.endpoints {
             let slots = i64::from(entry.slots.0);
             tally.limits.insert(*endpoint, slots);
-            tally.homes.insert(*endpoint, entry.pools[0]);
+            tally.served_pools.insert(*endpoint, entry.pools[0]);
             *tally.free.entry(entry.pools[0]).or_default() += slots;
         }
         tally
     }
 
-    /// Shares changed.
+    /// Takes the teams' shares from a new catalog.
     pub fn shares_changed(&mut self, catalog: &FleetCatalog) {
         self.shares = share_map(catalog);
     }
 
-    /// Time passes: idle and used capacity is added up, service is sampled.
+    /// Advances the clock: adds up idle and used capacity and samples each team's service.
     #[allow(clippy::cast_precision_loss)]
     pub fn advance(&mut self, now: u64) {
         let span = (now - self.now) as f64;
@@ -113,16 +114,17 @@
         while self.sampled + SAMPLE_US <= now {
             self.sampled += SAMPLE_US;
             for team in self.teams.values_mut() {
-                team.samples.push((team.normal, team.waiting > 0));
+                team.samples
+                    .push((team.service_per_share, team.waiting > 0));
             }
         }
     }
 
-    /// A call came from its caller.
+    /// Records that a call came from its caller.
     pub fn arrived(&mut self, call: u64, spec: &CallSpec) {
-        let life = self.calls.entry(call).or_default();
-        life.arrived = self.now;
-        life.unrepeatable = spec.unrepeatable;
+        let record = self.calls.entry(call).or_default();
+        record.arrived = self.now;
+        record.unrepeatable = spec.unrepeatable;
         let team = self.teams.entry((spec.pool, spec.team)).or_default();
         if team.samples.is_empty() {
             let before = self.sampled.saturating_sub(WARM_UP_US) / SAMPLE_US;
@@ -130,18 +132,18 @@
         }
     }
 
-    /// True if a call came from its caller.
+    /// Returns true if a call came from its caller.
     pub fn has_arrived(&self, call: u64) -> bool {
         self.calls.contains_key(&call)
     }
 
-    /// A call waits for a slot, or no longer.
-    pub fn waits(&mut self, call: u64, spec: &CallSpec, waits: bool) {
-        let life = self.calls.entry(call).or_default();
-        if life.waiting == waits {
+    /// Records that a call waits for a slot, or no longer does.
+    pub fn set_waiting(&mut self, call: u64, spec: &CallSpec, waits: bool) {
+        let record = self.calls.entry(call).or_default();
+        if record.waiting == waits {
             return;
         }
-        life.waiting = waits;
+        record.waiting = waits;
         let change = if waits { 1 } else { -1 };
         *self.waiting.entry(spec.pool).or_default() += change;
         self.teams
@@ -156,58 +158,61 @@
         let before = (limit - *running).max(0);
         *running += change;
         let after = (limit - *running).max(0);
-        if let Some(pool) = self.homes.get(&endpoint) {
+        if let Some(pool) = self.served_pools.get(&endpoint) {
             *self.free.entry(*pool).or_default() += after - before;
         }
     }
 
-    /// The pool that an endpoint serves.
-    pub fn home_of(&self, endpoint: EndpointId) -> PoolId {
-        self.homes.get(&endpoint).copied().unwrap_or_default()
+    /// Returns the pool that an endpoint serves.
+    pub fn pool_served_by(&self, endpoint: EndpointId) -> PoolId {
+        self.served_pools
+            .get(&endpoint)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// An endpoint serves another pool from now on.
-    pub fn moves(&mut self, endpoint: EndpointId, pool: PoolId) {
+    /// Moves an endpoint to another pool and counts a model load.
+    pub fn record_model_load(&mut self, endpoint: EndpointId, pool: PoolId) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(0);
         let free = (limit - running).max(0);
-        if let Some(before) = self.homes.insert(endpoint, pool) {
+        if let Some(before) = self.served_pools.insert(endpoint, pool) {
             *self.free.entry(before).or_default() -= free;
         }
         *self.free.entry(pool).or_default() += free;
         *self.loads.entry(endpoint).or_default() += 1;
     }
 
-    /// Models that one endpoint loaded at most.
+    /// Greatest number of models that one endpoint loaded.
     pub fn most_loads(&self) -> u32 {
         self.loads.values().max().copied().unwrap_or(0)
     }
 
-    /// Models that all endpoints loaded.
+    /// Number of models that all endpoints loaded.
     pub fn all_loads(&self) -> u32 {
         self.loads.values().sum()
     }
 
-    /// An endpoint takes no more work, so its free slots are not idle.
-    pub fn closes(&mut self, endpoint: EndpointId) {
+    /// Closes an endpoint to new work; its free slots no longer count as idle.
+    pub fn close_endpoint(&mut self, endpoint: EndpointId) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.insert(endpoint, 0).unwrap_or(0);
-        if let Some(pool) = self.homes.get(&endpoint) {
+        if let Some(pool) = self.served_pools.get(&endpoint) {
             *self.free.entry(*pool).or_default() -= (limit - running).max(0);
         }
     }
 
-    /// An attempt starts on an endpoint.
-    pub fn starts(&mut self, call: u64, spec: &CallSpec, endpoint: EndpointId) {
-        self.waits(call, spec, false);
+    /// Records that an attempt starts on an endpoint.
+    pub fn record_start(&mut self, call: u64, spec: &CallSpec, endpoint: EndpointId) {
+        self.set_waiting(call, spec, false);
         self.move_running(endpoint, 1);
         self.attempts += 1;
         let now = self.now;
-        let life = self.calls.entry(call).or_default();
-        life.executions += 1;
-        if life.started.is_none() {
-            life.started = Some(now);
-            let waited = now - life.arrived;
+        let record = self.calls.entry(call).or_default();
+        record.executions += 1;
+        if record.started.is_none() {
+            record.started = Some(now);
+            let waited = now - record.arrived;
             self.queued
                 .entry(spec.kind.clone())
                 .or_default()
@@ -215,12 +220,12 @@
         }
     }
 
-    /// An attempt is over on an endpoint.
-    pub fn stops(&mut self, endpoint: EndpointId) {
+    /// Records that an attempt ended on an endpoint.
+    pub fn record_stop(&mut self, endpoint: EndpointId) {
         self.move_running(endpoint, -1);
     }
 
-    /// What runs on an endpoint within its limit, and what it holds back.
+    /// Returns the requests that run on an endpoint within its limit, and those queued above it.
     pub fn load_of(&self, endpoint: EndpointId) -> (u32, u32) {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(0);
@@ -229,49 +234,50 @@
         (whole(running - above), whole(above))
     }
 
-    /// Running over limit, in parts per hundred and at least 100.
-    pub fn crowding(&self, endpoint: EndpointId) -> u64 {
+    /// Running requests as a percentage of the endpoint's limit, at least 100.
+    pub fn load_percent(&self, endpoint: EndpointId) -> u64 {
         let running = self.running.get(&endpoint).copied().unwrap_or(0);
         let limit = self.limits.get(&endpoint).copied().unwrap_or(1).max(1);
         u64::try_from(running * 100 / limit).unwrap_or(0).max(100)
     }
 
-    /// Service was rendered.
+    /// Adds service units to the team of a call.
     #[allow(clippy::cast_precision_loss)]
-    pub fn serves(&mut self, spec: &CallSpec, units: u64) {
+    pub fn add_service(&mut self, spec: &CallSpec, units: u64) {
         let share = self.shares.get(&spec.team).copied().unwrap_or(1.0);
         let team = self.teams.entry((spec.pool, spec.team)).or_default();
-        team.normal += units as f64 / share;
+        team.service_per_share += units as f64 / share;
     }
 
-    /// The caller got its end of a call.
+    /// Records that the caller got the answer or refusal of a call.
     pub fn ended(&mut self, call: u64, spec: &CallSpec, outcome: RunOutcome, whole: bool) {
-        let life = self.calls.entry(call).or_default();
-        life.endings += 1;
-        life.told_not_run |= outcome == RunOutcome::NotRun;
-        self.waits(call, spec, false);
+        let record = self.calls.entry(call).or_default();
+        record.endings += 1;
+        record.reported_not_run |= outcome == RunOutcome::NotRun;
+        self.set_waiting(call, spec, false);
         self.whole += u64::from(whole);
         self.refused += u64::from(!whole && outcome == RunOutcome::NotRun);
         self.unknown += u64::from(!whole && outcome == RunOutcome::Unknown);
     }
 
-    /// A router sent so many bytes of control traffic.
+    /// Records `bytes` of control traffic sent by a router.
     pub fn control(&mut self, router: usize, bytes: u64) {
         self.control[router] += bytes;
     }
 
-    /// New work went to an endpoint this long after it was first said to leave.
+    /// Records that new work went to an endpoint `after` microseconds after it was first listed as
+    /// leaving.
     pub fn dispatched_to_leaving(&mut self, after: u64) {
         self.late = self.late.max(after);
     }
 
-    /// An endpoint crashed.
+    /// Records a crash of an endpoint.
     pub fn crashed(&mut self, endpoint: EndpointId) {
         *self.crashes.entry(endpoint).or_default() += 1;
     }
 
-    /// A core took this long for an event.
-    pub fn spent(&mut self, cost: Duration) {
+    /// Records the CPU time that a core took for one event.
+    pub fn record_event_cost(&mut self, cost: Duration) {
         self.cost += cost;
         self.events += 1;
     }
@@ -279,8 +285,8 @@
 
 #[allow(clippy::cast_precision_loss)]
 impl FleetTally {
-    /// Greatest difference of service over share between two teams over any interval in which
-    /// both had something waiting, in service units per share.
+    /// Greatest difference in service per share between two teams of a pool over any interval in
+    /// which both had requests waiting, in service units per share.
     pub fn fairness_gap(&self) -> f64 {
         let mut worst: f64 = 0.0;
         let rows: Vec<_> = self.teams.iter().collect();
@@ -294,30 +300,30 @@
         worst
     }
 
-    /// Part of the capacity that was free while a request that could use it waited.
+    /// Fraction of the capacity that was free while a request that could use it waited.
     pub fn utilisation_loss(&self) -> f64 {
         self.idle / self.capacity.max(1.0)
     }
 
-    /// Part of the capacity that was used.
+    /// Fraction of the capacity that was used.
     pub fn utilisation(&self) -> f64 {
         self.busy / self.capacity.max(1.0)
     }
 
-    /// Control bytes a second of the busiest router.
+    /// Control bytes per second of the router that sent the most.
     pub fn control_bytes_per_s(&self) -> f64 {
         let most = self.control.iter().max().copied().unwrap_or(0);
         most as f64 * 1e6 / self.now.max(1) as f64
     }
 
-    /// Longest wait for a first start, in seconds.
+    /// Longest wait from arrival to first attempt, in seconds.
     pub fn max_wait(&self) -> f64 {
         let longest = self.queued.values().flatten().max();
         longest.copied().unwrap_or(0) as f64 / 1e6
     }
 
-    /// Wait that 99 in 100 calls of one kind stay under, in seconds.
-    pub fn late_wait(&self, kind: &str) -> f64 {
+    /// 99th percentile of the wait for a first attempt of calls of one kind, in seconds.
+    pub fn wait_p99(&self, kind: &str) -> f64 {
         let rows = self.queued.iter().filter(|(row, _)| row.as_str() == kind);
         let mut waits: Vec<u64> = rows.flat_map(|(_, waits)| waits).copied().collect();
         waits.sort_unstable();
@@ -325,68 +331,74 @@
         waits.get(place).copied().unwrap_or(0) as f64 / 1e6
     }
 
-    /// Unrepeatable calls that ran more than once.
+    /// Number of unrepeatable calls that ran more than once.
     pub fn doubled(&self) -> usize {
         let calls = self.calls.values();
         calls
-            .filter(|life| life.unrepeatable && life.executions > 1)
+            .filter(|record| record.unrepeatable && record.executions > 1)
             .count()
     }
 
-    /// Calls that were told "not run" and had run.
+    /// Number of calls that were reported as not run although they had run.
     pub fn false_not_run(&self) -> usize {
         let calls = self.calls.values();
         calls
-            .filter(|life| life.told_not_run && life.executions > 0)
+            .filter(|record| record.reported_not_run && record.executions > 0)
             .count()
     }
 
-    /// Calls that got more than one end.
+    /// Number of calls that ended more than once.
     pub fn ended_twice(&self) -> usize {
-        self.calls.values().filter(|life| life.endings > 1).count()
+        self.calls
+            .values()
+            .filter(|record| record.endings > 1)
+            .count()
     }
 
-    /// Calls that got no end.
+    /// Number of calls that did not end.
     pub fn unended(&self) -> usize {
-        self.calls.values().filter(|life| life.endings == 0).count()
+        self.calls
+            .values()
+            .filter(|record| record.endings == 0)
+            .count()
     }
 
-    /// Part of ended calls whose caller was told "unknown".
+    /// Fraction of calls whose outcome was reported as unknown.
     pub fn unknown_share(&self) -> f64 {
         self.unknown as f64 / self.calls.len().max(1) as f64
     }
 
-    /// Attempts per call that was started.
+    /// Attempts per started call.
     pub fn amplification(&self) -> f64 {
         let started = self
             .calls
             .values()
-            .filter(|life| life.executions > 0)
+            .filter(|record| record.executions > 0)
             .count();
         self.attempts as f64 / started.max(1) as f64
     }
 
-    /// Longest time after which a leaving endpoint still got new work, in seconds.
+    /// Longest time after an endpoint started to leave at which it still got new work, in seconds.
     pub fn late_dispatch(&self) -> f64 {
         self.late as f64 / 1e6
     }
 
-    /// Crashes of endpoints.
+    /// Number of endpoint crashes.
     pub fn endpoints_crashed(&self) -> u32 {
         self.crashes.values().sum()
     }
 
-    /// Mean processor time of an event, in microseconds.
+    /// Mean CPU time per event, in microseconds.
     pub fn event_micros(&self) -> f64 {
         self.cost.as_secs_f64() * 1e6 / self.events.max(1) as f64
     }
 
-    /// Calls answered whole.
+    /// Number of calls answered in full.
     pub fn whole(&self) -> u64 {
         self.whole
     }
 
-    /// Calls refused without having run.
+    /// Number of calls refused without having run.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/examples/shared/plain.rs
+++ b/examples/shared/plain.rs
@@ -1,5 +1,5 @@
-//! The stand-in plain service: `.../echo` sends the body back, `.../bytes/N` sends N bytes, and
-//! every other path answers with the count of executions of its `standin-id`.
+//! The stand-in plain service: `.../echo` returns the request body, `.../bytes/N` returns N bytes,
+//! and every other path returns the number of executions of its `standin-id`.
 
 use std::io;
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 
 use super::endpoint::EndpointRole;
 use super::endpoint::EndpointShared;
-use super::endpoint::Misdeed;
+use super::endpoint::InjectedFault;
 use super::endpoint::SentBody;
-use super::endpoint::misdeed;
+use super::endpoint::injected_fault;
 use super::endpoint::status;
 use super::endpoint::text_of;
 
@@ -40,15 +40,17 @@
         return status(StatusCode::SERVICE_UNAVAILABLE, "closed");
     };
     let execution = shared.count_execution(request.headers());
-    match misdeed(request.headers(), execution) {
-        Misdeed::Crash => {
+    match injected_fault(request.headers(), execution) {
+        InjectedFault::Crash => {
             shared.crash();
             time::sleep(Duration::from_secs(1)).await;
         }
-        Misdeed::Slow(wait) => time::sleep(wait).await,
-        Misdeed::Cut(after) => return sized(&shared, u64::MAX / 2, Some(after)),
-        Misdeed::Short => return sized(&shared, CHUNK as u64, Some(10)),
-        Misdeed::Refuse => return status(StatusCode::SERVICE_UNAVAILABLE, "busy"),
+        InjectedFault::Slow(wait) => time::sleep(wait).await,
+        InjectedFault::Cut(after) => {
+            return fixed_length_response(&shared, u64::MAX / 2, Some(after));
+        }
+        InjectedFault::Short => return fixed_length_response(&shared, CHUNK as u64, Some(10)),
+        InjectedFault::Refuse => return status(StatusCode::SERVICE_UNAVAILABLE, "busy"),
         _ => {}
     }
     if work > Duration::ZERO {
@@ -62,15 +64,19 @@
         return Response::new(SentBody::Echo(request.into_body()));
     }
     if let Some((_, count)) = path.rsplit_once("/bytes/") {
-        return sized(&shared, count.parse().unwrap_or(0), None);
+        return fixed_length_response(&shared, count.parse().unwrap_or(0), None);
     }
     let answer = json!({"path": path, "execution": execution});
     let _ = request.into_body().collect().await;
     Response::new(SentBody::whole(answer.to_string()))
 }
 
-/// So many bytes, with a stated length; broken off after `cut` of them.
-fn sized(shared: &Arc<EndpointShared>, length: u64, cut: Option<u64>) -> Response<SentBody> {
+/// Builds an answer of `length` bytes with a content length, broken off after `cut` bytes.
+fn fixed_length_response(
+    shared: &Arc<EndpointShared>,
+    length: u64,
+    cut: Option<u64>,
+) -> Response<SentBody> {
     let (sender, receiver) = mpsc::channel(2);
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
