--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -1,5 +1,6 @@
-//! Accepts callers' connections in turn with serving calls. While the router is too late, requests
-//! that have arrived completely are refused without a task of their own.
+//! Accepts callers' connections in turn with serving calls. While the router must refuse all calls,
+//! because it lags or runs out of descriptors, requests that have arrived completely are refused
+//! without a task of their own.
 
 use std::io;
 use std::io::Read;
@@ -31,19 +32,20 @@
 /// Pause after a failed accept. Descriptors free up within that time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Connections accepted in one turn of the traffic thread. A connection that is not refused at once
-/// takes two further turns until its request is read, so this bounds how many wait in between.
+/// Connections accepted in one turn, that is, before the traffic thread runs its other tasks again.
+/// A connection that is not refused at once takes two further turns until its request is read, so
+/// this bounds how many wait in between.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// Size from which a request is not refused at once, in bytes; a usual head with a short body is
-/// below it. A longer request is read first: closing a connection with unread bytes resets it, and
+/// Requests of this size or more, in bytes, are read in the normal way before they are refused; a
+/// usual head with a short body is smaller. Closing a connection with unread bytes resets it, and
 /// the caller would lose the reply.
 const INLINE_REFUSAL_BYTES: usize = 8_192;
 
 /// Accepts callers until the router stops.
 ///
-/// Guards against a flood of new connections that are accepted faster than their requests are
-/// read: they would use up all descriptors, and callers would wait unserved until they time out.
+/// Guards against a flood of new connections: if they were accepted faster than their requests are
+/// read, they would use up all descriptors, and callers would wait unserved until they time out.
 pub async fn accept_callers<P: CallProtocol>(
     traffic: Rc<Traffic<P>>,
     listener: AsyncFd<TcpListener>,
@@ -99,8 +101,8 @@
 /// Refuses the request of a new connection if it has arrived completely. Returns whether it was
 /// refused.
 ///
-/// Such a refusal needs no task and no further turn. When callers arrive faster than the router can
-/// refuse them, they wait in the accept queue until they time out.
+/// Such a refusal needs no task and no further turn, so the router refuses more callers per second.
+/// Callers that arrive even faster wait in the accept queue until they time out.
 fn try_refuse<P: CallProtocol>(
     traffic: &Traffic<P>,
     mut stream: &TcpStream,
@@ -123,6 +125,7 @@
 
 /// Decodes the call if the bytes are exactly one complete request.
 fn whole_request<P: CallProtocol>(traffic: &Traffic<P>, arrived: &BytesMut) -> Option<CallFacts> {
+    // A full buffer may mean that more bytes are still unread.
     if arrived.len() == INLINE_REFUSAL_BYTES {
         return None;
     }
--- a/src/gateway/accept_queue.rs
+++ b/src/gateway/accept_queue.rs
@@ -3,8 +3,8 @@
 //! Load pattern: a balancer sends one small host more new connections than it has processor time to
 //! refuse. Accepting takes turns with serving calls, so that accepted requests are read soon and
 //! timers stay punctual; the excess waits in the listener's queue. A queue that empties now and
-//! then indicates a burst; a standing queue does not drain by itself, and every new connection
-//! waits behind it.
+//! then indicates a burst; a standing queue, that is, one that is never empty, does not drain by
+//! itself, and every new connection waits behind it.
 
 use std::time::Duration;
 
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,7 @@
 //! Makes one attempt at one endpoint: connects, sends the request and reads the head of the answer.
+//!
+//! The decision core hands out an [`AttemptTicket`] for each attempt that it has placed: it names
+//! the endpoint, carries the figures of the placement, and is handed back when the attempt ends.
 
 use std::io;
 use std::time::Duration;
@@ -51,11 +54,12 @@
 /// Why a request is known not to have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunCause {
-    /// No connection was made.
+    /// No connection was made, for example because connecting timed out.
     NotReached,
-    /// Nothing listens at the address.
+    /// The connection was refused: nothing listens at the address.
     Gone,
-    /// The endpoint left, or asked for a pause, while the connection was made.
+    /// The endpoint announced that it leaves or wants a pause while the connection was made, so the
+    /// request was not sent.
     Left,
     /// The endpoint refused the request.
     Refused,
@@ -65,6 +69,10 @@
 
 impl AttemptOutcome {
     /// What the decision core records about the endpoint for this outcome.
+    ///
+    /// A caller that left or a time limit that passed says nothing about the endpoint. Another
+    /// endpoint at the address means that the intended one was not reached. A broken attempt
+    /// carries the request's fingerprint, since the request may have crashed the endpoint.
     #[must_use]
     pub fn end(&self, fingerprint: RequestFingerprint) -> AttemptEnd {
         match self {
@@ -166,7 +174,8 @@
     pub head: ResponseHead,
     /// Decodes the body and finds its end.
     pub decoder: BodyDecoder,
-    /// Whether the endpoint proves that it made the answer.
+    /// Whether the endpoint proves that it made the answer, see
+    /// [`is_proven`](super::protocol::AnswerFacts::is_proven).
     pub is_proven: bool,
     /// How long the connection may be idle afterwards; `None` if it can't be reused.
     pub reuse: Option<Duration>,
@@ -199,7 +208,8 @@
 }
 
 /// Returns whether the endpoint still takes work. It is checked just before the request is sent,
-/// since the endpoint may have left or asked for a pause while the connection was made.
+/// since the endpoint may have announced that it leaves or wants a pause while the connection was
+/// made.
 fn still_takes_work<P: CallProtocol>(traffic: &Traffic<P>, ticket: &AttemptTicket) -> bool {
     let (shared, entry) = (&traffic.shared, &ticket.entry);
     let takes_work = shared
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -43,8 +43,9 @@
 use super::routes::RouteEntry;
 use super::routes::RouteTable;
 
-/// Unreachable endpoints after which a call is given up. An address that does not respond costs the
-/// connection timeout, so three of them use up most of an objective.
+/// Attempts that did not reach an endpoint, for any reason, after which a call is given up. An
+/// address that does not respond costs the connection timeout (`connect_timeout_ms`), so three of
+/// them use up most of the latency objective of a generation, about a second.
 const MAX_UNREACHED_ENDPOINTS: usize = 3;
 
 /// What happens to a caller's connection after a call.
@@ -262,6 +263,7 @@
         }
         AttemptOutcome::NotRun(NotRunCause::NotReached | NotRunCause::Gone | NotRunCause::Left) => {
             call.unreached += 1;
+            // Nothing was sent, so a further attempt takes no retry from the budget.
             if call.unreached < MAX_UNREACHED_ENDPOINTS {
                 return None;
             }
@@ -295,14 +297,17 @@
     answer.head.status >= 500 || (answer.head.is_success() && !answer.is_proven)
 }
 
-/// Returns whether callers take this status to mean that the request did not run. Without the
-/// endpoint's proof it must not be passed on for a request that may run at most once: the caller
-/// would send the request again.
+/// Returns whether callers take this status to mean that the request did not run. For a request
+/// that may run at most once, such a status is not passed on: the endpoint did not state that the
+/// request did not run, and the caller would send it again.
 fn implies_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
 /// Passes a complete answer on to the caller.
+///
+/// A stream's run is its execution at one endpoint; the next run continues the stream at another
+/// endpoint, after the last event that the caller has.
 async fn pass_answer<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
@@ -384,7 +389,7 @@
     send_own_reply(traffic, caller, call, reply, cause.label()).await
 }
 
-/// A 503 reply: the request did not run and may be retried after `wait_ms`.
+/// A 503 reply: the request did not run and may be retried after exactly `wait_ms`, without jitter.
 fn unavailable(wait_ms: u64) -> OwnReply {
     OwnReply::later(OwnStatus::Unavailable, Duration::from_millis(wait_ms))
 }
--- a/src/gateway/call_record.rs
+++ b/src/gateway/call_record.rs
@@ -19,12 +19,14 @@
     queued: f64,
     /// Prompt tokens that the endpoint did not have cached.
     uncached: f64,
-    /// Uncached prompt tokens that belong to parts shared with other requests.
+    /// Uncached prompt tokens that belong to parts shared with other requests, which the endpoint
+    /// therefore prefills although another endpoint may have done so before.
     reread: f64,
 }
 
 impl DecisionFacts {
-    /// Copies the figures by which an attempt was placed.
+    /// Copies the figures by which an attempt was placed. The ticket's queue includes the call
+    /// itself, which is subtracted.
     pub fn placed(&mut self, ticket: &AttemptTicket) {
         self.predicted_ms = ticket.first_ms;
         self.queued = ticket.queued - ticket.uncached;
@@ -89,7 +91,8 @@
     );
 }
 
-/// Returns whether a generation was refused or had no output within its objective.
+/// Returns whether a generation was refused, cut before its first output, or had no output within
+/// its objective. A caller that left without output before the objective had passed is not counted.
 fn missed_objective(call: &CallState, end: CallEnd) -> bool {
     let objective = Duration::from_millis(call.route.objective_ms);
     let waited = match (call.first_output, end) {
--- a/src/gateway/call_state.rs
+++ b/src/gateway/call_state.rs
@@ -81,7 +81,8 @@
         self.splitter.last_id().or(self.facts.last_event)
     }
 
-    /// Returns whether the request may run once more.
+    /// Returns whether the request may run once more, by the kind of its route and what the caller
+    /// already has.
     #[must_use]
     pub fn can_repeat(&self) -> bool {
         match self.route.repeats {
@@ -91,15 +92,15 @@
         }
     }
 
-    /// Returns whether the route allows the request to be sent to another endpoint.
+    /// Returns whether the request was sent less often than the route's `max_attempts` allows.
     #[must_use]
     pub fn has_attempts(&self) -> bool {
         self.sends < self.route.max_attempts.max(1)
     }
 
-    /// How long an endpoint may be silent before its first output. A hanging endpoint is given up
-    /// for another one only if the request may be repeated; otherwise the wait lasts until the
-    /// deadline.
+    /// How long an endpoint may be silent before its first output: the route's objective plus twice
+    /// the predicted time to the first output. A hanging endpoint is given up for another one only
+    /// if the request may be repeated; otherwise the wait lasts until the deadline.
     #[must_use]
     pub fn silence_limit(&self, ticket: &AttemptTicket) -> Duration {
         if !self.can_repeat() || !self.has_attempts() {
@@ -109,8 +110,8 @@
         Duration::from_millis(self.route.objective_ms) + predicted * 2
     }
 
-    /// When silence counts as an endpoint's failure: at `stall`, or at the deadline if the request
-    /// can't be continued at another endpoint.
+    /// When silence within an answer counts as the endpoint's failure: at `stall`, or at the
+    /// deadline if the request can't be sent to another endpoint.
     #[must_use]
     pub fn stall_at(&self, stall: Instant) -> Instant {
         if self.can_repeat() && self.has_attempts() {
--- a/src/gateway/config.rs
+++ b/src/gateway/config.rs
@@ -78,9 +78,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct GatewayConfig {
-    /// Retries per request that all routers together may send in the retry window.
+    /// Retries of a service that all routers together may send in the retry window, as a fraction
+    /// of its requests; `retry_slack` is added.
     pub retry_ratio: f64,
-    /// Additional retries that all routers together may send in the retry window.
+    /// Retries of a service that all routers together may send in the retry window in addition to
+    /// `retry_ratio` times its requests.
     pub retry_slack: f64,
     /// The retry window, in s.
     pub retry_window_s: f64,
@@ -89,22 +91,25 @@
     /// Prompt tokens that an engine is expected to prefill per ms while it also generates, until
     /// answers have provided a measurement.
     pub reading_tokens_per_ms: f64,
-    /// Time that a generation is expected to occupy an engine, in ms, until answers have provided a
-    /// measurement.
+    /// Initial estimate of the time for which a generation occupies an engine, in ms, used until
+    /// answers have provided a measurement.
     pub first_hold_ms: f64,
     /// Fraction of a route's objective up to which the predicted time to the first output is
     /// accepted.
     pub objective_part: f64,
-    /// The same for requests of teams beyond their shares.
+    /// Fraction of a route's objective up to which the predicted time to the first output is
+    /// accepted for requests of teams beyond their shares.
     pub over_share_part: f64,
-    /// Fraction of a route's objective that a long prompt may wait in addition to its own prefill
-    /// when it has a turn.
+    /// Fraction of a route's objective that a long prompt may wait in addition to its own prefill.
+    /// Applies while prompts of its size are served too seldom compared with the whole route.
     pub long_wait_part: f64,
     /// Shortest time after which a refused caller is asked to retry, in ms.
     pub retry_after_ms: u64,
-    /// The same when no endpoint takes work or no routes are known, in ms.
+    /// Shortest time after which a caller is asked to retry when no endpoint takes work or no
+    /// routes are known, in ms.
     pub no_endpoint_retry_ms: u64,
-    /// The same when only this router is full, in ms: another one can serve the call at once.
+    /// Time after which a caller is asked to retry when only this router is full, in ms: another
+    /// one can serve the call at once.
     pub elsewhere_retry_ms: u64,
     /// Time for which prompt parts sent to an endpoint are remembered, in ms.
     pub part_memory_ms: u64,
@@ -121,7 +126,8 @@
     pub overload_lag_ms: u64,
     /// Bytes of callers' bodies held in memory at the same time.
     pub body_memory_bytes: usize,
-    /// Largest response of a plain service, in bytes; it is forwarded once it is complete.
+    /// Largest response of a plain service (one without model engines), in bytes; it is forwarded
+    /// once it is complete.
     pub max_answer_bytes: usize,
     /// Time after an endpoint announced that it is leaving, or its registration ended, after which
     /// it must get no work, in ms.
@@ -131,7 +137,7 @@
     /// Longest time that a watch of the store is held open, in ms; shorter if the bounds require
     /// it.
     pub watch_ms: u64,
-    /// Time that a call to the store may take beyond a watch's wait, in ms.
+    /// Time limit for reading a section of the store, routes or endpoints, in ms.
     pub store_timeout_ms: u64,
     /// Pause before a failed call to the store is retried, in ms; up to as much again is added at
     /// random.
@@ -139,7 +145,8 @@
     /// Pause after changes of endpoints before the next watch, in ms, so that changes in quick
     /// succession are read in one call.
     pub endpoint_batch_ms: u64,
-    /// Time after the store's return during which endpoints missing from it are still used, in ms.
+    /// Time for which endpoints that are missing from the store after its outage are still used, in
+    /// ms, counted from the store's return.
     pub lapse_grace_ms: u64,
     /// Interval between two gossip messages to other routers, in ms.
     pub gossip_ms: u64,
--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -3,7 +3,13 @@
 //! Each router sends a message to every other several times a second, so message size determines
 //! the cost of gossip. Loads and demands are encoded as columns: a small number in a column takes a
 //! byte or two per row, whereas one message per row adds a tag per field. With 12 endpoints and 16
-//! teams a digest has 410 bytes.
+//! teams a digest has 410 bytes. A digest is one such message (not a hash).
+//!
+//! Endpoints appear under three identifiers: the process hash
+//! ([`EndpointProcess::hash`](super::routes::EndpointProcess::hash), 64 bits, of the key and the
+//! start time), the process number (the low 32 bits of the process hash), and the endpoint's number
+//! (the low 32 bits of [`EndpointKey::hash`](super::routes::EndpointKey::hash), the same for all
+//! its processes).
 
 use std::collections::BTreeMap;
 
@@ -16,28 +22,31 @@
 const PENDING_STEP: u32 = 64;
 
 /// Step in which teams' rates are encoded, in tokens per second, rounded to the nearest step. One
-/// step is one request of the mean size every 30 s, so a router's usual rates fit in a byte.
+/// step is one request of the mean size, which is 3,840 tokens, every 30 s, so a router's usual
+/// rates fit in a byte.
 const RATE_STEP: u32 = 128;
 
-/// Flag bit: the endpoint is silent to the sender.
+/// Flag bit of [`LoadEntry::silent`].
 const SILENT: u32 = 1;
-/// Flag bit: the sender recently received data from the endpoint.
+/// Flag bit of [`LoadEntry::heard`].
 const HEARD: u32 = 2;
 
 /// The load of one router at one endpoint, with its health observations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadEntry {
-    /// Number of the endpoint's process.
+    /// Process number of the endpoint.
     pub endpoint: u32,
     /// Requests in progress.
     pub active: u32,
     /// Prompt tokens that wait for prefill.
     pub pending_tokens: u32,
-    /// The sender's recent attempts at the endpoint, in hundredths.
+    /// The sender's recent attempts at the endpoint, in hundredths of an attempt: counts decay with
+    /// time, which makes them fractional.
     pub attempts: u32,
-    /// Failed attempts among them, in hundredths.
+    /// Failed attempts among them, in hundredths of an attempt.
     pub failures: u32,
-    /// True if the endpoint is silent to the sender.
+    /// True if the sender has waited for data from the endpoint for longer than a healthy one
+    /// takes.
     pub silent: bool,
     /// True if the sender recently received data from the endpoint.
     pub heard: bool,
@@ -186,7 +195,7 @@
     /// The endpoint's number.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
-    /// The number of the endpoint's process that crashed.
+    /// Process hash of the endpoint's process that crashed.
     #[prost(fixed64, tag = "2")]
     pub life: u64,
     /// Fingerprint of the request.
@@ -235,13 +244,13 @@
     /// endpoints are full.
     #[prost(uint32, tag = "12")]
     pub turned_away_per_s: u32,
-    /// Endpoints that recently left according to the sender's list, see
+    /// Process numbers of endpoints that recently left according to the sender's list, see
     /// [`super::decide::departures`].
     #[prost(fixed32, repeated, tag = "13")]
     pub left: Vec<u32>,
     /// Endpoints that announced in answers that they are leaving, whichever list the sender has;
-    /// see [`super::decide::notices`]. These are hashes of their processes; a process that is leaving
-    /// never becomes available again.
+    /// see [`super::decide::notices`]. These are process hashes; a process that is leaving never
+    /// becomes available again.
     #[prost(fixed64, repeated, tag = "14")]
     pub announced_leaving: Vec<u64>,
 }
--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -21,7 +21,8 @@
 use super::routes::EndpointEntry;
 use super::routes::EndpointKey;
 
-/// The content of the store's endpoint section at a revision.
+/// The content of the store's endpoint section at a revision, as
+/// [`EndpointView`](super::endpoint_view::EndpointView) passes it to an [`EndpointList`].
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RegisteredEndpoints {
     /// The registered endpoints.
@@ -62,7 +63,8 @@
     pub revision: u64,
 }
 
-/// The endpoints that a router uses.
+/// The endpoints that a router uses: the registered ones, read from the store or received from
+/// another router, and the kept ones.
 ///
 /// Guards against a store that loses registrations during its own outage: all entries lapse at once
 /// although the endpoints work, and are registered again within about two seconds of the store's
@@ -132,7 +134,7 @@
                     .or_insert(KeptEndpoint { entry, until });
             }
         }
-        // The entry was overwritten with something else, so it did not lapse.
+        // An unusable entry is still in the store, so the endpoint's registration did not lapse.
         self.kept.retain(|key, _| !unusable.contains(key));
         self.prune_kept(now);
         true
@@ -183,8 +185,9 @@
 
     /// Replaces the registered endpoints and returns those that are no longer registered.
     ///
-    /// Guards against a peer that took a late entry of an endpoint's former process for its current
-    /// one: an entry is never replaced by one with an earlier start.
+    /// Guards against an outdated entry from a peer. A late write of an endpoint's former process
+    /// may replace the current entry in the store; a peer that did not know the current process
+    /// accepts it. An entry is therefore never replaced by one with an earlier start.
     fn replace(
         &mut self,
         entries: BTreeMap<EndpointKey, EndpointEntry>,
--- a/src/gateway/endpoint_view.rs
+++ b/src/gateway/endpoint_view.rs
@@ -16,7 +16,9 @@
 /// can arrive late by as long as a store delays calls, a few seconds.
 const START_TIME_MEMORY: TimeSpan = TimeSpan::from_millis(30_000);
 
-/// The registered endpoints as read from the store.
+/// The registered endpoints as this router reads them from the store. Unlike
+/// [`EndpointList`](super::endpoint_list::EndpointList), it has no kept endpoints, and it remembers
+/// the start times of removed ones.
 #[derive(Debug, Default)]
 pub struct EndpointView {
     registered: BTreeMap<EndpointKey, EndpointEntry>,
@@ -67,8 +69,9 @@
         self.unusable.insert(key.clone());
     }
 
-    /// Replaces the known registrations by the endpoints in force. While this router could not read
-    /// the store, other routers sent it newer lists than what it last read itself.
+    /// Replaces the known registrations by the registered endpoints of the list in force. While
+    /// this router could not read the store, other routers may have sent it newer lists than what
+    /// it last read itself.
     pub fn rebase(&mut self, in_force: BTreeMap<EndpointKey, EndpointEntry>) {
         self.registered = in_force;
         self.unusable.clear();
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -94,7 +94,8 @@
 /// The reason why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreFault {
-    /// The store has compacted the changes after the requested revision.
+    /// The store has compacted the changes after the requested revision. This is not an outage: the
+    /// section is read again at once.
     Compacted,
     /// The store was not reached, refused the call, or returned an invalid answer.
     Unavailable(String),
@@ -132,12 +133,12 @@
     ) -> impl Future<Output = Result<StateChanges, StoreFault>> + Send;
 }
 
-/// Time after a watch's own wait at which its connection counts as dead. A store that is fifty
+/// Time after a watch's own wait at which its connection counts as dead. Even a store that is fifty
 /// times slower than usual answers within 0.2 s.
 pub const WATCH_SLACK: Duration = Duration::from_millis(500);
 
-/// Longest pause between retries of a failed call, as a multiple of the first pause. Calls to a
-/// store that is down cost as much as any other.
+/// Longest pause between retries of a failed call, as a multiple of the first pause. Calls are
+/// billed and count towards the store's rate limit also while the store is down.
 const MAX_PAUSE_FACTOR: u32 = 5;
 
 /// The state of following one section.
@@ -250,6 +251,7 @@
         }
     }
 
+    /// Applies the changes of a watch. A change of routes does not publish the endpoints anew.
     fn apply(&mut self, changes: StateChanges, as_of: StoreRevision) {
         let now = self.shared.clock.now();
         let mut is_new = false;
@@ -313,11 +315,13 @@
 
     /// Returns true if only this router lost the store: other routers were in contact with it all
     /// the time, so no registration lapsed because of an outage. A router that regained contact
-    /// just before this one does not count as evidence.
+    /// just before this one does not count as evidence, see [`SharedState::peers_kept_contact`].
     fn failed_alone(&self, since: Moment) -> bool {
         self.shared.peers_kept_contact(since)
     }
 
+    /// Records a failed call and pauses before the next one. Always returns `None`, so that
+    /// [`Self::read`] can return it.
     async fn failed(&mut self, step: &str, fault: &StoreFault) -> Option<StoreRevision> {
         let section = self.section;
         self.shared.set_in_touch(section, false);
--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -1,5 +1,5 @@
-//! Upper bound on the time until a published change is in force, and the time that it leaves for
-//! each wait.
+//! Upper bound on the time from the publication of a change until it is in force at all routers.
+//! The bound is the operator's; this module derives from it how long a watch of the store may wait.
 //!
 //! Load pattern: a change is published just after all routers that read the store lost their
 //! connections to it without an error. The store works and the other routers can reach it, so the
@@ -20,8 +20,8 @@
 /// Time to connect to the store and read it.
 const READING_TIME: Duration = Duration::from_millis(100);
 
-/// Time from the decision that places a call until its request reaches the endpoint: network
-/// latency, and a host that lags by half of what counts as overload.
+/// Time from the decision that places a call until its request reaches the endpoint: a host that
+/// lags by half of what counts as overload (30 ms by default), and the rest for network latency.
 const SENDING_TIME: Duration = Duration::from_millis(100);
 
 /// Shortest wait of a watch. Below it the store would be polled in effect, so a smaller bound is
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -37,7 +37,8 @@
 /// Interval between two sweeps of the idle connections to endpoints.
 const SWEEP_PAUSE: Duration = Duration::from_secs(1);
 
-/// State that all tasks of the traffic thread share.
+/// State that all tasks of the traffic thread share. That thread serves callers; the control thread
+/// does all other work.
 #[derive(Debug)]
 pub struct Traffic<P> {
     /// State shared with the control thread.
@@ -83,9 +84,10 @@
     _memory: Option<MemoryGuard>,
 }
 
-/// Why no request was read.
+/// Why no request was read. In both cases the connection is closed.
 enum ReadEnd {
-    /// The connection ended or is to be closed; no reply is due.
+    /// The connection ended, was idle for too long, or is idle while descriptors are scarce or the
+    /// router shuts down; no reply is sent.
     NoReply,
     /// The router replies and closes the connection; the second value is the logged cause.
     Reply(OwnReply, &'static str),
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -40,23 +40,30 @@
 /// each router sends to a part of the others, so that its cost stays constant.
 const MESSAGES_PER_ROUND: usize = 10;
 
-/// Messages per round in a larger fleet: of a router with few calls at endpoints, of an average
-/// one, and of the busiest. Callers spread unevenly: six of ninety routers had four fifths of all
-/// calls, and the load that the others report changes little. Reading a message costs the smallest
-/// hosts 0.15 ms; a hundred per second took a seventh of their processor time.
+/// Messages per round of a router with few calls at endpoints, in a larger fleet. Callers spread
+/// unevenly: six of ninety routers had four fifths of all calls. The load that the other routers
+/// report changes little, so that they need to report it less often.
 const MIN_MESSAGES: usize = 3;
+
+/// Messages per round of a router with an average number of calls, in a larger fleet. Reading a
+/// message costs the smallest hosts 0.15 ms; a hundred per second took a seventh of their processor
+/// time.
 const AVERAGE_MESSAGES: usize = 5;
+
+/// Messages per round of the busiest routers, in a larger fleet.
 const MAX_MESSAGES: usize = 20;
 
-/// Rounds after a start in which a router sends to more of the others, and messages in each of
-/// these rounds. The routers of a fleet that starts at once don't know its load; until they have
-/// exchanged messages, all of them send to the endpoints that seem idle. Forty messages per round
-/// cost a host of 0.12 cores a tenth of its time for a second and a half.
+/// Rounds after a start in which a router sends to more of the others. The routers of a fleet that
+/// starts at once don't know its load; until they have exchanged messages, all of them send calls
+/// to the endpoints that seem idle.
 const STARTUP_ROUNDS: u64 = 15;
+
+/// Messages in each of the first `STARTUP_ROUNDS` rounds. Forty cost a host of 0.12 cores a tenth
+/// of its time for a second and a half.
 const STARTUP_MESSAGES: usize = 40;
 
-/// Fraction of the host's link that gossip may use. At 10 Mbit/s, twenty messages per round took a
-/// quarter of a small host's link while a flood of calls filled the rest.
+/// Fraction of the host's link that gossip may use. Without a limit, twenty messages per round took
+/// a quarter of a small host's link of 10 Mbit/s while a flood of calls filled the rest.
 const GOSSIP_LINK_FRACTION: f64 = 0.03;
 
 /// Bytes of the IP and UDP headers of a datagram.
@@ -77,15 +84,16 @@
 const MAX_ADDRESSES: usize = 8;
 
 /// Longest random delay, in ms, of the first read of the store, which spreads the reads of a fleet
-/// that starts at once: two gossip rounds, in which the first readers report that they read.
+/// that starts at once. At the default interval it covers two whole gossip rounds, in which the
+/// first readers report that they read.
 const START_JITTER_MS: u64 = 250;
 
-/// Time for which a router in contact with the store may lag behind another one before it fetches
-/// that one's state. Readers normally differ by less; a longer lag means that a watch's connection
-/// is dead, which otherwise shows only by its timeout.
+/// Time for which a router in contact with the store may have an older state than another router
+/// before it fetches that one's state. Readers normally differ by less; a longer lag means that a
+/// watch's connection is dead, which otherwise shows only by its timeout.
 const READER_LAG: TimeSpan = TimeSpan::from_millis(600);
 
-/// Addresses for gossip and the incarnation of this router.
+/// Addresses for gossip and the incarnation of this router, a number that is drawn at each start.
 #[derive(Debug, Clone)]
 pub struct GossipPlan {
     /// The address of this router's gossip socket; all routers use the same port.
@@ -150,8 +158,13 @@
 }
 
 impl Gossip {
+    /// Returns the silence after which another router counts as gone.
+    ///
+    /// In a larger fleet each router is heard less often, so the timeout grows with the number of
+    /// peers. A router that sends the fewest messages reaches each peer once in a third as many
+    /// rounds as there are peers; with the default settings the timeout covers at least four such
+    /// intervals, unless the link limits the messages further.
     fn timeout(&self) -> TimeSpan {
-        // In a larger fleet each router is heard less often, so the timeout must be longer.
         let rounds = self.peers.heard.len().div_ceil(MESSAGES_PER_ROUND).max(1) as u64;
         TimeSpan::from_millis(self.shared.config.peer_timeout_ms * rounds)
     }
@@ -309,9 +322,9 @@
     }
 
     /// Returns true if this router has read a change from the store that the others don't know yet,
-    /// or has lost the store. Both are sent to all routers in the same round: a change must be in
-    /// force everywhere within seconds, and the others don't try to read the store while they
-    /// assume that this router does.
+    /// or has lost the store, since the last call. Records the state as sent. Both are sent to all
+    /// routers in the same round: a change must be in force everywhere within seconds, and the
+    /// others don't try to read the store while they assume that this router does.
     fn has_updates(&mut self) -> bool {
         let in_touch = self.shared.is_in_touch();
         let versions = self.versions();
@@ -348,7 +361,7 @@
     }
 
     /// Returns addresses that may belong to routers but don't respond: seeds, addresses from
-    /// digests, and routers that fell silent.
+    /// digests, and routers that fell silent. Their number is limited.
     fn silent(&self, live: &[IpAddr]) -> Vec<IpAddr> {
         let seeds = self.plan.seeds.iter().filter_map(|seed| seed_ip(seed));
         let unheard_addresses = self.peers.unheard_addresses.iter().copied();
@@ -362,7 +375,7 @@
     }
 
     /// Fetches the state of a peer that has a newer one. A router in contact with the store first
-    /// waits for the change to arrive from there.
+    /// waits for `READER_LAG`, since the change should reach it from the store.
     fn fetch_if_behind(&mut self, now: Moment) {
         if self.shared.is_fetching() {
             return;
@@ -406,7 +419,7 @@
 }
 
 /// Returns this router's entry for one endpoint, or nothing if there is nothing to report. A router
-/// that doesn't trust its own links reports its load only.
+/// whose own lag or links distort its health observations reports its load only.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn load_entry(row: &EndpointRow, now: Moment, trusts_own_links: bool) -> Option<LoadEntry> {
     let load = LoadEntry {
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -1,4 +1,5 @@
-//! Transfers the published state between routers, for those that can't reach the store.
+//! Handover: transfer of the published state, routes and endpoints, from a router that has a newer
+//! version to one that does not read the store or can't reach it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +26,8 @@
 /// loaded peer.
 const EXCHANGE_LIMIT: Duration = Duration::from_millis(800);
 
-/// Largest state, in bytes: the store's limit for one value, and as much again for endpoints.
+/// Largest state, in bytes: the store's limit for one value, which holds the routes, and as much
+/// again for the endpoints.
 const MAX_STATE_BYTES: usize = 2_097_152;
 
 /// Most exchanges that a router serves concurrently.
--- a/src/gateway/http/connection.rs
+++ b/src/gateway/http/connection.rs
@@ -97,10 +97,11 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Writes all of `bytes` and keeps reading meanwhile, to notice early if the peer leaves.
+    /// Writes all of `bytes`. If they don't fit the socket's buffer at once, keeps reading while it
+    /// waits, to notice early if the peer leaves.
     ///
     /// # Errors
-    /// If the connection broke or the peer closed its side.
+    /// If the connection broke, or the peer closed its side while the write waited.
     pub async fn send_while_reading(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.count_sent(bytes.len());
         // Almost every write fits the socket's buffer, so that nothing has to be read meanwhile.
@@ -140,8 +141,8 @@
     /// Returns whether the peer has closed its side, as far as this host knows.
     ///
     /// Peeks at the socket directly: the runtime notices a close only at its next poll, and a
-    /// lagging router, where most callers leave, polls late. A close behind unread bytes is not
-    /// seen until they are read.
+    /// lagging router, where most callers leave, polls late. If the peer sent bytes before it
+    /// closed its side, the close is not seen until these bytes are read.
     #[must_use]
     pub fn peer_has_closed(&self) -> bool {
         let mut ahead = [MaybeUninit::uninit(); 1];
--- a/src/gateway/http/events.rs
+++ b/src/gateway/http/events.rs
@@ -5,8 +5,8 @@
 
 /// Collects a stream's bytes and returns whole events.
 ///
-/// Guards against an endpoint that fails inside an event: the caller would get half an event, and a
-/// resumed run would send the event again from its start.
+/// Guards against an endpoint that fails inside an event: the caller would get half an event, and
+/// the endpoint that resumes the stream would send the event again from its start.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -45,10 +45,12 @@
         &mut self.pending
     }
 
-    /// Takes all whole events that are newer than the last one; empty if there are none.
+    /// Takes all whole events whose ids are greater than that of the last one, and all without an
+    /// id; empty if there are none.
     ///
-    /// A resumed run may begin with events that were already delivered. They are dropped, since a
-    /// caller must not get an event twice.
+    /// An endpoint that resumes a stream may begin with events that were already delivered. They
+    /// are dropped, since a caller must not get an event twice. Events without an id can't be
+    /// recognised and are always taken.
     pub fn take(&mut self) -> Bytes {
         let mut taken = BytesMut::new();
         while let Some(end) = event_end(&self.pending) {
--- a/src/gateway/http/framing.rs
+++ b/src/gateway/http/framing.rs
@@ -28,7 +28,7 @@
 /// Why a body's framing is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingFault {
-    /// The length is stated twice or can't be parsed.
+    /// The length is stated twice or can't be parsed, or the transfer coding is not just `chunked`.
     Ambiguous,
     /// A malformed chunk.
     BadChunk,
@@ -142,7 +142,8 @@
         matches!(self.state, DecoderState::Complete)
     }
 
-    /// Notes the orderly close of the connection. Returns whether the body is complete.
+    /// Records that the peer closed the connection in an orderly way, which ends a body of
+    /// [`BodyFraming::UntilClose`]. Returns whether the body is complete.
     pub fn end_of_stream(&mut self) -> bool {
         if matches!(self.state, DecoderState::UntilClose) {
             self.state = DecoderState::Complete;
--- a/src/gateway/http/head.rs
+++ b/src/gateway/http/head.rs
@@ -34,7 +34,8 @@
 /// Why a head is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeadFault {
-    /// Not HTTP/1.1, or a form that parsers read differently (bare line feeds, folded lines).
+    /// Not HTTP/1.1 (or, in answers, 1.0), more than `MAX_FIELDS` fields, or a form that parsers
+    /// read differently (bare line feeds, folded lines).
     Malformed,
     /// The head is longer than allowed.
     TooLarge,
--- a/src/gateway/late.rs
+++ b/src/gateway/late.rs
@@ -1,7 +1,9 @@
-//! Refusal of calls that arrive while this router is too late.
+//! Refusal of calls that arrive while this router must refuse all calls: it lags too much, or
+//! almost all its descriptors are in use.
 //!
 //! Load pattern: a team sends many times its usual load through one small host, which falls behind
-//! for seconds and refuses all calls. The team's account counts the refused calls all the same.
+//! for seconds and refuses all calls. The refused calls are still counted in the team's account,
+//! the decision core's counts of each team's demand for the logs.
 
 use std::time::Duration;
 
@@ -11,12 +13,12 @@
 use super::reply::OwnReply;
 use super::reply::OwnStatus;
 
-/// Cause of the refusal in logs and metrics.
+/// Cause of the refusal in logs and metrics; it covers both lag and lack of descriptors.
 pub const ROUTER_FULL: &str = "router is full";
 
-/// Counts a call that this router is too late for in its team's account, and returns the refusal.
+/// Counts a call that this router must refuse in its team's account, and returns the refusal.
 ///
-/// Without the count the team would seem, by the logs, to ask for nothing while its router is late.
+/// Without the count the logs would show no demand of the team while its router refuses all calls.
 pub fn refusal_when_late<P: CallProtocol>(traffic: &Traffic<P>, facts: &CallFacts) -> OwnReply {
     let shared = &traffic.shared;
     let table = shared.routes();
--- a/src/gateway/link.rs
+++ b/src/gateway/link.rs
@@ -16,13 +16,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Overhead of packet headers, in percent of the payload: 40 bytes for each packet of 1,448, and
-/// acknowledgements in the other direction.
+/// Overhead of packets, in percent of the payload: headers of 40 bytes for each 1,448 bytes of
+/// payload, and the acknowledgements of what the other direction carries.
 const HEADER_PERCENT: u64 = 5;
 
-/// Weight of a new sample in the moving average. After a step, three samples of a tenth of a second
-/// cover two thirds of it, so that a single burst, which network buffers absorb anyway, does not
-/// count as a full link.
+/// Weight of a new sample in the moving average. After a sudden change of the load, three samples
+/// at intervals of a tenth of a second move the average by two thirds of the change. A single
+/// burst, which network buffers absorb anyway, therefore does not count as a full link.
 const LINK_SAMPLE_WEIGHT: f64 = 0.3;
 
 /// Speed of a link, in Mbit/s.
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -24,7 +24,7 @@
 /// Descriptors reserved for files, listeners, peers and the store, out of the process's limit.
 const OTHER_DESCRIPTORS: usize = 300;
 
-/// Divisor of the descriptor limit that gives the most idle connections to endpoints.
+/// The pool may hold one idle connection to an endpoint for every eight descriptors of the limit.
 pub const IDLE_DIVISOR: usize = 8;
 
 /// Use of descriptors, of the link or of the allowed lag above which the router is overloaded, in
@@ -43,13 +43,14 @@
 /// callers send their next request sooner.
 const SCARCE_IDLE: Duration = Duration::from_millis(500);
 
-/// Lag above which calls of teams over their share are refused without placing them, in ms. These
-/// calls cause most of a router's lag, and each placement costs processor time.
+/// Momentary lag above which calls of teams over their share are refused without placing them, in
+/// ms. These calls cause most of a router's lag, and each placement costs processor time.
 const OVER_SHARE_LAG_MS: f64 = 60.0;
 
-/// Lag above which all calls are refused, in ms. A lagging router also notices late that a caller
-/// has left, and endpoints keep working in vain; a refusal sends the caller to another router at
-/// once. A fraction of the half second within which such work has to end.
+/// Momentary lag above which all calls are refused, in ms. A lagging router also notices late that
+/// a caller has left, and endpoints keep working in vain; a refusal sends the caller to another
+/// router at once. An endpoint's work for a caller that has left has to end within half a second;
+/// the lag may use up only a fraction of that.
 const REFUSE_ALL_LAG_MS: f64 = 150.0;
 
 /// Cap on the lag counted for a standing accept queue, in ms. The queue may stand for seconds while
@@ -58,8 +59,8 @@
 const MAX_STANDING_MS: f64 = 2.0 * REFUSE_ALL_LAG_MS;
 
 /// Use of the link above which this router's measurements of endpoints are distorted by its own
-/// delay, in percent. If calls arrive in bursts, a half-full link already builds up a queue as long
-/// as the prefill of a prompt.
+/// delay, in percent. If calls arrive in bursts, a link that is half full on average already delays
+/// packets by as much time as the prefill of a prompt takes.
 const DISTURBED_LINK_PERCENT: usize = 50;
 
 /// Lag above which this router's measurements of endpoints are distorted by its own delay, in ms: a
@@ -115,7 +116,8 @@
     }
 }
 
-/// Open connections of callers and the lag of the traffic thread.
+/// Load that callers put on the router: their open connections, and the momentary lag of the
+/// traffic thread.
 #[derive(Debug, Default)]
 pub struct CallerTable {
     count: Cell<usize>,
@@ -138,8 +140,8 @@
         LagLevel::of(self.late_ms(now))
     }
 
-    /// The router's lag, in ms: the delay of timers or of accepting connections, whichever is
-    /// larger.
+    /// The router's momentary lag, in ms: the delay of timers or of accepting connections,
+    /// whichever is larger. Refusals go by this value; overload goes by its moving average.
     fn late_ms(&self, now: Instant) -> f64 {
         let standing_ms = self.queue.get().standing(now).as_secs_f64() * 1e3;
         self.timer_delay_ms
@@ -165,8 +167,8 @@
         self.count.get()
     }
 
-    /// Resolves when descriptors are scarce and a connection that is idle since `since` is to be
-    /// closed.
+    /// Resolves when a connection that has been idle since `since` is to be closed because
+    /// descriptors are scarce.
     pub async fn idle_too_long(&self, since: Instant) {
         loop {
             self.scarce.notified().await;
@@ -261,7 +263,8 @@
 }
 
 /// Returns whether the router is overloaded and should get fewer callers. `percent` is the use of
-/// descriptors or of the link, and `max_lag_ms` the lag that counts as 100 percent.
+/// descriptors or of the link, `lag_ms` the moving average of the lag, and `max_lag_ms` the lag
+/// that counts as 100 percent.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn is_overloaded(percent: usize, lag_ms: f64, max_lag_ms: u64, was_overloaded: bool) -> bool {
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -91,8 +91,8 @@
         self.call_seconds.record(total.as_secs_f64(), &[route]);
     }
 
-    /// Counts the tokens that a generation counts against its team's share. The library limits the
-    /// number of teams with a series of their own.
+    /// Adds a generation's tokens, as they count against its team's share, to the team's series.
+    /// The metrics library limits how many teams have a series of their own.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn team_tokens(&self, team: &str, standing: &'static str, was_sent: bool, tokens: f64) {
         let team = KeyValue::new("team", team.to_owned());
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,9 +1,13 @@
 //! A router for fleets in which every router decides on its own.
 //!
-//! In the other mode of this product the slots of a pool are granted by one owner. A gateway has no
-//! owner: any number of its peers may vanish at any moment, its latency objectives are a tenth of
-//! the time that a change of owner takes, and endpoints themselves refuse work that they can't
-//! take. See `docs/design/platform-adapter.md`.
+//! The other mode of this product is the daemon (`crate::daemon`): there one router, the owner of a
+//! pool of endpoints, grants the pool's slots (requests that endpoints run at the same time) to all
+//! routers. A gateway has no owner: any number of its peers may vanish at any moment, its latency
+//! objectives are a tenth of the time that a change of owner takes, and endpoints themselves refuse
+//! work that they can't take. See `docs/design/platform-adapter.md`.
+//!
+//! Two threads run a gateway: the traffic thread serves callers, the control thread does all else
+//! (store, gossip, readiness, metrics). They share [`shared::SharedState`].
 //!
 //! [`process`] starts it; a call goes through [`front`], [`call`], [`attempt`] and [`relay`];
 //! decisions are made in [`decide`]. The headers and the store of a deployment are abstracted by
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -18,8 +18,9 @@
 use super::readers::ElectionInput;
 use super::shared::StoreContact;
 
-/// Time for which a silent router still counts as a participant in the shared retry budget. The
-/// budget must also hold while routers can't reach each other.
+/// Time for which a silent router still counts as a participant in the shared retry budget. While
+/// routers can't reach each other, all of them still send retries, so each must go on using only
+/// its part of the budget.
 const BUDGET_MEMORY: TimeSpan = TimeSpan::from_millis(30_000);
 
 /// Most addresses that are known from digests only: three fleets of the largest intended size. A
@@ -41,10 +42,10 @@
     /// Returns the weight of this router in a sum over the routers that were recently heard; zero
     /// if it was not.
     ///
-    /// In a large fleet the messages from one router are seconds apart. A sum over the last
-    /// messages of all routers would be that old. The sum over the recent messages alone, each
-    /// multiplied by the interval between its sender's messages, is right on average and as recent
-    /// as those messages.
+    /// In a large fleet the messages from one router are seconds apart, and so a sum over the last
+    /// messages of all routers would be seconds old. The sum therefore covers only routers whose
+    /// last message is younger than `RECENT_WINDOW`, each with the weight max(1, interval between
+    /// its messages / `RECENT_WINDOW`). It is right on average and no older than the window.
     #[allow(clippy::cast_precision_loss)]
     fn recency_weight(&self, now: Moment) -> f64 {
         if now.since(self.heard) >= RECENT_WINDOW {
@@ -167,7 +168,8 @@
             .filter(move |(_, row)| !row.digest.leaving && now.since(row.heard) < timeout)
     }
 
-    /// Returns the sums of the live routers' loads by endpoint.
+    /// Returns the sums of the other routers' loads by the process number of the endpoint. They
+    /// cover the routers heard within the timeout, also those that are shutting down.
     #[must_use]
     pub fn loads(&self) -> &BTreeMap<u32, PeerLoad> {
         &self.loads
@@ -252,8 +254,9 @@
         taken
     }
 
-    /// Returns this router's position among the live routers in the election of the store's
-    /// readers.
+    /// Returns this router's input to the election of the store's readers: its own contact with the
+    /// store, that of the live routers, and how many of them come before it. All routers share the
+    /// same order, that of the hashes of their IP addresses.
     #[must_use]
     pub fn election_input(
         &self,
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -54,7 +54,7 @@
         self.count.get()
     }
 
-    /// Takes a clean idle connection to an endpoint, if there is one.
+    /// Takes a usable idle connection to an endpoint, if there is one.
     ///
     /// Guards against delivering the answer of another request: a connection that was closed or
     /// has bytes to read is dropped.
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Drops expired connections and all connections to endpoints that are not `known`.
+    /// Drops expired connections and all connections to endpoint processes for which `known`
+    /// returns false.
     pub fn sweep(&self, known: impl Fn(&EndpointProcess) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -55,8 +55,8 @@
 /// Interval at which the drain checks whether the last call has ended.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// Length of the accept queue: the connections that the smallest host refuses in half a second. A
-/// client that finds the queue full retries after a second or gives up.
+/// Length of the accept queue: as many connections as the smallest host can refuse in half a
+/// second. The system of a client that finds the queue full retries after a second or gives up.
 const LISTEN_BACKLOG: i32 = 2_048;
 
 /// An error that keeps the gateway from starting.
@@ -183,8 +183,8 @@
     ended.change_context(GatewayError::at("control"))
 }
 
-/// Logs the longest time until a change is in force, with a warning if it exceeds the operator's
-/// bound.
+/// Logs the longest time until a published change is in force at all routers (`news_ms`), with a
+/// warning if it exceeds the operator's bound.
 fn log_freshness(config: &GatewayConfig) {
     let bound = freshness::bound(config).as_millis();
     let news = freshness::max_propagation_time(config).as_millis();
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -28,7 +28,8 @@
     pub prompt_tokens: u32,
     /// Maximum number of tokens to generate.
     pub output_limit: u32,
-    /// The caller's estimate of the tokens to generate; accurate only at the median.
+    /// The caller's estimate of the tokens to generate. It is accurate only at the median: about
+    /// half of the requests generate more.
     pub output_hint: Option<u32>,
     /// The prompt's parts in order; the last one belongs to this request or its session.
     pub parts: Vec<PromptPart>,
@@ -43,7 +44,8 @@
     }
 
     /// Tokens that the request counts against its team's share: a prompt token counts once and a
-    /// generated token twice, as in the published rate.
+    /// generated token twice, as in the published rate
+    /// ([`CallerLimits::tokens_per_s`](super::routes::CallerLimits::tokens_per_s)).
     #[must_use]
     pub fn share_tokens(&self) -> f64 {
         f64::from(self.prompt_tokens) + 2.0 * f64::from(self.expected_output())
@@ -61,7 +63,8 @@
     pub deadline: Option<Duration>,
     /// The last event that the caller has, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// Size and parts of a generation request; `None` for plain services.
+    /// Size and parts of a generation request; `None` for plain services, which have no model
+    /// engines.
     pub prompt: Option<PromptShape>,
 }
 
@@ -92,7 +95,8 @@
 pub struct AnswerFacts {
     /// Whether the answer belongs to the call with the given id.
     pub is_ours: bool,
-    /// Whether the endpoint proves that it made this answer.
+    /// Whether the endpoint proves that it made this answer, by a header that only endpoints add.
+    /// Anything else on the way or at its address could make an answer without that header.
     pub is_proven: bool,
     /// Whether the endpoint states that it did not run the request.
     pub not_run: bool,
--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -3,7 +3,8 @@
 //! Load pattern: a store whose calls are rate-limited and billed over all routers together, with
 //! fleets of any size. A few routers read it and send what they read to the others. The election
 //! needs no messages of its own: each router decides from the digests, which report who is in
-//! contact with the store.
+//! contact with the store. All routers share the same order, that of the hashes of their IP
+//! addresses; those that come first in it are the candidates.
 
 use crate::units::Moment;
 use crate::units::TimeSpan;
@@ -17,7 +18,8 @@
 /// fleet gets no changes until others have connected.
 const MIN_IN_CONTACT: usize = 2;
 
-/// Time with fewer than `MIN_IN_CONTACT` routers in contact after which the number of candidates doubles.
+/// Time with fewer than `MIN_IN_CONTACT` routers in contact after which the number of candidates
+/// doubles.
 const DOUBLING_PAUSE: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// Most doublings of the number of candidates.
@@ -100,8 +102,8 @@
     /// Returns how often the number of candidates is doubled.
     ///
     /// Guards against a store that stops responding to all readers at once: the next three routers
-    /// in the order may be affected too, and each of them notices only by its timeout. With no
-    /// router in contact, twice as many try from the start.
+    /// in the order may get no response either, and each of them notices that only by its timeout.
+    /// With no router in contact, twice as many try from the start.
     fn doublings(&self, now: Moment, contact_count: usize) -> u32 {
         let at_once = u32::from(contact_count == 0);
         let pauses = now.since(self.sufficient_at).0 / DOUBLING_PAUSE.0;
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -36,6 +36,8 @@
     }
 }
 
+/// Serves the requests of one connection, a readiness probe's or a metrics scrape's. The path is
+/// not checked.
 async fn serve_probe_connection(shared: Arc<SharedState>, stream: TcpStream, kind: ListenerKind) {
     let mut client = WireStream::new(stream);
     loop {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -26,8 +26,8 @@
 use super::reply::push_chunk;
 
 /// Silence in the middle of a stream after which its connection counts as dead. Callers give up a
-/// stream after 2 s or more, so a resumed run must start before that; a working engine is silent
-/// for far less than a second.
+/// stream after a silence of 2 s or more, so another endpoint must continue it before that; a
+/// working engine is silent for far less than a second.
 const STREAM_STALL: Duration = Duration::from_millis(1_500);
 
 /// A complete answer that is not a stream.
@@ -37,12 +37,13 @@
     pub head: ResponseHead,
     /// The answer's body.
     pub body: Bytes,
-    /// Whether the endpoint proves that it made the answer.
+    /// Whether the endpoint proves that it made the answer, see
+    /// [`is_proven`](super::protocol::AnswerFacts::is_proven).
     pub is_proven: bool,
 }
 
-/// Relays an answer: a stream is passed on as it arrives, any other answer is collected and
-/// returned. A connection that can be reused goes back to the pool.
+/// Relays an answer: a successful answer of a streaming route is passed on as it arrives, any other
+/// answer is collected and returned. A connection that can be reused goes back to the pool.
 pub async fn pass_on<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -18,7 +18,7 @@
     pub retry_after: Option<Duration>,
 }
 
-/// Statuses of the router's own replies, and what each tells the caller about its request.
+/// Statuses of the router's own replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnStatus {
     /// The request can't be parsed.
@@ -63,7 +63,7 @@
 }
 
 impl OwnReply {
-    /// A reply without `Retry-After`.
+    /// A reply without `Retry-After`: it does not invite the caller to retry.
     #[must_use]
     pub fn plain(status: OwnStatus) -> Self {
         Self {
@@ -72,7 +72,8 @@
         }
     }
 
-    /// A refusal; the caller may retry after `wait`.
+    /// A refusal with `Retry-After`: the request did not run, and the caller may retry after
+    /// `wait`.
     #[must_use]
     pub fn later(status: OwnStatus, wait: Duration) -> Self {
         Self {
@@ -115,7 +116,8 @@
     "content-length",
 ];
 
-/// Returns whether a header field is passed on, i.e. is not specific to one connection.
+/// Returns whether a header field is passed on: it is neither one of `HOP_HEADERS` nor named in a
+/// `Connection` field, both of which concern a single connection.
 fn passes(field: &HeaderField, all: &[HeaderField]) -> bool {
     let is_hop = HOP_HEADERS.iter().any(|name| field.is(name));
     let named = field_name(field).is_some_and(|name| has_connection_option(all, name));
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -103,16 +103,16 @@
 /// A published service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// Most connections that one endpoint accepts from all callers together.
+    /// Most connections that one endpoint accepts in total, whoever opens them.
     pub max_connections: u32,
-    /// Capacity of its model engines; nothing for a plain service.
+    /// Capacity of its model engines; nothing for a plain service, which has none.
     pub engine: Option<EngineShape>,
 }
 
 /// The published capacity of a service's model engines.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EngineShape {
-    /// Requests in one batch.
+    /// Requests that an engine runs at the same time, in one batch.
     pub slots: u32,
     /// Tokens that fit in the engine's memory.
     pub memory_tokens: u64,
@@ -147,7 +147,8 @@
     pub head_timeout_ms: u64,
     /// Time after which an idle connection is closed, in ms.
     pub idle_timeout_ms: u64,
-    /// Tokens per second that all engines together process; 0 if not published.
+    /// Tokens per second that all engines together process; 0 if not published. Teams' shares are
+    /// parts of it.
     pub tokens_per_s: f64,
 }
 
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -72,16 +72,19 @@
     pub is_failing: bool,
 }
 
-/// When other routers were last known to be in contact with the store, and when none was.
+/// Contact of the other routers with the store, as known from gossip.
 #[derive(Debug, Default)]
 struct PeerStoreContact {
+    /// When at least one other router was last in contact.
     last_in_contact: Option<Moment>,
+    /// When last no other router was in contact.
     last_out_of_contact: Option<Moment>,
-    /// When contact was regained after a time in which no router had any.
+    /// When contact was last regained after a time in which no other router had any.
     regained: Option<Moment>,
 }
 
-/// State shared by both threads. Locks are held for one decision at a time.
+/// State shared by the control thread and the traffic thread. A lock is held for one read or change
+/// only, never across an await.
 #[derive(Debug)]
 pub struct SharedState {
     core: Mutex<GatewayCore>,
@@ -131,8 +134,8 @@
         }
     }
 
-    /// Locks the decision core. It stays usable after a panic elsewhere: each change is complete in
-    /// itself.
+    /// Locks the decision core. It stays usable after a panic of a thread that held the lock: each
+    /// change is complete in itself, so only the change that panicked may be missing in part.
     pub fn core(&self) -> MutexGuard<'_, GatewayCore> {
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -205,10 +208,10 @@
         }
     }
 
-    /// Records that the store came back after an outage for all routers, which this router noticed
-    /// at `since`. Lapsed registrations are restored within seconds of the store's return, which
-    /// may be before this router reaches it: an endpoint that leaves the list after that has really
-    /// left.
+    /// Records that the store came back after an outage for all routers, the start of which this
+    /// router noticed at `since`. Lapsed registrations are restored within seconds of the store's
+    /// return, which may be before this router reaches it: an endpoint that leaves the list after
+    /// that has really left.
     pub fn store_returned(&self, since: Moment) {
         let now = self.clock.now();
         let returned = self.peers_regained_contact(since).unwrap_or(now).min(now);
@@ -366,13 +369,13 @@
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Returns true if this router has more work than it can do in time.
+    /// Returns true if this router should get fewer callers, see [`super::load::is_overloaded`].
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
         self.overloaded.load(Ordering::Relaxed)
     }
 
-    /// Records whether this router has more work than it can do in time.
+    /// Records whether this router should get fewer callers, see [`super::load::is_overloaded`].
     pub fn set_overloaded(&self, overloaded: bool) {
         self.overloaded.store(overloaded, Ordering::Relaxed);
     }
