--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -25,7 +25,7 @@
 use super::http::WireStream;
 use super::late::ROUTER_FULL;
 use super::late::refusal_when_late;
-use super::load::is_too_late;
+use super::load::must_refuse_all;
 use super::protocol::CallFacts;
 use super::protocol::CallProtocol;
 
@@ -76,7 +76,7 @@
         let now = Instant::now();
         traffic.callers.record_accepted_connection(now);
         let mut arrived = BytesMut::new();
-        if is_too_late(traffic, now) {
+        if must_refuse_all(traffic, now) {
             arrived = read_available(&stream, scratch);
             if try_refuse(traffic, &stream, &arrived) {
                 continue;
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -30,7 +30,7 @@
 use super::late::ROUTER_FULL;
 use super::late::refusal_when_late;
 use super::load::LagLevel;
-use super::load::is_too_late;
+use super::load::must_refuse_all;
 use super::protocol::CallFacts;
 use super::protocol::CallProtocol;
 use super::relay::BufferedAnswer;
@@ -87,7 +87,7 @@
         let reply = unavailable(traffic.shared.config.no_endpoint_retry_ms);
         return refuse(traffic, caller, &id, reply, "no routes yet", keep).await;
     };
-    if is_too_late(traffic, arrived) {
+    if must_refuse_all(traffic, arrived) {
         let reply = refusal_when_late(traffic, &facts);
         return refuse(traffic, caller, &id, reply, ROUTER_FULL, false).await;
     }
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -97,7 +97,7 @@
 
 /// Returns whether all calls must be refused now: descriptors are used up or the lag is too high.
 #[must_use]
-pub fn is_too_late<P>(traffic: &Traffic<P>, now: Instant) -> bool {
+pub fn must_refuse_all<P>(traffic: &Traffic<P>, now: Instant) -> bool {
     is_full(traffic) || traffic.callers.lag(now) == LagLevel::TooLate
 }
 
