--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -24,7 +24,7 @@
 use super::http::RequestHead;
 use super::http::WireStream;
 use super::late::ROUTER_FULL;
-use super::late::refusal_when_late;
+use super::late::full_router_refusal;
 use super::load::must_refuse_all;
 use super::protocol::CallFacts;
 use super::protocol::CallProtocol;
@@ -113,7 +113,7 @@
     };
     traffic.shared.link.received(arrived.len());
     let call_id = &facts.call_id;
-    let reply = refusal_when_late(traffic, &facts);
+    let reply = full_router_refusal(traffic, &facts);
     record_refusal(traffic, call_id, &reply, ROUTER_FULL);
     let bytes = reply.bytes(&traffic.protocol, call_id, false);
     traffic.shared.link.sent(bytes.len());
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -28,7 +28,7 @@
 use super::http::RequestHead;
 use super::http::WireStream;
 use super::late::ROUTER_FULL;
-use super::late::refusal_when_late;
+use super::late::full_router_refusal;
 use super::load::LagLevel;
 use super::load::must_refuse_all;
 use super::protocol::CallFacts;
@@ -88,7 +88,7 @@
         return refuse(traffic, caller, &id, reply, "no routes yet", keep).await;
     };
     if must_refuse_all(traffic, arrived) {
-        let reply = refusal_when_late(traffic, &facts);
+        let reply = full_router_refusal(traffic, &facts);
         return refuse(traffic, caller, &id, reply, ROUTER_FULL, false).await;
     }
     if traffic.shared.life.closing.is_cancelled() {
