--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -24,7 +24,7 @@
 use super::http::WireStream;
 use super::http::framing::expects_continue;
 use super::http::head::has_connection_option;
-use super::load::CallerTable;
+use super::load::CallerLoad;
 use super::load::watch_load;
 use super::pool::EndpointPool;
 use super::protocol::CallProtocol;
@@ -48,7 +48,7 @@
     /// Idle connections to endpoints.
     pub pool: EndpointPool,
     /// Open connections of callers.
-    pub callers: CallerTable,
+    pub callers: CallerLoad,
 }
 
 /// Accepts and serves callers until the router stops.
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -119,7 +119,7 @@
 /// Load that callers put on the router: their open connections, and the momentary lag of the
 /// traffic thread.
 #[derive(Debug, Default)]
-pub struct CallerTable {
+pub struct CallerLoad {
     count: Cell<usize>,
     /// Delay of the timer at the last load check, in ms.
     timer_delay_ms: Cell<f64>,
@@ -127,7 +127,7 @@
     scarce: Notify,
 }
 
-impl CallerTable {
+impl CallerLoad {
     /// Counts a connection until the guard is dropped.
     pub fn open(&self) -> CallerGuard<'_> {
         self.count.set(self.count.get() + 1);
@@ -182,7 +182,7 @@
 /// Counts an open connection of a caller until it is dropped.
 #[derive(Debug)]
 pub struct CallerGuard<'a> {
-    table: &'a CallerTable,
+    table: &'a CallerLoad,
 }
 
 impl Drop for CallerGuard<'_> {
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -43,7 +43,7 @@
 use super::gossip::GossipPlan;
 use super::gossip::run_gossip;
 use super::handover::serve_state;
-use super::load::CallerTable;
+use super::load::CallerLoad;
 use super::load::IDLE_DIVISOR;
 use super::metrics::GatewayMetrics;
 use super::pool::EndpointPool;
@@ -226,7 +226,7 @@
             shared: self.shared,
             protocol: self.protocol,
             pool: EndpointPool::new(idle),
-            callers: CallerTable::default(),
+            callers: CallerLoad::default(),
         });
         serve_callers(traffic, listener).await;
         Ok(())
