--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -137,12 +137,12 @@
     /// The router's current lag level.
     #[must_use]
     pub fn lag(&self, now: Instant) -> LagLevel {
-        LagLevel::of(self.late_ms(now))
+        LagLevel::of(self.momentary_lag_ms(now))
     }
 
     /// The router's momentary lag, in ms: the delay of timers or of accepting connections,
     /// whichever is larger. Refusals go by this value; overload goes by its moving average.
-    fn late_ms(&self, now: Instant) -> f64 {
+    fn momentary_lag_ms(&self, now: Instant) -> f64 {
         let standing_ms = self.queue.get().standing(now).as_secs_f64() * 1e3;
         self.timer_delay_ms
             .get()
@@ -202,7 +202,7 @@
         sleep(LOAD_CHECK_INTERVAL).await;
         let late = Instant::now().saturating_duration_since(due).as_secs_f64() * 1e3;
         traffic.callers.timer_delay_ms.set(late);
-        let late = traffic.callers.late_ms(Instant::now());
+        let late = traffic.callers.momentary_lag_ms(Instant::now());
         lag_ms += LAG_SAMPLE_WEIGHT * (late - lag_ms);
         let was_overloaded = shared.is_overloaded();
         let used = descriptor_use(&traffic);
@@ -249,12 +249,12 @@
 }
 
 impl LagLevel {
-    /// The level for a lag of `late_ms`.
+    /// The level for a lag of `momentary_lag_ms`.
     #[must_use]
-    pub fn of(late_ms: f64) -> Self {
-        if late_ms > REFUSE_ALL_LAG_MS {
+    pub fn of(momentary_lag_ms: f64) -> Self {
+        if momentary_lag_ms > REFUSE_ALL_LAG_MS {
             Self::TooLate
-        } else if late_ms > OVER_SHARE_LAG_MS {
+        } else if momentary_lag_ms > OVER_SHARE_LAG_MS {
             Self::Late
         } else {
             Self::InTime
