--- a/src/gateway/accept_queue.rs
+++ b/src/gateway/accept_queue.rs
@@ -24,7 +24,7 @@
 
     /// How long the queue has been non-empty; zero if it is empty.
     #[must_use]
-    pub fn standing(&self, now: Instant) -> Duration {
+    pub fn non_empty_for(&self, now: Instant) -> Duration {
         self.non_empty_since
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -143,7 +143,7 @@
     /// The router's momentary lag, in ms: the delay of timers or of accepting connections,
     /// whichever is larger. Refusals go by this value; overload goes by its moving average.
     fn momentary_lag_ms(&self, now: Instant) -> f64 {
-        let standing_ms = self.queue.get().standing(now).as_secs_f64() * 1e3;
+        let standing_ms = self.queue.get().non_empty_for(now).as_secs_f64() * 1e3;
         self.timer_delay_ms
             .get()
             .max(standing_ms.min(MAX_STANDING_MS))
--- a/tests/gateway_load.rs
+++ b/tests/gateway_load.rs
@@ -51,7 +51,7 @@
         if accepted > 0 {
             queue.record_accept(now);
         }
-        longest = longest.max(queue.standing(now));
+        longest = longest.max(queue.non_empty_for(now));
         if waiting == 0 {
             queue = AcceptQueue::default();
         }
