--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -69,8 +69,9 @@
     let _in_flight = traffic.shared.begin_call();
     let arrived = Instant::now();
     // A caller whose connection is closed reconnects, usually to another router.
-    let sheds = traffic.shared.life.draining.is_cancelled() || traffic.shared.is_overloaded();
-    let keep = keep && !sheds;
+    let closes_after_answer =
+        traffic.shared.life.draining.is_cancelled() || traffic.shared.is_overloaded();
+    let keep = keep && !closes_after_answer;
     let Ok(facts) = traffic.protocol.call_facts(&head) else {
         return reject(
             traffic,
