--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -290,7 +290,7 @@
 /// endpoint.
 fn reserve_retry<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState) -> bool {
     let now = traffic.shared.clock.now();
-    call.has_attempts() && traffic.shared.core().take_retry(now, &call.service)
+    call.has_attempts_left() && traffic.shared.core().take_retry(now, &call.service)
 }
 
 /// Returns whether an answer counts as the endpoint's failure.
--- a/src/gateway/call_state.rs
+++ b/src/gateway/call_state.rs
@@ -94,7 +94,7 @@
 
     /// Returns whether the request was sent less often than the route's `max_attempts` allows.
     #[must_use]
-    pub fn has_attempts(&self) -> bool {
+    pub fn has_attempts_left(&self) -> bool {
         self.sends < self.route.max_attempts.max(1)
     }
 
@@ -103,7 +103,7 @@
     /// if the request may be repeated; otherwise the wait lasts until the deadline.
     #[must_use]
     pub fn silence_limit(&self, ticket: &AttemptTicket) -> Duration {
-        if !self.can_repeat() || !self.has_attempts() {
+        if !self.can_repeat() || !self.has_attempts_left() {
             return self.deadline.saturating_duration_since(Instant::now());
         }
         let predicted = Duration::from_secs_f64(ticket.first_ms.max(0.0) / 1e3);
@@ -114,7 +114,7 @@
     /// deadline if the request can't be sent to another endpoint.
     #[must_use]
     pub fn stall_at(&self, stall: Instant) -> Instant {
-        if self.can_repeat() && self.has_attempts() {
+        if self.can_repeat() && self.has_attempts_left() {
             stall
         } else {
             self.deadline
