--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -73,7 +73,7 @@
         traffic.shared.life.draining.is_cancelled() || traffic.shared.is_overloaded();
     let keep = keep && !closes_after_answer;
     let Ok(facts) = traffic.protocol.call_facts(&head) else {
-        return reject(
+        return reject_for_good(
             traffic,
             caller,
             "",
@@ -99,12 +99,12 @@
     let route = match find_route(&table, &head, &facts) {
         Ok(route) => route,
         Err((status, cause)) => {
-            return reject(traffic, caller, &id, status, cause, keep).await;
+            return reject_for_good(traffic, caller, &id, status, cause, keep).await;
         }
     };
     let team = facts.credential.as_deref().and_then(|key| table.team(key));
     let Some(service) = route.service(rand::rng().random()) else {
-        return reject(
+        return reject_for_good(
             traffic,
             caller,
             &id,
@@ -447,7 +447,7 @@
 }
 
 /// Rejects a call that a retry would not help, with a reply without `Retry-After`.
-pub async fn reject<P: CallProtocol>(
+pub async fn reject_for_good<P: CallProtocol>(
     traffic: &Traffic<P>,
     caller: &mut WireStream,
     call_id: &str,
