--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -348,7 +348,7 @@
     }
     let reply = if !call.may_have_run {
         let wait = Duration::from_millis(traffic.shared.config.retry_after_ms);
-        OwnReply::later(OwnStatus::Unavailable, spread(wait))
+        OwnReply::with_retry_after(OwnStatus::Unavailable, spread(wait))
     } else if Instant::now() >= call.deadline {
         OwnReply::plain(OwnStatus::GatewayTimeout)
     } else {
@@ -386,13 +386,13 @@
         | RefusalCause::OverShare
         | RefusalCause::Quarantined => spread(retry_after.as_duration()),
     };
-    let reply = OwnReply::later(status, wait);
+    let reply = OwnReply::with_retry_after(status, wait);
     send_own_reply(traffic, caller, call, reply, cause.label()).await
 }
 
 /// A 503 reply: the request did not run and may be retried after exactly `wait_ms`, without jitter.
 fn unavailable(wait_ms: u64) -> OwnReply {
-    OwnReply::later(OwnStatus::Unavailable, Duration::from_millis(wait_ms))
+    OwnReply::with_retry_after(OwnStatus::Unavailable, Duration::from_millis(wait_ms))
 }
 
 /// Adds random jitter of up to the same time again, so that callers refused together do not retry
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -251,7 +251,7 @@
 fn no_memory(shared: &SharedState) -> ReadEnd {
     let wait = Duration::from_millis(shared.config.retry_after_ms);
     ReadEnd::Reply(
-        OwnReply::later(OwnStatus::Unavailable, wait),
+        OwnReply::with_retry_after(OwnStatus::Unavailable, wait),
         "no memory for bodies",
     )
 }
--- a/src/gateway/late.rs
+++ b/src/gateway/late.rs
@@ -30,5 +30,5 @@
         shared.core().refused_late(team, prompt);
     }
     let wait = Duration::from_millis(shared.config.elsewhere_retry_ms);
-    OwnReply::later(OwnStatus::Unavailable, wait)
+    OwnReply::with_retry_after(OwnStatus::Unavailable, wait)
 }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -75,7 +75,7 @@
     /// A refusal with `Retry-After`: the request did not run, and the caller may retry after
     /// `wait`.
     #[must_use]
-    pub fn later(status: OwnStatus, wait: Duration) -> Self {
+    pub fn with_retry_after(status: OwnStatus, wait: Duration) -> Self {
         Self {
             status,
             retry_after: Some(wait),
