--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -25,7 +25,7 @@
     call_seconds: Histogram<f64>,
     team_tokens: Counter<u64>,
     endpoint_connections: Counter<u64>,
-    endpoint_words: Counter<u64>,
+    endpoint_announcements: Counter<u64>,
     store_failures: Counter<u64>,
     _provider: SdkMeterProvider,
 }
@@ -70,7 +70,7 @@
                 .u64_counter("verbenaturn_gateway_endpoint_connections")
                 .with_description("Connections opened to endpoints.")
                 .build(),
-            endpoint_words: meter
+            endpoint_announcements: meter
                 .u64_counter("verbenaturn_gateway_endpoint_words")
                 .with_description("Answers in which endpoints say something of themselves.")
                 .build(),
@@ -109,7 +109,8 @@
 
     /// Counts an answer in which an endpoint announces that it leaves or wants a pause.
     pub fn endpoint_word(&self, word: &'static str) {
-        self.endpoint_words.add(1, &[KeyValue::new("word", word)]);
+        self.endpoint_announcements
+            .add(1, &[KeyValue::new("word", word)]);
     }
 
     /// Counts a failed call to the store.
