--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -108,7 +108,7 @@
     }
 
     /// Counts an answer in which an endpoint announces that it leaves or wants a pause.
-    pub fn endpoint_word(&self, word: &'static str) {
+    pub fn endpoint_announcement(&self, word: &'static str) {
         self.endpoint_announcements
             .add(1, &[KeyValue::new("word", word)]);
     }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -151,13 +151,13 @@
             .apply_announcement(self.clock.now(), entry, words);
         let (key, born) = (&entry.key, entry.born);
         if words.is_leaving {
-            self.metrics.endpoint_word("leaving");
+            self.metrics.endpoint_announcement("leaving");
         }
         if is_news {
             spdlog::info!("endpoint: key={key} born={born} said=leaving");
         }
         if let Some(pause) = words.pause {
-            self.metrics.endpoint_word("pause");
+            self.metrics.endpoint_announcement("pause");
             let pause_ms = pause.as_millis();
             spdlog::info!("endpoint: key={key} born={born} said=pause pause_ms={pause_ms}");
         }
