--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -141,22 +141,26 @@
     }
 
     /// Applies what an endpoint announced in an answer.
-    pub fn apply_endpoint_announcement(&self, entry: &EndpointEntry, words: EndpointAnnouncement) {
-        if words == EndpointAnnouncement::default() {
+    pub fn apply_endpoint_announcement(
+        &self,
+        entry: &EndpointEntry,
+        announcement: EndpointAnnouncement,
+    ) {
+        if announcement == EndpointAnnouncement::default() {
             return;
         }
-        let is_news = self
-            .core()
-            .endpoints
-            .apply_announcement(self.clock.now(), entry, words);
+        let is_news =
+            self.core()
+                .endpoints
+                .apply_announcement(self.clock.now(), entry, announcement);
         let (key, born) = (&entry.key, entry.born);
-        if words.is_leaving {
+        if announcement.is_leaving {
             self.metrics.endpoint_announcement("leaving");
         }
         if is_news {
             spdlog::info!("endpoint: key={key} born={born} said=leaving");
         }
-        if let Some(pause) = words.pause {
+        if let Some(pause) = announcement.pause {
             self.metrics.endpoint_announcement("pause");
             let pause_ms = pause.as_millis();
             spdlog::info!("endpoint: key={key} born={born} said=pause pause_ms={pause_ms}");
