--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -38,7 +38,7 @@
 
 /// Number of routers up to which all of them receive a message in each round. In a larger fleet
 /// each router sends to a part of the others, so that its cost stays constant.
-const MESSAGES_PER_ROUND: usize = 10;
+const SMALL_FLEET: usize = 10;
 
 /// Messages per round of a router with few calls at endpoints, in a larger fleet. Callers spread
 /// unevenly: six of ninety routers had four fifths of all calls. The load that the other routers
@@ -165,7 +165,7 @@
     /// rounds as there are peers; with the default settings the timeout covers at least four such
     /// intervals, unless the link limits the messages further.
     fn timeout(&self) -> TimeSpan {
-        let rounds = self.peers.heard.len().div_ceil(MESSAGES_PER_ROUND).max(1) as u64;
+        let rounds = self.peers.heard.len().div_ceil(SMALL_FLEET).max(1) as u64;
         TimeSpan::from_millis(self.shared.config.peer_timeout_ms * rounds)
     }
 
@@ -370,7 +370,7 @@
         silent.sort_unstable();
         silent.dedup();
         silent.retain(|address| !live.contains(address) && *address != self.plan.listen.ip());
-        silent.truncate(2 * MESSAGES_PER_ROUND);
+        silent.truncate(2 * SMALL_FLEET);
         silent
     }
 
@@ -398,7 +398,7 @@
 /// fraction of all calls at endpoints.
 #[must_use]
 pub fn messages_per_round(live: usize, own_active: u64, others_active: u64) -> usize {
-    if live <= MESSAGES_PER_ROUND {
+    if live <= SMALL_FLEET {
         return live;
     }
     let routers = live as u64 + 1;
