--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -246,9 +246,9 @@
         let flows = core.shares.flows(now);
         let left = core.endpoints.departures.departures_to_report(now);
         let announced_leaving = core.endpoints.leaving_to_report(now);
-        let trusts_own_links = core.endpoints.is_health_reportable(now) && !core.is_disturbed();
+        let measures_reliably = core.endpoints.is_health_reportable(now) && !core.is_disturbed();
         let loads = core.endpoints.rows();
-        let loads = loads.filter_map(|row| load_entry(row, now, trusts_own_links));
+        let loads = loads.filter_map(|row| load_entry(row, now, measures_reliably));
         RouterDigest {
             incarnation: self.plan.incarnation,
             sequence: self.round,
@@ -421,14 +421,14 @@
 /// Returns this router's entry for one endpoint, or nothing if there is nothing to report. A router
 /// whose own lag or links distort its health observations reports its load only.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn load_entry(row: &EndpointRow, now: Moment, trusts_own_links: bool) -> Option<LoadEntry> {
+fn load_entry(row: &EndpointRow, now: Moment, measures_reliably: bool) -> Option<LoadEntry> {
     let load = LoadEntry {
         endpoint: row.life,
         active: row.active,
         pending_tokens: row.pending_tokens as u32,
         ..LoadEntry::default()
     };
-    if !trusts_own_links {
+    if !measures_reliably {
         return (row.active > 0).then_some(load);
     }
     let (attempts, failures) = row.health.counts_to_report(now);
