--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -285,7 +285,7 @@
     fn receivers(&mut self, now: Moment, digest_bytes: usize) -> Vec<IpAddr> {
         let timeout = self.timeout();
         let live: Vec<IpAddr> = self.peers.live(now, timeout).map(|(ip, _)| *ip).collect();
-        let count = if self.has_updates() {
+        let count = if self.take_urgent_update() {
             live.len()
         } else if self.round < STARTUP_ROUNDS {
             live.len().min(STARTUP_MESSAGES)
@@ -325,7 +325,7 @@
     /// or has lost the store, since the last call. Records the state as sent. Both are sent to all
     /// routers in the same round: a change must be in force everywhere within seconds, and the
     /// others don't try to read the store while they assume that this router does.
-    fn has_updates(&mut self) -> bool {
+    fn take_urgent_update(&mut self) -> bool {
         let in_touch = self.shared.is_in_touch();
         let versions = self.versions();
         let is_new = versions != self.sent_versions && in_touch;
