--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -70,7 +70,7 @@
     let arrived = Instant::now();
     // A caller whose connection is closed reconnects, usually to another router.
     let closes_after_answer =
-        traffic.shared.life.draining.is_cancelled() || traffic.shared.is_overloaded();
+        traffic.shared.shutdown_stages.draining.is_cancelled() || traffic.shared.is_overloaded();
     let keep = keep && !closes_after_answer;
     let Ok(facts) = traffic.protocol.call_facts(&head) else {
         return reject_for_good(
@@ -92,7 +92,7 @@
         let reply = full_router_refusal(traffic, &facts);
         return refuse(traffic, caller, &id, reply, ROUTER_FULL, false).await;
     }
-    if traffic.shared.life.closing.is_cancelled() {
+    if traffic.shared.shutdown_stages.closing.is_cancelled() {
         let reply = unavailable(traffic.shared.config.retry_after_ms);
         return refuse(traffic, caller, &id, reply, "shutting down", false).await;
     }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -56,7 +56,7 @@
     traffic: Rc<Traffic<P>>,
     listener: AsyncFd<TcpListener>,
 ) {
-    let ended = traffic.shared.life.ended.clone();
+    let ended = traffic.shared.shutdown_stages.ended.clone();
     spawn_local(sweep_pool(Rc::clone(&traffic)));
     spawn_local(watch_load(Rc::clone(&traffic)));
     spawn_local(accept_callers(traffic, listener));
@@ -168,7 +168,7 @@
         read = caller.fill() => read,
         () = sleep(idle) => return Err(ReadEnd::NoReply),
         () = traffic.callers.idle_too_long(Instant::now()) => return Err(ReadEnd::NoReply),
-        () = shared.life.closing.cancelled() => return Err(ReadEnd::NoReply),
+        () = shared.shutdown_stages.closing.cancelled() => return Err(ReadEnd::NoReply),
     };
     match read {
         Ok(0) | Err(_) => Err(ReadEnd::NoReply),
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -252,7 +252,7 @@
         RouterDigest {
             incarnation: self.plan.incarnation,
             sequence: self.round,
-            leaving: self.shared.life.draining.is_cancelled(),
+            leaving: self.shared.shutdown_stages.draining.is_cancelled(),
             routes_version,
             endpoints_revision,
             loads: loads.collect(),
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -283,9 +283,9 @@
     let linger = begun + Duration::from_millis(shared.config.linger_ms);
     let grace = begun + Duration::from_millis(shared.config.grace_ms);
     spdlog::info!("daemon: drain begins in_flight={}", shared.in_flight());
-    shared.life.draining.cancel();
+    shared.shutdown_stages.draining.cancel();
     sleep_until(linger).await;
-    shared.life.closing.cancel();
+    shared.shutdown_stages.closing.cancel();
     while shared.in_flight() > 0 && Instant::now() < grace {
         sleep(DRAIN_POLL).await;
     }
@@ -293,7 +293,7 @@
     spdlog::info!("daemon: drain ends cut={cut}");
     // Lets the last bytes be sent before the process exits.
     sleep(DRAIN_POLL).await;
-    shared.life.ended.cancel();
+    shared.shutdown_stages.ended.cancel();
 }
 
 /// Reloads the settings. Only the log level takes effect; addresses and limits need a restart, and
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -84,6 +84,6 @@
 /// draining nor overloaded.
 #[must_use]
 pub fn is_ready(shared: &SharedState) -> bool {
-    let stays = !shared.life.draining.is_cancelled();
+    let stays = !shared.shutdown_stages.draining.is_cancelled();
     shared.routes().is_some() && stays && !shared.is_overloaded()
 }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -99,7 +99,7 @@
     /// Settings of the gateway's decisions.
     pub config: GatewayConfig,
     /// Stages of the shutdown.
-    pub life: ShutdownStages,
+    pub shutdown_stages: ShutdownStages,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
     /// Traffic of this process on its host's link.
@@ -124,7 +124,7 @@
             peer_contact: Mutex::default(),
             clock: MonotonicClock::start(),
             config,
-            life: ShutdownStages::new(),
+            shutdown_stages: ShutdownStages::new(),
             metrics,
             link: Arc::default(),
             in_flight: AtomicUsize::new(0),
