--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -197,7 +197,7 @@
     pub endpoint: u32,
     /// Process hash of the endpoint's process that crashed.
     #[prost(fixed64, tag = "2")]
-    pub life: u64,
+    pub process_hash: u64,
     /// Fingerprint of the request.
     #[prost(fixed64, tag = "3")]
     pub fingerprint: u64,
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -447,7 +447,7 @@
 fn suspect_entry(suspect: CrashSuspect) -> SuspectEntry {
     SuspectEntry {
         endpoint: suspect.endpoint.0,
-        life: suspect.life,
+        process_hash: suspect.life,
         fingerprint: suspect.fingerprint.0,
     }
 }
@@ -455,7 +455,7 @@
 fn decode_suspect(entry: &SuspectEntry) -> CrashSuspect {
     CrashSuspect {
         endpoint: EndpointId(entry.endpoint),
-        life: entry.life,
+        life: entry.process_hash,
         fingerprint: RequestFingerprint(entry.fingerprint),
     }
 }
