--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -116,7 +116,7 @@
     }
 
     /// Applies the store's content. Returns false if it is older than the list.
-    pub fn advance(&mut self, now: Moment, told: RegisteredEndpoints) -> bool {
+    pub fn apply_store_content(&mut self, now: Moment, told: RegisteredEndpoints) -> bool {
         let RegisteredEndpoints {
             entries,
             unusable,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -190,7 +190,7 @@
     /// Puts the store's endpoints in force. Returns false if they are older than the current ones.
     pub fn offer_endpoints(&self, told: RegisteredEndpoints) -> bool {
         let now = self.clock.now();
-        self.change_endpoints(now, |list| list.advance(now, told))
+        self.change_endpoints(now, |list| list.apply_store_content(now, told))
     }
 
     /// Puts in force the endpoint list of another router, requested at `asked`. Returns false if it
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -37,7 +37,7 @@
 
 fn read_store(list: &mut EndpointList, now: Moment, entries: &Entries, revision: u64) -> bool {
     let (view, as_of) = snapshot(entries, revision);
-    list.advance(now, view.at(as_of))
+    list.apply_store_content(now, view.at(as_of))
 }
 
 fn without(entries: &Entries, count: usize) -> Entries {
--- a/tests/gateway_lives.rs
+++ b/tests/gateway_lives.rs
@@ -216,7 +216,7 @@
     let all = endpoints("engine", 2);
     let (mut view, mut list) = (EndpointView::default(), EndpointList::default());
     view.replace(ms(0), all.clone());
-    list.advance(ms(0), view.at(StoreRevision(1)));
+    list.apply_store_content(ms(0), view.at(StoreRevision(1)));
     list.store_returned(ms(10), TimeSpan::from_millis(2_000));
     let key = all.keys().next().unwrap();
     view.discard(key);
@@ -225,6 +225,6 @@
         .map(|(key, entry)| (key.clone(), entry.clone()))
         .collect();
     view.replace(ms(20), rest.clone());
-    list.advance(ms(20), view.at(StoreRevision(2)));
+    list.apply_store_content(ms(20), view.at(StoreRevision(2)));
     assert_eq!(list.used(), rest);
 }
