--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -142,7 +142,12 @@
 
     /// Applies the list of another router, requested at `asked`. Returns false if it is older than
     /// this list.
-    pub fn adopt(&mut self, now: Moment, asked: Moment, told: EndpointListMessage) -> bool {
+    pub fn apply_peer_list(
+        &mut self,
+        now: Moment,
+        asked: Moment,
+        told: EndpointListMessage,
+    ) -> bool {
         let as_of = StoreRevision(told.revision);
         if as_of < self.as_of {
             return false;
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -197,7 +197,7 @@
     /// is older than the current one.
     pub fn adopt_endpoints(&self, asked: Moment, told: EndpointListMessage) -> bool {
         let now = self.clock.now();
-        self.change_endpoints(now, |list| list.adopt(now, asked, told))
+        self.change_endpoints(now, |list| list.apply_peer_list(now, asked, told))
     }
 
     /// Drops kept endpoints that have expired.
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -78,7 +78,7 @@
     read_store(&mut keeping, ms(10_000), &without(&all, 1), 2);
     // 11.5 s on its clock are 51.2 s on this router's; the request was sent 0.2 s before.
     let mut list = EndpointList::default();
-    assert!(list.adopt(ms(51_200), ms(51_000), keeping.to_message(ms(11_500))));
+    assert!(list.apply_peer_list(ms(51_200), ms(51_000), keeping.to_message(ms(11_500))));
     assert_eq!(list.used().len(), 3);
     list.expire_kept(ms(51_500));
     assert_eq!(list.used().len(), 2);
@@ -112,7 +112,7 @@
                 }
                 _ => {
                     let snapshot = lists[rng.random_range(0..lists.len())].to_message(now);
-                    lists[index].adopt(now, now, snapshot);
+                    lists[index].apply_peer_list(now, now, snapshot);
                 }
             }
         }
