--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -116,12 +116,12 @@
     }
 
     /// Applies the store's content. Returns false if it is older than the list.
-    pub fn apply_store_content(&mut self, now: Moment, told: RegisteredEndpoints) -> bool {
+    pub fn apply_store_content(&mut self, now: Moment, content: RegisteredEndpoints) -> bool {
         let RegisteredEndpoints {
             entries,
             unusable,
             as_of,
-        } = told;
+        } = content;
         if as_of < self.as_of {
             return false;
         }
@@ -146,14 +146,14 @@
         &mut self,
         now: Moment,
         asked: Moment,
-        told: EndpointListMessage,
+        content: EndpointListMessage,
     ) -> bool {
-        let as_of = StoreRevision(told.revision);
+        let as_of = StoreRevision(content.revision);
         if as_of < self.as_of {
             return false;
         }
-        self.replace(told.entries, as_of);
-        for (key, KeptEndpointMessage { entry, left_ms }) in told.kept {
+        self.replace(content.entries, as_of);
+        for (key, KeptEndpointMessage { entry, left_ms }) in content.kept {
             // Counted from the request, the expiry can only be early, by the duration of the
             // exchange.
             let until = asked + TimeSpan::from_millis(left_ms);
@@ -169,11 +169,11 @@
     #[must_use]
     pub fn to_message(&self, now: Moment) -> EndpointListMessage {
         let kept = self.kept.iter().map(|(key, kept)| {
-            let told = KeptEndpointMessage {
+            let content = KeptEndpointMessage {
                 entry: kept.entry.clone(),
                 left_ms: kept.until.since(now).as_millis(),
             };
-            (key.clone(), told)
+            (key.clone(), content)
         });
         EndpointListMessage {
             entries: self.registered.clone(),
