--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -143,8 +143,8 @@
             spdlog::info!("peers: routes version={version} in force source={peer}");
         }
     }
-    if let Some(told) = state.endpoints
-        && shared.adopt_endpoints(begun, told)
+    if let Some(received) = state.endpoints
+        && shared.adopt_endpoints(begun, received)
     {
         let summary = shared.endpoints().summary(shared.clock.now());
         spdlog::info!("peers: {summary} source={peer}");
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -188,16 +188,16 @@
     }
 
     /// Puts the store's endpoints in force. Returns false if they are older than the current ones.
-    pub fn offer_endpoints(&self, told: RegisteredEndpoints) -> bool {
+    pub fn offer_endpoints(&self, received: RegisteredEndpoints) -> bool {
         let now = self.clock.now();
-        self.change_endpoints(now, |list| list.apply_store_content(now, told))
+        self.change_endpoints(now, |list| list.apply_store_content(now, received))
     }
 
     /// Puts in force the endpoint list of another router, requested at `asked`. Returns false if it
     /// is older than the current one.
-    pub fn adopt_endpoints(&self, asked: Moment, told: EndpointListMessage) -> bool {
+    pub fn adopt_endpoints(&self, asked: Moment, received: EndpointListMessage) -> bool {
         let now = self.clock.now();
-        self.change_endpoints(now, |list| list.apply_peer_list(now, asked, told))
+        self.change_endpoints(now, |list| list.apply_peer_list(now, asked, received))
     }
 
     /// Drops kept endpoints that have expired.
