--- a/src/gateway/endpoint_view.rs
+++ b/src/gateway/endpoint_view.rs
@@ -72,7 +72,7 @@
     /// Replaces the known registrations by the registered endpoints of the list in force. While
     /// this router could not read the store, other routers may have sent it newer lists than what
     /// it last read itself.
-    pub fn rebase(&mut self, in_force: BTreeMap<EndpointKey, EndpointEntry>) {
+    pub fn reset_to(&mut self, in_force: BTreeMap<EndpointKey, EndpointEntry>) {
         self.registered = in_force;
         self.unusable.clear();
     }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -199,7 +199,7 @@
         self.reached();
         if self.section == StateSection::Endpoints {
             let in_force = self.shared.endpoints().registered().clone();
-            self.endpoints.rebase(in_force);
+            self.endpoints.reset_to(in_force);
         }
         let as_of = snapshot.as_of;
         let mut registered = BTreeMap::new();
