--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -280,7 +280,7 @@
             election_input.failing += usize::from(is_failing);
             election_input.failing_before += usize::from(is_failing && is_before);
             let is_idle = !row.digest.in_touch && !is_failing;
-            election_input.idle_before += usize::from(is_idle && is_before);
+            election_input.untried_before += usize::from(is_idle && is_before);
         }
         election_input
     }
--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -51,7 +51,7 @@
     /// Those of them that come before it in the shared order.
     pub contact_before: usize,
     /// Other routers that come before it in the shared order and have not tried to read the store.
-    pub idle_before: usize,
+    pub untried_before: usize,
 }
 
 /// The state of one router's decision whether to read the store.
@@ -96,7 +96,7 @@
         }
         // Routers that the store refuses report it, and the next ones in the order try instead.
         let wanted = (READERS - contact_count) << self.doublings(now, contact_count);
-        election_input.failing < MAX_FAILING && election_input.idle_before < wanted
+        election_input.failing < MAX_FAILING && election_input.untried_before < wanted
     }
 
     /// Returns how often the number of candidates is doubled.
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -86,7 +86,7 @@
             election_input.failing += usize::from(is_failing);
             election_input.failing_before += usize::from(is_failing && index < own);
             let is_idle = !touch[index] && !is_failing;
-            election_input.idle_before += usize::from(is_idle && index < own);
+            election_input.untried_before += usize::from(is_idle && index < own);
         }
         election_input
     }
@@ -195,11 +195,11 @@
 fn when_no_router_is_in_contact_six_try_at_once() {
     let wanted = |contact_count: usize| {
         (0..12)
-            .filter(|idle_before| {
+            .filter(|untried_before| {
                 let mut election = ReaderElection::new(ms(0), TimeSpan(0));
                 let election_input = |contact_count| ElectionInput {
                     contact_count,
-                    idle_before: *idle_before,
+                    untried_before: *untried_before,
                     ..ElectionInput::default()
                 };
                 // Enough routers have been in contact until now.
