--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -279,8 +279,8 @@
             let is_failing = row.digest.store_failing && !row.digest.in_touch;
             election_input.failing += usize::from(is_failing);
             election_input.failing_before += usize::from(is_failing && is_before);
-            let is_idle = !row.digest.in_touch && !is_failing;
-            election_input.untried_before += usize::from(is_idle && is_before);
+            let is_untried = !row.digest.in_touch && !is_failing;
+            election_input.untried_before += usize::from(is_untried && is_before);
         }
         election_input
     }
