--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -346,7 +346,7 @@
         let election_input = self.peers.election_input(now, self.timeout(), own, contact);
         self.shared
             .record_peer_contact(now, election_input.contact_count > 0);
-        let reads = self.election.reads(now, election_input);
+        let reads = self.election.should_read(now, election_input);
         if reads != self.shared.is_reader() {
             let shortage = self.election.shortage(now).as_millis();
             let contact_count = election_input.contact_count;
--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -80,7 +80,7 @@
     /// A router that is in contact remains a reader until enough routers before it in the order are
     /// in contact too, so that readers change only when needed: each new reader reads the whole
     /// store once.
-    pub fn reads(&mut self, now: Moment, election_input: ElectionInput) -> bool {
+    pub fn should_read(&mut self, now: Moment, election_input: ElectionInput) -> bool {
         let contact_count = election_input.contact_count + usize::from(election_input.in_touch);
         if contact_count >= MIN_IN_CONTACT {
             self.sufficient_at = now;
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -101,7 +101,9 @@
                     continue;
                 }
                 let election_input = self.election_input(index, &touch);
-                let reads = self.routers[index].election.reads(now, election_input);
+                let reads = self.routers[index]
+                    .election
+                    .should_read(now, election_input);
                 let reachable = self.store_is_up && !self.refused.contains(&index);
                 let router = &mut self.routers[index];
                 router.reads_since = reads.then(|| router.reads_since.unwrap_or(self.round));
@@ -203,8 +205,8 @@
                     ..ElectionInput::default()
                 };
                 // Enough routers have been in contact until now.
-                election.reads(ms(1_000), election_input(3));
-                election.reads(ms(1_100), election_input(contact_count))
+                election.should_read(ms(1_000), election_input(3));
+                election.should_read(ms(1_100), election_input(contact_count))
             })
             .count()
     };
