--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -339,10 +339,10 @@
                 NotRunCause::Refused
             }));
         }
-        let unstated = Duration::from_millis(traffic.shared.config.idle_reuse_ms);
+        let default_limit = Duration::from_millis(traffic.shared.config.idle_reuse_ms);
         let keeps = framing != BodyFraming::UntilClose;
         return Ok(AnswerStart {
-            reuse: reuse_limit(&head, unstated).filter(|_| keeps),
+            reuse: reuse_limit(&head, default_limit).filter(|_| keeps),
             is_proven: facts.is_proven,
             head,
             decoder,
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -98,14 +98,14 @@
 }
 
 /// How long a connection may be idle after this answer before it is reused; `None` if it must not
-/// be reused. `unstated` applies if the endpoint states no limit.
+/// be reused. `default_limit` applies if the endpoint states no limit.
 #[must_use]
-pub fn reuse_limit(head: &ResponseHead, unstated: Duration) -> Option<Duration> {
+pub fn reuse_limit(head: &ResponseHead, default_limit: Duration) -> Option<Duration> {
     if head.old || has_connection_option(&head.fields, "close") {
         return None;
     }
     let stated = head.text("keep-alive").and_then(keep_alive_timeout);
-    Some(stated.map_or(unstated, |limit| limit.saturating_sub(IDLE_MARGIN)))
+    Some(stated.map_or(default_limit, |limit| limit.saturating_sub(IDLE_MARGIN)))
 }
 
 /// The timeout in a `Keep-Alive` header.
