--- a/src/gateway/link.rs
+++ b/src/gateway/link.rs
@@ -110,7 +110,7 @@
     /// Utilisation for receiving and for sending, in percent of the link's speed.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn both(&self) -> (usize, usize) {
+    pub fn percent_by_direction(&self) -> (usize, usize) {
         (
             (self.received * 100.0) as usize,
             (self.sent * 100.0) as usize,
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -225,7 +225,7 @@
         );
         if is != was_overloaded {
             let DescriptorUse { callers, calls, .. } = used;
-            let (received, sent) = link.both();
+            let (received, sent) = link.percent_by_direction();
             spdlog::warn!(
                 "gateway: overloaded={is} descriptors_percent={percent} callers={callers} \
                  calls={calls} lag_ms={lag_ms:.0} link_in_percent={received} \
