--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use super::call::record_refusal;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::front::serve_connection;
 use super::http::BodyFraming;
 use super::http::RequestHead;
@@ -47,7 +47,7 @@
 /// Guards against a flood of new connections: if they were accepted faster than their requests are
 /// read, they would use up all descriptors, and callers would wait unserved until they time out.
 pub async fn accept_callers<P: CallProtocol>(
-    traffic: Rc<Traffic<P>>,
+    traffic: Rc<TrafficState<P>>,
     listener: AsyncFd<TcpListener>,
 ) {
     let mut scratch = vec![0; INLINE_REFUSAL_BYTES];
@@ -62,7 +62,7 @@
 
 /// Waits for a connection, then accepts all that are pending, up to the limit of one turn.
 async fn accept_turn<P: CallProtocol>(
-    traffic: &Rc<Traffic<P>>,
+    traffic: &Rc<TrafficState<P>>,
     listener: &AsyncFd<TcpListener>,
     scratch: &mut [u8],
 ) -> io::Result<()> {
@@ -104,7 +104,7 @@
 /// Such a refusal needs no task and no further turn, so the router refuses more callers per second.
 /// Callers that arrive even faster wait in the accept queue until they time out.
 fn try_refuse<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     mut stream: &TcpStream,
     arrived: &BytesMut,
 ) -> bool {
@@ -124,7 +124,10 @@
 }
 
 /// Decodes the call if the bytes are exactly one complete request.
-fn whole_request<P: CallProtocol>(traffic: &Traffic<P>, arrived: &BytesMut) -> Option<CallFacts> {
+fn whole_request<P: CallProtocol>(
+    traffic: &TrafficState<P>,
+    arrived: &BytesMut,
+) -> Option<CallFacts> {
     // A full buffer may mean that more bytes are still unread.
     if arrived.len() == INLINE_REFUSAL_BYTES {
         return None;
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -14,7 +14,7 @@
 use super::call_state::CallState;
 use super::decide::AttemptEnd;
 use super::decide::AttemptTicket;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::http::BodyDecoder;
 use super::http::BodyFraming;
 use super::http::ResponseHead;
@@ -183,7 +183,7 @@
 
 /// Takes an idle connection to the endpoint from the pool, or opens a new one.
 async fn connect_endpoint<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     ticket: &AttemptTicket,
 ) -> Result<WireStream, NotRunCause> {
     let entry = &ticket.entry;
@@ -210,7 +210,7 @@
 /// Returns whether the endpoint still takes work. It is checked just before the request is sent,
 /// since the endpoint may have announced that it leaves or wants a pause while the connection was
 /// made.
-fn still_takes_work<P: CallProtocol>(traffic: &Traffic<P>, ticket: &AttemptTicket) -> bool {
+fn still_takes_work<P: CallProtocol>(traffic: &TrafficState<P>, ticket: &AttemptTicket) -> bool {
     let (shared, entry) = (&traffic.shared, &ticket.entry);
     let takes_work = shared
         .core()
@@ -228,7 +228,7 @@
 /// Sends the call to one endpoint and reads its answer. A stream is passed on as it arrives; any
 /// other answer is returned whole, so that the caller can still get another endpoint's instead.
 pub async fn run_attempt<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     ticket: &mut AttemptTicket,
@@ -290,7 +290,7 @@
 
 /// Reads answers' heads until one belongs to this call, and skips all others.
 async fn read_answer_start<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     call: &CallState,
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -23,7 +23,7 @@
 use super::decide::AdmissionRequest;
 use super::decide::RefusalCause;
 use super::decide::shares::ShareStanding;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::http::EventSplitter;
 use super::http::RequestHead;
 use super::http::WireStream;
@@ -60,7 +60,7 @@
 
 /// Serves one call on a caller's connection.
 pub async fn serve_call<P: CallProtocol>(
-    traffic: &Rc<Traffic<P>>,
+    traffic: &Rc<TrafficState<P>>,
     caller: &mut WireStream,
     head: RequestHead,
     body: Bytes,
@@ -167,7 +167,7 @@
 
 /// Makes attempts until one yields the end of the call or no further one is allowed.
 async fn run_attempts<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     table: &Arc<RouteTable>,
@@ -237,7 +237,7 @@
 /// Handles the outcome of an attempt. Returns the end of the call, or `None` if another attempt
 /// follows.
 async fn handle_outcome<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     endpoint: EndpointKey,
@@ -288,7 +288,7 @@
 
 /// Takes a retry from the retry budget. Returns whether the request may be sent to another
 /// endpoint.
-fn reserve_retry<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState) -> bool {
+fn reserve_retry<P: CallProtocol>(traffic: &TrafficState<P>, call: &CallState) -> bool {
     let now = traffic.shared.clock.now();
     call.has_attempts_left() && traffic.shared.core().take_retry(now, &call.service)
 }
@@ -310,7 +310,7 @@
 /// A stream's run is its execution at one endpoint; the next run continues the stream at another
 /// endpoint, after the last event that the caller has.
 async fn pass_answer<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     answer: BufferedAnswer,
@@ -338,7 +338,7 @@
 
 /// Replies to a call for which no endpoint gave a usable answer.
 async fn give_up<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &CallState,
     cause: &'static str,
@@ -359,7 +359,7 @@
 
 /// Replies to a call that the decision core refused.
 async fn reply_refused<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &CallState,
     cause: RefusalCause,
@@ -403,7 +403,7 @@
 
 /// Sends the router's own reply to a call.
 async fn send_own_reply<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &CallState,
     reply: OwnReply,
@@ -418,7 +418,7 @@
 
 /// Replies to a call that is refused before an admission decision, and logs and counts the reply.
 pub async fn refuse<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call_id: &str,
     reply: OwnReply,
@@ -435,7 +435,7 @@
 
 /// Logs and counts the reply to a call that is refused before an admission decision.
 pub fn record_refusal<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     call_id: &str,
     reply: &OwnReply,
     cause: &'static str,
@@ -448,7 +448,7 @@
 
 /// Rejects a call that a retry would not help, with a reply without `Retry-After`.
 pub async fn reject_for_good<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call_id: &str,
     status: OwnStatus,
--- a/src/gateway/call_record.rs
+++ b/src/gateway/call_record.rs
@@ -5,7 +5,7 @@
 use super::call_state::CallEnd;
 use super::call_state::CallState;
 use super::decide::AttemptTicket;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::protocol::CallProtocol;
 
 /// The figures behind a call's last placement or refusal, for its log line.
@@ -36,7 +36,12 @@
 }
 
 /// Writes the log line of a call that ended and updates the metrics.
-pub fn record<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState, end: CallEnd, version: u64) {
+pub fn record<P: CallProtocol>(
+    traffic: &TrafficState<P>,
+    call: &CallState,
+    end: CallEnd,
+    version: u64,
+) {
     let (status, cause) = match end {
         CallEnd::Answered(status) => (status, "answered"),
         CallEnd::Own(status, cause) => (status.line().0, cause),
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -40,7 +40,7 @@
 /// State that all tasks of the traffic thread share. That thread serves callers; the control thread
 /// does all other work.
 #[derive(Debug)]
-pub struct Traffic<P> {
+pub struct TrafficState<P> {
     /// State shared with the control thread.
     pub shared: Arc<SharedState>,
     /// Decodes and writes the deployment's headers.
@@ -53,7 +53,7 @@
 
 /// Accepts and serves callers until the router stops.
 pub async fn serve_callers<P: CallProtocol>(
-    traffic: Rc<Traffic<P>>,
+    traffic: Rc<TrafficState<P>>,
     listener: AsyncFd<TcpListener>,
 ) {
     let ended = traffic.shared.shutdown_stages.ended.clone();
@@ -64,7 +64,7 @@
 }
 
 /// Drops pooled connections that expired or whose endpoint restarted, left or is unregistered.
-async fn sweep_pool<P: CallProtocol>(traffic: Rc<Traffic<P>>) {
+async fn sweep_pool<P: CallProtocol>(traffic: Rc<TrafficState<P>>) {
     loop {
         sleep(SWEEP_PAUSE).await;
         let core = traffic.shared.core();
@@ -100,7 +100,7 @@
 }
 
 /// Serves the calls of one connection. Its buffer may already hold the start of the first request.
-pub async fn serve_connection<P: CallProtocol>(traffic: Rc<Traffic<P>>, caller: WireStream) {
+pub async fn serve_connection<P: CallProtocol>(traffic: Rc<TrafficState<P>>, caller: WireStream) {
     let mut caller = caller.metered(&traffic.shared.link);
     let _open = traffic.callers.open();
     loop {
@@ -135,7 +135,7 @@
 
 /// Reads one request: waits for it to begin, then reads its head and its body.
 async fn read_request<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
 ) -> Result<ReadRequest, ReadEnd> {
     let shared = &traffic.shared;
@@ -159,7 +159,7 @@
 
 /// Waits for the first byte of a request on an idle connection.
 async fn wait_for_request<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
 ) -> Result<(), ReadEnd> {
     let shared = &traffic.shared;
--- a/src/gateway/late.rs
+++ b/src/gateway/late.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::protocol::CallFacts;
 use super::protocol::CallProtocol;
 use super::reply::OwnReply;
@@ -19,7 +19,10 @@
 /// Counts a call that this router must refuse in its team's account, and returns the refusal.
 ///
 /// Without the count the logs would show no demand of the team while its router refuses all calls.
-pub fn full_router_refusal<P: CallProtocol>(traffic: &Traffic<P>, facts: &CallFacts) -> OwnReply {
+pub fn full_router_refusal<P: CallProtocol>(
+    traffic: &TrafficState<P>,
+    facts: &CallFacts,
+) -> OwnReply {
     let shared = &traffic.shared;
     let table = shared.routes();
     let key = facts.credential.as_deref();
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 use super::accept_queue::AcceptQueue;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::link::LinkUse;
 
 /// Interval between two load checks.
@@ -97,18 +97,18 @@
 
 /// Returns whether all calls must be refused now: descriptors are used up or the lag is too high.
 #[must_use]
-pub fn must_refuse_all<P>(traffic: &Traffic<P>, now: Instant) -> bool {
+pub fn must_refuse_all<P>(traffic: &TrafficState<P>, now: Instant) -> bool {
     is_full(traffic) || traffic.callers.lag(now) == LagLevel::TooLate
 }
 
 /// Returns whether too few descriptors are left for another call.
-fn is_full<P>(traffic: &Traffic<P>) -> bool {
+fn is_full<P>(traffic: &TrafficState<P>) -> bool {
     let descriptors = traffic.shared.config.descriptors;
     descriptor_use(traffic).percent(descriptors) > REFUSE_PERCENT
 }
 
 /// Counts the descriptors in use.
-fn descriptor_use<P>(traffic: &Traffic<P>) -> DescriptorUse {
+fn descriptor_use<P>(traffic: &TrafficState<P>) -> DescriptorUse {
     DescriptorUse {
         callers: traffic.callers.count(),
         calls: traffic.shared.in_flight(),
@@ -192,7 +192,7 @@
 }
 
 /// Checks the load at regular intervals until the router stops.
-pub async fn watch_load<P>(traffic: Rc<Traffic<P>>) {
+pub async fn watch_load<P>(traffic: Rc<TrafficState<P>>) {
     let shared = &traffic.shared;
     let mut link = LinkUse::default();
     let mut last_check = Instant::now();
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -38,7 +38,7 @@
 use super::follow::StateStore;
 use super::follow::follow_section;
 use super::freshness;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::front::serve_callers;
 use super::gossip::GossipPlan;
 use super::gossip::run_gossip;
@@ -222,7 +222,7 @@
         )]
         let listener = AsyncFd::with_interest(listener, Interest::READABLE)?;
         let idle = self.shared.config.descriptors / IDLE_DIVISOR;
-        let traffic = Rc::new(Traffic {
+        let traffic = Rc::new(TrafficState {
             shared: self.shared,
             protocol: self.protocol,
             pool: EndpointPool::new(idle),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -16,7 +16,7 @@
 use super::attempt::read_or_interrupt;
 use super::call_state::CallState;
 use super::decide::AttemptTicket;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::http::ResponseHead;
 use super::http::WireStream;
 use super::protocol::CallProtocol;
@@ -45,7 +45,7 @@
 /// Relays an answer: a successful answer of a streaming route is passed on as it arrives, any other
 /// answer is collected and returned. A connection that can be reused goes back to the pool.
 pub async fn pass_on<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     ticket: &mut AttemptTicket,
@@ -77,7 +77,7 @@
 
 /// Collects an answer that is not a stream.
 async fn collect_answer<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &CallState,
     ticket: &AttemptTicket,
@@ -119,7 +119,7 @@
 
 /// Passes a stream on to the caller, event by event.
 async fn relay_stream<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     ticket: &mut AttemptTicket,
