--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -68,10 +68,10 @@
     loop {
         sleep(SWEEP_PAUSE).await;
         let core = traffic.shared.core();
-        traffic.pool.sweep(|life| {
+        traffic.pool.sweep(|process| {
             core.endpoints
-                .get(&life.key)
-                .is_some_and(|row| row.entry.born == life.born && !row.announced_leaving())
+                .get(&process.key)
+                .is_some_and(|row| row.entry.born == process.born && !row.announced_leaving())
         });
     }
 }
