--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -308,7 +308,7 @@
             spdlog::info!("store: section={section} reached again after_ms={ms} alone={alone}");
             // A failure to read routes says nothing about registrations.
             if !alone && section == StateSection::Endpoints {
-                self.shared.store_returned(since);
+                self.shared.outage_ended(since);
             }
         }
     }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -216,7 +216,7 @@
     /// router noticed at `since`. Lapsed registrations are restored within seconds of the store's
     /// return, which may be before this router reaches it: an endpoint that leaves the list after
     /// that has really left.
-    pub fn store_returned(&self, since: Moment) {
+    pub fn outage_ended(&self, since: Moment) {
         let now = self.clock.now();
         let returned = self.peers_regained_contact(since).unwrap_or(now).min(now);
         let grace = TimeSpan::from_millis(self.config.lapse_grace_ms);
