--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -1,5 +1,6 @@
-//! Accepts callers' connections in turn with serving calls. While the router is too late, requests
-//! that have arrived completely are refused without a task of their own.
+//! Accepts callers' connections in turn with serving calls. While the router must refuse all calls,
+//! because it lags or runs out of descriptors, requests that have arrived completely are refused
+//! without a task of their own.
 
 use std::io;
 use std::io::Read;
@@ -17,35 +18,36 @@
 use tokio::time::sleep;
 
 use super::call::record_refusal;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::front::serve_connection;
 use super::http::BodyFraming;
 use super::http::RequestHead;
 use super::http::WireStream;
 use super::late::ROUTER_FULL;
-use super::late::refusal_when_late;
-use super::load::is_too_late;
+use super::late::full_router_refusal;
+use super::load::must_refuse_all;
 use super::protocol::CallFacts;
 use super::protocol::CallProtocol;
 
 /// Pause after a failed accept. Descriptors free up within that time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Connections accepted in one turn of the traffic thread. A connection that is not refused at once
-/// takes two further turns until its request is read, so this bounds how many wait in between.
+/// Connections accepted in one turn, that is, before the traffic thread runs its other tasks again.
+/// A connection that is not refused at once takes two further turns until its request is read, so
+/// this bounds how many wait in between.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// Size from which a request is not refused at once, in bytes; a usual head with a short body is
-/// below it. A longer request is read first: closing a connection with unread bytes resets it, and
+/// Requests of this size or more, in bytes, are read in the normal way before they are refused; a
+/// usual head with a short body is smaller. Closing a connection with unread bytes resets it, and
 /// the caller would lose the reply.
 const INLINE_REFUSAL_BYTES: usize = 8_192;
 
 /// Accepts callers until the router stops.
 ///
-/// Guards against a flood of new connections that are accepted faster than their requests are
-/// read: they would use up all descriptors, and callers would wait unserved until they time out.
+/// Guards against a flood of new connections: if they were accepted faster than their requests are
+/// read, they would use up all descriptors, and callers would wait unserved until they time out.
 pub async fn accept_callers<P: CallProtocol>(
-    traffic: Rc<Traffic<P>>,
+    traffic: Rc<TrafficState<P>>,
     listener: AsyncFd<TcpListener>,
 ) {
     let mut scratch = vec![0; INLINE_REFUSAL_BYTES];
@@ -60,7 +62,7 @@
 
 /// Waits for a connection, then accepts all that are pending, up to the limit of one turn.
 async fn accept_turn<P: CallProtocol>(
-    traffic: &Rc<Traffic<P>>,
+    traffic: &Rc<TrafficState<P>>,
     listener: &AsyncFd<TcpListener>,
     scratch: &mut [u8],
 ) -> io::Result<()> {
@@ -74,7 +76,7 @@
         let now = Instant::now();
         traffic.callers.record_accepted_connection(now);
         let mut arrived = BytesMut::new();
-        if is_too_late(traffic, now) {
+        if must_refuse_all(traffic, now) {
             arrived = read_available(&stream, scratch);
             if try_refuse(traffic, &stream, &arrived) {
                 continue;
@@ -99,10 +101,10 @@
 /// Refuses the request of a new connection if it has arrived completely. Returns whether it was
 /// refused.
 ///
-/// Such a refusal needs no task and no further turn. When callers arrive faster than the router can
-/// refuse them, they wait in the accept queue until they time out.
+/// Such a refusal needs no task and no further turn, so the router refuses more callers per second.
+/// Callers that arrive even faster wait in the accept queue until they time out.
 fn try_refuse<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     mut stream: &TcpStream,
     arrived: &BytesMut,
 ) -> bool {
@@ -111,7 +113,7 @@
     };
     traffic.shared.link.received(arrived.len());
     let call_id = &facts.call_id;
-    let reply = refusal_when_late(traffic, &facts);
+    let reply = full_router_refusal(traffic, &facts);
     record_refusal(traffic, call_id, &reply, ROUTER_FULL);
     let bytes = reply.bytes(&traffic.protocol, call_id, false);
     traffic.shared.link.sent(bytes.len());
@@ -122,7 +124,11 @@
 }
 
 /// Decodes the call if the bytes are exactly one complete request.
-fn whole_request<P: CallProtocol>(traffic: &Traffic<P>, arrived: &BytesMut) -> Option<CallFacts> {
+fn whole_request<P: CallProtocol>(
+    traffic: &TrafficState<P>,
+    arrived: &BytesMut,
+) -> Option<CallFacts> {
+    // A full buffer may mean that more bytes are still unread.
     if arrived.len() == INLINE_REFUSAL_BYTES {
         return None;
     }
--- a/src/gateway/accept_queue.rs
+++ b/src/gateway/accept_queue.rs
@@ -3,8 +3,8 @@
 //! Load pattern: a balancer sends one small host more new connections than it has processor time to
 //! refuse. Accepting takes turns with serving calls, so that accepted requests are read soon and
 //! timers stay punctual; the excess waits in the listener's queue. A queue that empties now and
-//! then indicates a burst; a standing queue does not drain by itself, and every new connection
-//! waits behind it.
+//! then indicates a burst; a standing queue, that is, one that is never empty, does not drain by
+//! itself, and every new connection waits behind it.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 
     /// How long the queue has been non-empty; zero if it is empty.
     #[must_use]
-    pub fn standing(&self, now: Instant) -> Duration {
+    pub fn non_empty_for(&self, now: Instant) -> Duration {
         self.non_empty_since
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,7 @@
 //! Makes one attempt at one endpoint: connects, sends the request and reads the head of the answer.
+//!
+//! The decision core hands out an [`AttemptTicket`] for each attempt that it has placed: it names
+//! the endpoint, carries the figures of the placement, and is handed back when the attempt ends.
 
 use std::io;
 use std::time::Duration;
@@ -11,7 +14,7 @@
 use super::call_state::CallState;
 use super::decide::AttemptEnd;
 use super::decide::AttemptTicket;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::http::BodyDecoder;
 use super::http::BodyFraming;
 use super::http::ResponseHead;
@@ -51,11 +54,12 @@
 /// Why a request is known not to have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunCause {
-    /// No connection was made.
+    /// No connection was made, for example because connecting timed out.
     NotReached,
-    /// Nothing listens at the address.
+    /// The connection was refused: nothing listens at the address.
     Gone,
-    /// The endpoint left, or asked for a pause, while the connection was made.
+    /// The endpoint announced that it leaves or wants a pause while the connection was made, so the
+    /// request was not sent.
     Left,
     /// The endpoint refused the request.
     Refused,
@@ -65,6 +69,10 @@
 
 impl AttemptOutcome {
     /// What the decision core records about the endpoint for this outcome.
+    ///
+    /// A caller that left or a time limit that passed says nothing about the endpoint. Another
+    /// endpoint at the address means that the intended one was not reached. A broken attempt
+    /// carries the request's fingerprint, since the request may have crashed the endpoint.
     #[must_use]
     pub fn end(&self, fingerprint: RequestFingerprint) -> AttemptEnd {
         match self {
@@ -166,7 +174,8 @@
     pub head: ResponseHead,
     /// Decodes the body and finds its end.
     pub decoder: BodyDecoder,
-    /// Whether the endpoint proves that it made the answer.
+    /// Whether the endpoint proves that it made the answer, see
+    /// [`is_proven`](super::protocol::AnswerFacts::is_proven).
     pub is_proven: bool,
     /// How long the connection may be idle afterwards; `None` if it can't be reused.
     pub reuse: Option<Duration>,
@@ -174,7 +183,7 @@
 
 /// Takes an idle connection to the endpoint from the pool, or opens a new one.
 async fn connect_endpoint<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     ticket: &AttemptTicket,
 ) -> Result<WireStream, NotRunCause> {
     let entry = &ticket.entry;
@@ -199,8 +208,9 @@
 }
 
 /// Returns whether the endpoint still takes work. It is checked just before the request is sent,
-/// since the endpoint may have left or asked for a pause while the connection was made.
-fn still_takes_work<P: CallProtocol>(traffic: &Traffic<P>, ticket: &AttemptTicket) -> bool {
+/// since the endpoint may have announced that it leaves or wants a pause while the connection was
+/// made.
+fn still_takes_work<P: CallProtocol>(traffic: &TrafficState<P>, ticket: &AttemptTicket) -> bool {
     let (shared, entry) = (&traffic.shared, &ticket.entry);
     let takes_work = shared
         .core()
@@ -218,7 +228,7 @@
 /// Sends the call to one endpoint and reads its answer. A stream is passed on as it arrives; any
 /// other answer is returned whole, so that the caller can still get another endpoint's instead.
 pub async fn run_attempt<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     ticket: &mut AttemptTicket,
@@ -280,7 +290,7 @@
 
 /// Reads answers' heads until one belongs to this call, and skips all others.
 async fn read_answer_start<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     endpoint: &mut WireStream,
     caller: &mut WireStream,
     call: &CallState,
@@ -329,10 +339,10 @@
                 NotRunCause::Refused
             }));
         }
-        let unstated = Duration::from_millis(traffic.shared.config.idle_reuse_ms);
+        let default_limit = Duration::from_millis(traffic.shared.config.idle_reuse_ms);
         let keeps = framing != BodyFraming::UntilClose;
         return Ok(AnswerStart {
-            reuse: reuse_limit(&head, unstated).filter(|_| keeps),
+            reuse: reuse_limit(&head, default_limit).filter(|_| keeps),
             is_proven: facts.is_proven,
             head,
             decoder,
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -23,14 +23,14 @@
 use super::decide::AdmissionRequest;
 use super::decide::RefusalCause;
 use super::decide::shares::ShareStanding;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::http::EventSplitter;
 use super::http::RequestHead;
 use super::http::WireStream;
 use super::late::ROUTER_FULL;
-use super::late::refusal_when_late;
+use super::late::full_router_refusal;
 use super::load::LagLevel;
-use super::load::is_too_late;
+use super::load::must_refuse_all;
 use super::protocol::CallFacts;
 use super::protocol::CallProtocol;
 use super::relay::BufferedAnswer;
@@ -43,8 +43,9 @@
 use super::routes::RouteEntry;
 use super::routes::RouteTable;
 
-/// Unreachable endpoints after which a call is given up. An address that does not respond costs the
-/// connection timeout, so three of them use up most of an objective.
+/// Attempts that did not reach an endpoint, for any reason, after which a call is given up. An
+/// address that does not respond costs the connection timeout (`connect_timeout_ms`), so three of
+/// them use up most of the latency objective of a generation, about a second.
 const MAX_UNREACHED_ENDPOINTS: usize = 3;
 
 /// What happens to a caller's connection after a call.
@@ -59,7 +60,7 @@
 
 /// Serves one call on a caller's connection.
 pub async fn serve_call<P: CallProtocol>(
-    traffic: &Rc<Traffic<P>>,
+    traffic: &Rc<TrafficState<P>>,
     caller: &mut WireStream,
     head: RequestHead,
     body: Bytes,
@@ -68,10 +69,11 @@
     let _in_flight = traffic.shared.begin_call();
     let arrived = Instant::now();
     // A caller whose connection is closed reconnects, usually to another router.
-    let sheds = traffic.shared.life.draining.is_cancelled() || traffic.shared.is_overloaded();
-    let keep = keep && !sheds;
+    let closes_after_answer =
+        traffic.shared.shutdown_stages.draining.is_cancelled() || traffic.shared.is_overloaded();
+    let keep = keep && !closes_after_answer;
     let Ok(facts) = traffic.protocol.call_facts(&head) else {
-        return reject(
+        return reject_for_good(
             traffic,
             caller,
             "",
@@ -86,23 +88,23 @@
         let reply = unavailable(traffic.shared.config.no_endpoint_retry_ms);
         return refuse(traffic, caller, &id, reply, "no routes yet", keep).await;
     };
-    if is_too_late(traffic, arrived) {
-        let reply = refusal_when_late(traffic, &facts);
+    if must_refuse_all(traffic, arrived) {
+        let reply = full_router_refusal(traffic, &facts);
         return refuse(traffic, caller, &id, reply, ROUTER_FULL, false).await;
     }
-    if traffic.shared.life.closing.is_cancelled() {
+    if traffic.shared.shutdown_stages.closing.is_cancelled() {
         let reply = unavailable(traffic.shared.config.retry_after_ms);
         return refuse(traffic, caller, &id, reply, "shutting down", false).await;
     }
     let route = match find_route(&table, &head, &facts) {
         Ok(route) => route,
         Err((status, cause)) => {
-            return reject(traffic, caller, &id, status, cause, keep).await;
+            return reject_for_good(traffic, caller, &id, status, cause, keep).await;
         }
     };
     let team = facts.credential.as_deref().and_then(|key| table.team(key));
     let Some(service) = route.service(rand::rng().random()) else {
-        return reject(
+        return reject_for_good(
             traffic,
             caller,
             &id,
@@ -165,7 +167,7 @@
 
 /// Makes attempts until one yields the end of the call or no further one is allowed.
 async fn run_attempts<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     table: &Arc<RouteTable>,
@@ -235,7 +237,7 @@
 /// Handles the outcome of an attempt. Returns the end of the call, or `None` if another attempt
 /// follows.
 async fn handle_outcome<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     endpoint: EndpointKey,
@@ -262,6 +264,7 @@
         }
         AttemptOutcome::NotRun(NotRunCause::NotReached | NotRunCause::Gone | NotRunCause::Left) => {
             call.unreached += 1;
+            // Nothing was sent, so a further attempt takes no retry from the budget.
             if call.unreached < MAX_UNREACHED_ENDPOINTS {
                 return None;
             }
@@ -285,9 +288,9 @@
 
 /// Takes a retry from the retry budget. Returns whether the request may be sent to another
 /// endpoint.
-fn reserve_retry<P: CallProtocol>(traffic: &Traffic<P>, call: &CallState) -> bool {
+fn reserve_retry<P: CallProtocol>(traffic: &TrafficState<P>, call: &CallState) -> bool {
     let now = traffic.shared.clock.now();
-    call.has_attempts() && traffic.shared.core().take_retry(now, &call.service)
+    call.has_attempts_left() && traffic.shared.core().take_retry(now, &call.service)
 }
 
 /// Returns whether an answer counts as the endpoint's failure.
@@ -295,16 +298,19 @@
     answer.head.status >= 500 || (answer.head.is_success() && !answer.is_proven)
 }
 
-/// Returns whether callers take this status to mean that the request did not run. Without the
-/// endpoint's proof it must not be passed on for a request that may run at most once: the caller
-/// would send the request again.
+/// Returns whether callers take this status to mean that the request did not run. For a request
+/// that may run at most once, such a status is not passed on: the endpoint did not state that the
+/// request did not run, and the caller would send it again.
 fn implies_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
 /// Passes a complete answer on to the caller.
+///
+/// A stream's run is its execution at one endpoint; the next run continues the stream at another
+/// endpoint, after the last event that the caller has.
 async fn pass_answer<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     answer: BufferedAnswer,
@@ -332,7 +338,7 @@
 
 /// Replies to a call for which no endpoint gave a usable answer.
 async fn give_up<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &CallState,
     cause: &'static str,
@@ -342,7 +348,7 @@
     }
     let reply = if !call.may_have_run {
         let wait = Duration::from_millis(traffic.shared.config.retry_after_ms);
-        OwnReply::later(OwnStatus::Unavailable, spread(wait))
+        OwnReply::with_retry_after(OwnStatus::Unavailable, spread(wait))
     } else if Instant::now() >= call.deadline {
         OwnReply::plain(OwnStatus::GatewayTimeout)
     } else {
@@ -353,7 +359,7 @@
 
 /// Replies to a call that the decision core refused.
 async fn reply_refused<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &CallState,
     cause: RefusalCause,
@@ -380,13 +386,13 @@
         | RefusalCause::OverShare
         | RefusalCause::Quarantined => spread(retry_after.as_duration()),
     };
-    let reply = OwnReply::later(status, wait);
+    let reply = OwnReply::with_retry_after(status, wait);
     send_own_reply(traffic, caller, call, reply, cause.label()).await
 }
 
-/// A 503 reply: the request did not run and may be retried after `wait_ms`.
+/// A 503 reply: the request did not run and may be retried after exactly `wait_ms`, without jitter.
 fn unavailable(wait_ms: u64) -> OwnReply {
-    OwnReply::later(OwnStatus::Unavailable, Duration::from_millis(wait_ms))
+    OwnReply::with_retry_after(OwnStatus::Unavailable, Duration::from_millis(wait_ms))
 }
 
 /// Adds random jitter of up to the same time again, so that callers refused together do not retry
@@ -397,7 +403,7 @@
 
 /// Sends the router's own reply to a call.
 async fn send_own_reply<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &CallState,
     reply: OwnReply,
@@ -412,7 +418,7 @@
 
 /// Replies to a call that is refused before an admission decision, and logs and counts the reply.
 pub async fn refuse<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call_id: &str,
     reply: OwnReply,
@@ -429,7 +435,7 @@
 
 /// Logs and counts the reply to a call that is refused before an admission decision.
 pub fn record_refusal<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     call_id: &str,
     reply: &OwnReply,
     cause: &'static str,
@@ -441,8 +447,8 @@
 }
 
 /// Rejects a call that a retry would not help, with a reply without `Retry-After`.
-pub async fn reject<P: CallProtocol>(
-    traffic: &Traffic<P>,
+pub async fn reject_for_good<P: CallProtocol>(
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call_id: &str,
     status: OwnStatus,
--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -21,7 +21,8 @@
 use super::routes::EndpointEntry;
 use super::routes::EndpointKey;
 
-/// The content of the store's endpoint section at a revision.
+/// The content of the store's endpoint section at a revision, as
+/// [`EndpointView`](super::endpoint_view::EndpointView) passes it to an [`EndpointList`].
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RegisteredEndpoints {
     /// The registered endpoints.
@@ -62,7 +63,8 @@
     pub revision: u64,
 }
 
-/// The endpoints that a router uses.
+/// The endpoints that a router uses: the registered ones, read from the store or received from
+/// another router, and the kept ones.
 ///
 /// Guards against a store that loses registrations during its own outage: all entries lapse at once
 /// although the endpoints work, and are registered again within about two seconds of the store's
@@ -114,12 +116,12 @@
     }
 
     /// Applies the store's content. Returns false if it is older than the list.
-    pub fn advance(&mut self, now: Moment, told: RegisteredEndpoints) -> bool {
+    pub fn apply_store_content(&mut self, now: Moment, content: RegisteredEndpoints) -> bool {
         let RegisteredEndpoints {
             entries,
             unusable,
             as_of,
-        } = told;
+        } = content;
         if as_of < self.as_of {
             return false;
         }
@@ -132,7 +134,7 @@
                     .or_insert(KeptEndpoint { entry, until });
             }
         }
-        // The entry was overwritten with something else, so it did not lapse.
+        // An unusable entry is still in the store, so the endpoint's registration did not lapse.
         self.kept.retain(|key, _| !unusable.contains(key));
         self.prune_kept(now);
         true
@@ -140,13 +142,18 @@
 
     /// Applies the list of another router, requested at `asked`. Returns false if it is older than
     /// this list.
-    pub fn adopt(&mut self, now: Moment, asked: Moment, told: EndpointListMessage) -> bool {
-        let as_of = StoreRevision(told.revision);
+    pub fn apply_peer_list(
+        &mut self,
+        now: Moment,
+        asked: Moment,
+        content: EndpointListMessage,
+    ) -> bool {
+        let as_of = StoreRevision(content.revision);
         if as_of < self.as_of {
             return false;
         }
-        self.replace(told.entries, as_of);
-        for (key, KeptEndpointMessage { entry, left_ms }) in told.kept {
+        self.replace(content.entries, as_of);
+        for (key, KeptEndpointMessage { entry, left_ms }) in content.kept {
             // Counted from the request, the expiry can only be early, by the duration of the
             // exchange.
             let until = asked + TimeSpan::from_millis(left_ms);
@@ -162,11 +169,11 @@
     #[must_use]
     pub fn to_message(&self, now: Moment) -> EndpointListMessage {
         let kept = self.kept.iter().map(|(key, kept)| {
-            let told = KeptEndpointMessage {
+            let content = KeptEndpointMessage {
                 entry: kept.entry.clone(),
                 left_ms: kept.until.since(now).as_millis(),
             };
-            (key.clone(), told)
+            (key.clone(), content)
         });
         EndpointListMessage {
             entries: self.registered.clone(),
@@ -183,8 +190,9 @@
 
     /// Replaces the registered endpoints and returns those that are no longer registered.
     ///
-    /// Guards against a peer that took a late entry of an endpoint's former process for its current
-    /// one: an entry is never replaced by one with an earlier start.
+    /// Guards against an outdated entry from a peer. A late write of an endpoint's former process
+    /// may replace the current entry in the store; a peer that did not know the current process
+    /// accepts it. An entry is therefore never replaced by one with an earlier start.
     fn replace(
         &mut self,
         entries: BTreeMap<EndpointKey, EndpointEntry>,
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -24,7 +24,7 @@
 use super::http::WireStream;
 use super::http::framing::expects_continue;
 use super::http::head::has_connection_option;
-use super::load::CallerTable;
+use super::load::CallerLoad;
 use super::load::watch_load;
 use super::pool::EndpointPool;
 use super::protocol::CallProtocol;
@@ -37,9 +37,10 @@
 /// Interval between two sweeps of the idle connections to endpoints.
 const SWEEP_PAUSE: Duration = Duration::from_secs(1);
 
-/// State that all tasks of the traffic thread share.
+/// State that all tasks of the traffic thread share. That thread serves callers; the control thread
+/// does all other work.
 #[derive(Debug)]
-pub struct Traffic<P> {
+pub struct TrafficState<P> {
     /// State shared with the control thread.
     pub shared: Arc<SharedState>,
     /// Decodes and writes the deployment's headers.
@@ -47,15 +48,15 @@
     /// Idle connections to endpoints.
     pub pool: EndpointPool,
     /// Open connections of callers.
-    pub callers: CallerTable,
+    pub callers: CallerLoad,
 }
 
 /// Accepts and serves callers until the router stops.
 pub async fn serve_callers<P: CallProtocol>(
-    traffic: Rc<Traffic<P>>,
+    traffic: Rc<TrafficState<P>>,
     listener: AsyncFd<TcpListener>,
 ) {
-    let ended = traffic.shared.life.ended.clone();
+    let ended = traffic.shared.shutdown_stages.ended.clone();
     spawn_local(sweep_pool(Rc::clone(&traffic)));
     spawn_local(watch_load(Rc::clone(&traffic)));
     spawn_local(accept_callers(traffic, listener));
@@ -63,14 +64,14 @@
 }
 
 /// Drops pooled connections that expired or whose endpoint restarted, left or is unregistered.
-async fn sweep_pool<P: CallProtocol>(traffic: Rc<Traffic<P>>) {
+async fn sweep_pool<P: CallProtocol>(traffic: Rc<TrafficState<P>>) {
     loop {
         sleep(SWEEP_PAUSE).await;
         let core = traffic.shared.core();
-        traffic.pool.sweep(|life| {
+        traffic.pool.sweep(|process| {
             core.endpoints
-                .get(&life.key)
-                .is_some_and(|row| row.entry.born == life.born && !row.announced_leaving())
+                .get(&process.key)
+                .is_some_and(|row| row.entry.born == process.born && !row.announced_leaving())
         });
     }
 }
@@ -83,9 +84,10 @@
     _memory: Option<MemoryGuard>,
 }
 
-/// Why no request was read.
+/// Why no request was read. In both cases the connection is closed.
 enum ReadEnd {
-    /// The connection ended or is to be closed; no reply is due.
+    /// The connection ended, was idle for too long, or is idle while descriptors are scarce or the
+    /// router shuts down; no reply is sent.
     NoReply,
     /// The router replies and closes the connection; the second value is the logged cause.
     Reply(OwnReply, &'static str),
@@ -98,7 +100,7 @@
 }
 
 /// Serves the calls of one connection. Its buffer may already hold the start of the first request.
-pub async fn serve_connection<P: CallProtocol>(traffic: Rc<Traffic<P>>, caller: WireStream) {
+pub async fn serve_connection<P: CallProtocol>(traffic: Rc<TrafficState<P>>, caller: WireStream) {
     let mut caller = caller.metered(&traffic.shared.link);
     let _open = traffic.callers.open();
     loop {
@@ -133,7 +135,7 @@
 
 /// Reads one request: waits for it to begin, then reads its head and its body.
 async fn read_request<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
 ) -> Result<ReadRequest, ReadEnd> {
     let shared = &traffic.shared;
@@ -157,7 +159,7 @@
 
 /// Waits for the first byte of a request on an idle connection.
 async fn wait_for_request<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
 ) -> Result<(), ReadEnd> {
     let shared = &traffic.shared;
@@ -166,7 +168,7 @@
         read = caller.fill() => read,
         () = sleep(idle) => return Err(ReadEnd::NoReply),
         () = traffic.callers.idle_too_long(Instant::now()) => return Err(ReadEnd::NoReply),
-        () = shared.life.closing.cancelled() => return Err(ReadEnd::NoReply),
+        () = shared.shutdown_stages.closing.cancelled() => return Err(ReadEnd::NoReply),
     };
     match read {
         Ok(0) | Err(_) => Err(ReadEnd::NoReply),
@@ -249,7 +251,7 @@
 fn no_memory(shared: &SharedState) -> ReadEnd {
     let wait = Duration::from_millis(shared.config.retry_after_ms);
     ReadEnd::Reply(
-        OwnReply::later(OwnStatus::Unavailable, wait),
+        OwnReply::with_retry_after(OwnStatus::Unavailable, wait),
         "no memory for bodies",
     )
 }
--- a/src/gateway/http/head.rs
+++ b/src/gateway/http/head.rs
@@ -34,7 +34,8 @@
 /// Why a head is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeadFault {
-    /// Not HTTP/1.1, or a form that parsers read differently (bare line feeds, folded lines).
+    /// Not HTTP/1.1 (or, in answers, 1.0), more than `MAX_FIELDS` fields, or a form that parsers
+    /// read differently (bare line feeds, folded lines).
     Malformed,
     /// The head is longer than allowed.
     TooLarge,
@@ -68,7 +69,7 @@
     /// Fields in the order sent.
     pub fields: Vec<HeaderField>,
     /// Whether the sender uses HTTP/1.0, which closes the connection after each answer.
-    pub old: bool,
+    pub is_http_10: bool,
 }
 
 /// The first field with this name.
@@ -197,7 +198,7 @@
         Ok(Some(Self {
             status,
             fields: copy_fields(&head, parsed.headers),
-            old: version == 0,
+            is_http_10: version == 0,
         }))
     }
 
--- a/src/gateway/late.rs
+++ b/src/gateway/late.rs
@@ -1,23 +1,28 @@
-//! Refusal of calls that arrive while this router is too late.
+//! Refusal of calls that arrive while this router must refuse all calls: it lags too much, or
+//! almost all its descriptors are in use.
 //!
 //! Load pattern: a team sends many times its usual load through one small host, which falls behind
-//! for seconds and refuses all calls. The team's account counts the refused calls all the same.
+//! for seconds and refuses all calls. The refused calls are still counted in the team's account,
+//! the decision core's counts of each team's demand for the logs.
 
 use std::time::Duration;
 
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::protocol::CallFacts;
 use super::protocol::CallProtocol;
 use super::reply::OwnReply;
 use super::reply::OwnStatus;
 
-/// Cause of the refusal in logs and metrics.
+/// Cause of the refusal in logs and metrics; it covers both lag and lack of descriptors.
 pub const ROUTER_FULL: &str = "router is full";
 
-/// Counts a call that this router is too late for in its team's account, and returns the refusal.
+/// Counts a call that this router must refuse in its team's account, and returns the refusal.
 ///
-/// Without the count the team would seem, by the logs, to ask for nothing while its router is late.
-pub fn refusal_when_late<P: CallProtocol>(traffic: &Traffic<P>, facts: &CallFacts) -> OwnReply {
+/// Without the count the logs would show no demand of the team while its router refuses all calls.
+pub fn full_router_refusal<P: CallProtocol>(
+    traffic: &TrafficState<P>,
+    facts: &CallFacts,
+) -> OwnReply {
     let shared = &traffic.shared;
     let table = shared.routes();
     let key = facts.credential.as_deref();
@@ -28,5 +33,5 @@
         shared.core().refused_late(team, prompt);
     }
     let wait = Duration::from_millis(shared.config.elsewhere_retry_ms);
-    OwnReply::later(OwnStatus::Unavailable, wait)
+    OwnReply::with_retry_after(OwnStatus::Unavailable, wait)
 }
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 use super::accept_queue::AcceptQueue;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::link::LinkUse;
 
 /// Interval between two load checks.
@@ -24,7 +24,7 @@
 /// Descriptors reserved for files, listeners, peers and the store, out of the process's limit.
 const OTHER_DESCRIPTORS: usize = 300;
 
-/// Divisor of the descriptor limit that gives the most idle connections to endpoints.
+/// The pool may hold one idle connection to an endpoint for every eight descriptors of the limit.
 pub const IDLE_DIVISOR: usize = 8;
 
 /// Use of descriptors, of the link or of the allowed lag above which the router is overloaded, in
@@ -43,13 +43,14 @@
 /// callers send their next request sooner.
 const SCARCE_IDLE: Duration = Duration::from_millis(500);
 
-/// Lag above which calls of teams over their share are refused without placing them, in ms. These
-/// calls cause most of a router's lag, and each placement costs processor time.
+/// Momentary lag above which calls of teams over their share are refused without placing them, in
+/// ms. These calls cause most of a router's lag, and each placement costs processor time.
 const OVER_SHARE_LAG_MS: f64 = 60.0;
 
-/// Lag above which all calls are refused, in ms. A lagging router also notices late that a caller
-/// has left, and endpoints keep working in vain; a refusal sends the caller to another router at
-/// once. A fraction of the half second within which such work has to end.
+/// Momentary lag above which all calls are refused, in ms. A lagging router also notices late that
+/// a caller has left, and endpoints keep working in vain; a refusal sends the caller to another
+/// router at once. An endpoint's work for a caller that has left has to end within half a second;
+/// the lag may use up only a fraction of that.
 const REFUSE_ALL_LAG_MS: f64 = 150.0;
 
 /// Cap on the lag counted for a standing accept queue, in ms. The queue may stand for seconds while
@@ -58,8 +59,8 @@
 const MAX_STANDING_MS: f64 = 2.0 * REFUSE_ALL_LAG_MS;
 
 /// Use of the link above which this router's measurements of endpoints are distorted by its own
-/// delay, in percent. If calls arrive in bursts, a half-full link already builds up a queue as long
-/// as the prefill of a prompt.
+/// delay, in percent. If calls arrive in bursts, a link that is half full on average already delays
+/// packets by as much time as the prefill of a prompt takes.
 const DISTURBED_LINK_PERCENT: usize = 50;
 
 /// Lag above which this router's measurements of endpoints are distorted by its own delay, in ms: a
@@ -96,18 +97,18 @@
 
 /// Returns whether all calls must be refused now: descriptors are used up or the lag is too high.
 #[must_use]
-pub fn is_too_late<P>(traffic: &Traffic<P>, now: Instant) -> bool {
+pub fn must_refuse_all<P>(traffic: &TrafficState<P>, now: Instant) -> bool {
     is_full(traffic) || traffic.callers.lag(now) == LagLevel::TooLate
 }
 
 /// Returns whether too few descriptors are left for another call.
-fn is_full<P>(traffic: &Traffic<P>) -> bool {
+fn is_full<P>(traffic: &TrafficState<P>) -> bool {
     let descriptors = traffic.shared.config.descriptors;
     descriptor_use(traffic).percent(descriptors) > REFUSE_PERCENT
 }
 
 /// Counts the descriptors in use.
-fn descriptor_use<P>(traffic: &Traffic<P>) -> DescriptorUse {
+fn descriptor_use<P>(traffic: &TrafficState<P>) -> DescriptorUse {
     DescriptorUse {
         callers: traffic.callers.count(),
         calls: traffic.shared.in_flight(),
@@ -115,9 +116,10 @@
     }
 }
 
-/// Open connections of callers and the lag of the traffic thread.
+/// Load that callers put on the router: their open connections, and the momentary lag of the
+/// traffic thread.
 #[derive(Debug, Default)]
-pub struct CallerTable {
+pub struct CallerLoad {
     count: Cell<usize>,
     /// Delay of the timer at the last load check, in ms.
     timer_delay_ms: Cell<f64>,
@@ -125,7 +127,7 @@
     scarce: Notify,
 }
 
-impl CallerTable {
+impl CallerLoad {
     /// Counts a connection until the guard is dropped.
     pub fn open(&self) -> CallerGuard<'_> {
         self.count.set(self.count.get() + 1);
@@ -135,13 +137,13 @@
     /// The router's current lag level.
     #[must_use]
     pub fn lag(&self, now: Instant) -> LagLevel {
-        LagLevel::of(self.late_ms(now))
+        LagLevel::of(self.momentary_lag_ms(now))
     }
 
-    /// The router's lag, in ms: the delay of timers or of accepting connections, whichever is
-    /// larger.
-    fn late_ms(&self, now: Instant) -> f64 {
-        let standing_ms = self.queue.get().standing(now).as_secs_f64() * 1e3;
+    /// The router's momentary lag, in ms: the delay of timers or of accepting connections,
+    /// whichever is larger. Refusals go by this value; overload goes by its moving average.
+    fn momentary_lag_ms(&self, now: Instant) -> f64 {
+        let standing_ms = self.queue.get().non_empty_for(now).as_secs_f64() * 1e3;
         self.timer_delay_ms
             .get()
             .max(standing_ms.min(MAX_STANDING_MS))
@@ -165,8 +167,8 @@
         self.count.get()
     }
 
-    /// Resolves when descriptors are scarce and a connection that is idle since `since` is to be
-    /// closed.
+    /// Resolves when a connection that has been idle since `since` is to be closed because
+    /// descriptors are scarce.
     pub async fn idle_too_long(&self, since: Instant) {
         loop {
             self.scarce.notified().await;
@@ -180,7 +182,7 @@
 /// Counts an open connection of a caller until it is dropped.
 #[derive(Debug)]
 pub struct CallerGuard<'a> {
-    table: &'a CallerTable,
+    table: &'a CallerLoad,
 }
 
 impl Drop for CallerGuard<'_> {
@@ -190,7 +192,7 @@
 }
 
 /// Checks the load at regular intervals until the router stops.
-pub async fn watch_load<P>(traffic: Rc<Traffic<P>>) {
+pub async fn watch_load<P>(traffic: Rc<TrafficState<P>>) {
     let shared = &traffic.shared;
     let mut link = LinkUse::default();
     let mut last_check = Instant::now();
@@ -200,7 +202,7 @@
         sleep(LOAD_CHECK_INTERVAL).await;
         let late = Instant::now().saturating_duration_since(due).as_secs_f64() * 1e3;
         traffic.callers.timer_delay_ms.set(late);
-        let late = traffic.callers.late_ms(Instant::now());
+        let late = traffic.callers.momentary_lag_ms(Instant::now());
         lag_ms += LAG_SAMPLE_WEIGHT * (late - lag_ms);
         let was_overloaded = shared.is_overloaded();
         let used = descriptor_use(&traffic);
@@ -223,7 +225,7 @@
         );
         if is != was_overloaded {
             let DescriptorUse { callers, calls, .. } = used;
-            let (received, sent) = link.both();
+            let (received, sent) = link.percent_by_direction();
             spdlog::warn!(
                 "gateway: overloaded={is} descriptors_percent={percent} callers={callers} \
                  calls={calls} lag_ms={lag_ms:.0} link_in_percent={received} \
@@ -247,12 +249,12 @@
 }
 
 impl LagLevel {
-    /// The level for a lag of `late_ms`.
+    /// The level for a lag of `momentary_lag_ms`.
     #[must_use]
-    pub fn of(late_ms: f64) -> Self {
-        if late_ms > REFUSE_ALL_LAG_MS {
+    pub fn of(momentary_lag_ms: f64) -> Self {
+        if momentary_lag_ms > REFUSE_ALL_LAG_MS {
             Self::TooLate
-        } else if late_ms > OVER_SHARE_LAG_MS {
+        } else if momentary_lag_ms > OVER_SHARE_LAG_MS {
             Self::Late
         } else {
             Self::InTime
@@ -261,7 +263,8 @@
 }
 
 /// Returns whether the router is overloaded and should get fewer callers. `percent` is the use of
-/// descriptors or of the link, and `max_lag_ms` the lag that counts as 100 percent.
+/// descriptors or of the link, `lag_ms` the moving average of the lag, and `max_lag_ms` the lag
+/// that counts as 100 percent.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn is_overloaded(percent: usize, lag_ms: f64, max_lag_ms: u64, was_overloaded: bool) -> bool {
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -25,7 +25,7 @@
     call_seconds: Histogram<f64>,
     team_tokens: Counter<u64>,
     endpoint_connections: Counter<u64>,
-    endpoint_words: Counter<u64>,
+    endpoint_announcements: Counter<u64>,
     store_failures: Counter<u64>,
     _provider: SdkMeterProvider,
 }
@@ -70,7 +70,7 @@
                 .u64_counter("verbenaturn_gateway_endpoint_connections")
                 .with_description("Connections opened to endpoints.")
                 .build(),
-            endpoint_words: meter
+            endpoint_announcements: meter
                 .u64_counter("verbenaturn_gateway_endpoint_words")
                 .with_description("Answers in which endpoints say something of themselves.")
                 .build(),
@@ -91,8 +91,8 @@
         self.call_seconds.record(total.as_secs_f64(), &[route]);
     }
 
-    /// Counts the tokens that a generation counts against its team's share. The library limits the
-    /// number of teams with a series of their own.
+    /// Adds a generation's tokens, as they count against its team's share, to the team's series.
+    /// The metrics library limits how many teams have a series of their own.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn team_tokens(&self, team: &str, standing: &'static str, was_sent: bool, tokens: f64) {
         let team = KeyValue::new("team", team.to_owned());
@@ -108,8 +108,9 @@
     }
 
     /// Counts an answer in which an endpoint announces that it leaves or wants a pause.
-    pub fn endpoint_word(&self, word: &'static str) {
-        self.endpoint_words.add(1, &[KeyValue::new("word", word)]);
+    pub fn endpoint_announcement(&self, word: &'static str) {
+        self.endpoint_announcements
+            .add(1, &[KeyValue::new("word", word)]);
     }
 
     /// Counts a failed call to the store.
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -54,7 +54,7 @@
         self.count.get()
     }
 
-    /// Takes a clean idle connection to an endpoint, if there is one.
+    /// Takes a usable idle connection to an endpoint, if there is one.
     ///
     /// Guards against delivering the answer of another request: a connection that was closed or
     /// has bytes to read is dropped.
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Drops expired connections and all connections to endpoints that are not `known`.
+    /// Drops expired connections and all connections to endpoint processes for which `known`
+    /// returns false.
     pub fn sweep(&self, known: impl Fn(&EndpointProcess) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
@@ -97,14 +98,14 @@
 }
 
 /// How long a connection may be idle after this answer before it is reused; `None` if it must not
-/// be reused. `unstated` applies if the endpoint states no limit.
+/// be reused. `default_limit` applies if the endpoint states no limit.
 #[must_use]
-pub fn reuse_limit(head: &ResponseHead, unstated: Duration) -> Option<Duration> {
-    if head.old || has_connection_option(&head.fields, "close") {
+pub fn reuse_limit(head: &ResponseHead, default_limit: Duration) -> Option<Duration> {
+    if head.is_http_10 || has_connection_option(&head.fields, "close") {
         return None;
     }
     let stated = head.text("keep-alive").and_then(keep_alive_timeout);
-    Some(stated.map_or(unstated, |limit| limit.saturating_sub(IDLE_MARGIN)))
+    Some(stated.map_or(default_limit, |limit| limit.saturating_sub(IDLE_MARGIN)))
 }
 
 /// The timeout in a `Keep-Alive` header.
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -38,12 +38,12 @@
 use super::follow::StateStore;
 use super::follow::follow_section;
 use super::freshness;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::front::serve_callers;
 use super::gossip::GossipPlan;
 use super::gossip::run_gossip;
 use super::handover::serve_state;
-use super::load::CallerTable;
+use super::load::CallerLoad;
 use super::load::IDLE_DIVISOR;
 use super::metrics::GatewayMetrics;
 use super::pool::EndpointPool;
@@ -55,8 +55,8 @@
 /// Interval at which the drain checks whether the last call has ended.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// Length of the accept queue: the connections that the smallest host refuses in half a second. A
-/// client that finds the queue full retries after a second or gives up.
+/// Length of the accept queue: as many connections as the smallest host can refuse in half a
+/// second. The system of a client that finds the queue full retries after a second or gives up.
 const LISTEN_BACKLOG: i32 = 2_048;
 
 /// An error that keeps the gateway from starting.
@@ -183,8 +183,8 @@
     ended.change_context(GatewayError::at("control"))
 }
 
-/// Logs the longest time until a change is in force, with a warning if it exceeds the operator's
-/// bound.
+/// Logs the longest time until a published change is in force at all routers (`news_ms`), with a
+/// warning if it exceeds the operator's bound.
 fn log_freshness(config: &GatewayConfig) {
     let bound = freshness::bound(config).as_millis();
     let news = freshness::max_propagation_time(config).as_millis();
@@ -222,11 +222,11 @@
         )]
         let listener = AsyncFd::with_interest(listener, Interest::READABLE)?;
         let idle = self.shared.config.descriptors / IDLE_DIVISOR;
-        let traffic = Rc::new(Traffic {
+        let traffic = Rc::new(TrafficState {
             shared: self.shared,
             protocol: self.protocol,
             pool: EndpointPool::new(idle),
-            callers: CallerTable::default(),
+            callers: CallerLoad::default(),
         });
         serve_callers(traffic, listener).await;
         Ok(())
@@ -283,9 +283,9 @@
     let linger = begun + Duration::from_millis(shared.config.linger_ms);
     let grace = begun + Duration::from_millis(shared.config.grace_ms);
     spdlog::info!("daemon: drain begins in_flight={}", shared.in_flight());
-    shared.life.draining.cancel();
+    shared.shutdown_stages.draining.cancel();
     sleep_until(linger).await;
-    shared.life.closing.cancel();
+    shared.shutdown_stages.closing.cancel();
     while shared.in_flight() > 0 && Instant::now() < grace {
         sleep(DRAIN_POLL).await;
     }
@@ -293,7 +293,7 @@
     spdlog::info!("daemon: drain ends cut={cut}");
     // Lets the last bytes be sent before the process exits.
     sleep(DRAIN_POLL).await;
-    shared.life.ended.cancel();
+    shared.shutdown_stages.ended.cancel();
 }
 
 /// Reloads the settings. Only the log level takes effect; addresses and limits need a restart, and
--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -3,7 +3,8 @@
 //! Load pattern: a store whose calls are rate-limited and billed over all routers together, with
 //! fleets of any size. A few routers read it and send what they read to the others. The election
 //! needs no messages of its own: each router decides from the digests, which report who is in
-//! contact with the store.
+//! contact with the store. All routers share the same order, that of the hashes of their IP
+//! addresses; those that come first in it are the candidates.
 
 use crate::units::Moment;
 use crate::units::TimeSpan;
@@ -17,7 +18,8 @@
 /// fleet gets no changes until others have connected.
 const MIN_IN_CONTACT: usize = 2;
 
-/// Time with fewer than `MIN_IN_CONTACT` routers in contact after which the number of candidates doubles.
+/// Time with fewer than `MIN_IN_CONTACT` routers in contact after which the number of candidates
+/// doubles.
 const DOUBLING_PAUSE: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// Most doublings of the number of candidates.
@@ -49,7 +51,7 @@
     /// Those of them that come before it in the shared order.
     pub contact_before: usize,
     /// Other routers that come before it in the shared order and have not tried to read the store.
-    pub idle_before: usize,
+    pub untried_before: usize,
 }
 
 /// The state of one router's decision whether to read the store.
@@ -78,7 +80,7 @@
     /// A router that is in contact remains a reader until enough routers before it in the order are
     /// in contact too, so that readers change only when needed: each new reader reads the whole
     /// store once.
-    pub fn reads(&mut self, now: Moment, election_input: ElectionInput) -> bool {
+    pub fn should_read(&mut self, now: Moment, election_input: ElectionInput) -> bool {
         let contact_count = election_input.contact_count + usize::from(election_input.in_touch);
         if contact_count >= MIN_IN_CONTACT {
             self.sufficient_at = now;
@@ -94,14 +96,14 @@
         }
         // Routers that the store refuses report it, and the next ones in the order try instead.
         let wanted = (READERS - contact_count) << self.doublings(now, contact_count);
-        election_input.failing < MAX_FAILING && election_input.idle_before < wanted
+        election_input.failing < MAX_FAILING && election_input.untried_before < wanted
     }
 
     /// Returns how often the number of candidates is doubled.
     ///
     /// Guards against a store that stops responding to all readers at once: the next three routers
-    /// in the order may be affected too, and each of them notices only by its timeout. With no
-    /// router in contact, twice as many try from the start.
+    /// in the order may get no response either, and each of them notices that only by its timeout.
+    /// With no router in contact, twice as many try from the start.
     fn doublings(&self, now: Moment, contact_count: usize) -> u32 {
         let at_once = u32::from(contact_count == 0);
         let pauses = now.since(self.sufficient_at).0 / DOUBLING_PAUSE.0;
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -36,6 +36,8 @@
     }
 }
 
+/// Serves the requests of one connection, a readiness probe's or a metrics scrape's. The path is
+/// not checked.
 async fn serve_probe_connection(shared: Arc<SharedState>, stream: TcpStream, kind: ListenerKind) {
     let mut client = WireStream::new(stream);
     loop {
@@ -82,6 +84,6 @@
 /// draining nor overloaded.
 #[must_use]
 pub fn is_ready(shared: &SharedState) -> bool {
-    let stays = !shared.life.draining.is_cancelled();
+    let stays = !shared.shutdown_stages.draining.is_cancelled();
     shared.routes().is_some() && stays && !shared.is_overloaded()
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -16,7 +16,7 @@
 use super::attempt::read_or_interrupt;
 use super::call_state::CallState;
 use super::decide::AttemptTicket;
-use super::front::Traffic;
+use super::front::TrafficState;
 use super::http::ResponseHead;
 use super::http::WireStream;
 use super::protocol::CallProtocol;
@@ -26,8 +26,8 @@
 use super::reply::push_chunk;
 
 /// Silence in the middle of a stream after which its connection counts as dead. Callers give up a
-/// stream after 2 s or more, so a resumed run must start before that; a working engine is silent
-/// for far less than a second.
+/// stream after a silence of 2 s or more, so another endpoint must continue it before that; a
+/// working engine is silent for far less than a second.
 const STREAM_STALL: Duration = Duration::from_millis(1_500);
 
 /// A complete answer that is not a stream.
@@ -37,14 +37,15 @@
     pub head: ResponseHead,
     /// The answer's body.
     pub body: Bytes,
-    /// Whether the endpoint proves that it made the answer.
+    /// Whether the endpoint proves that it made the answer, see
+    /// [`is_proven`](super::protocol::AnswerFacts::is_proven).
     pub is_proven: bool,
 }
 
-/// Relays an answer: a stream is passed on as it arrives, any other answer is collected and
-/// returned. A connection that can be reused goes back to the pool.
+/// Relays an answer: a successful answer of a streaming route is passed on as it arrives, any other
+/// answer is collected and returned. A connection that can be reused goes back to the pool.
 pub async fn pass_on<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     ticket: &mut AttemptTicket,
@@ -76,7 +77,7 @@
 
 /// Collects an answer that is not a stream.
 async fn collect_answer<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &CallState,
     ticket: &AttemptTicket,
@@ -118,7 +119,7 @@
 
 /// Passes a stream on to the caller, event by event.
 async fn relay_stream<P: CallProtocol>(
-    traffic: &Traffic<P>,
+    traffic: &TrafficState<P>,
     caller: &mut WireStream,
     call: &mut CallState,
     ticket: &mut AttemptTicket,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -72,16 +72,19 @@
     pub is_failing: bool,
 }
 
-/// When other routers were last known to be in contact with the store, and when none was.
+/// Contact of the other routers with the store, as known from gossip.
 #[derive(Debug, Default)]
 struct PeerStoreContact {
+    /// When at least one other router was last in contact.
     last_in_contact: Option<Moment>,
+    /// When last no other router was in contact.
     last_out_of_contact: Option<Moment>,
-    /// When contact was regained after a time in which no router had any.
+    /// When contact was last regained after a time in which no other router had any.
     regained: Option<Moment>,
 }
 
-/// State shared by both threads. Locks are held for one decision at a time.
+/// State shared by the control thread and the traffic thread. A lock is held for one read or change
+/// only, never across an await.
 #[derive(Debug)]
 pub struct SharedState {
     core: Mutex<GatewayCore>,
@@ -96,7 +99,7 @@
     /// Settings of the gateway's decisions.
     pub config: GatewayConfig,
     /// Stages of the shutdown.
-    pub life: ShutdownStages,
+    pub shutdown_stages: ShutdownStages,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
     /// Traffic of this process on its host's link.
@@ -121,7 +124,7 @@
             peer_contact: Mutex::default(),
             clock: MonotonicClock::start(),
             config,
-            life: ShutdownStages::new(),
+            shutdown_stages: ShutdownStages::new(),
             metrics,
             link: Arc::default(),
             in_flight: AtomicUsize::new(0),
@@ -131,30 +134,34 @@
         }
     }
 
-    /// Locks the decision core. It stays usable after a panic elsewhere: each change is complete in
-    /// itself.
+    /// Locks the decision core. It stays usable after a panic of a thread that held the lock: each
+    /// change is complete in itself, so only the change that panicked may be missing in part.
     pub fn core(&self) -> MutexGuard<'_, GatewayCore> {
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Applies what an endpoint announced in an answer.
-    pub fn apply_endpoint_announcement(&self, entry: &EndpointEntry, words: EndpointAnnouncement) {
-        if words == EndpointAnnouncement::default() {
+    pub fn apply_endpoint_announcement(
+        &self,
+        entry: &EndpointEntry,
+        announcement: EndpointAnnouncement,
+    ) {
+        if announcement == EndpointAnnouncement::default() {
             return;
         }
-        let is_news = self
-            .core()
-            .endpoints
-            .apply_announcement(self.clock.now(), entry, words);
+        let is_news =
+            self.core()
+                .endpoints
+                .apply_announcement(self.clock.now(), entry, announcement);
         let (key, born) = (&entry.key, entry.born);
-        if words.is_leaving {
-            self.metrics.endpoint_word("leaving");
+        if announcement.is_leaving {
+            self.metrics.endpoint_announcement("leaving");
         }
         if is_news {
             spdlog::info!("endpoint: key={key} born={born} said=leaving");
         }
-        if let Some(pause) = words.pause {
-            self.metrics.endpoint_word("pause");
+        if let Some(pause) = announcement.pause {
+            self.metrics.endpoint_announcement("pause");
             let pause_ms = pause.as_millis();
             spdlog::info!("endpoint: key={key} born={born} said=pause pause_ms={pause_ms}");
         }
@@ -181,16 +188,16 @@
     }
 
     /// Puts the store's endpoints in force. Returns false if they are older than the current ones.
-    pub fn offer_endpoints(&self, told: RegisteredEndpoints) -> bool {
+    pub fn offer_endpoints(&self, received: RegisteredEndpoints) -> bool {
         let now = self.clock.now();
-        self.change_endpoints(now, |list| list.advance(now, told))
+        self.change_endpoints(now, |list| list.apply_store_content(now, received))
     }
 
     /// Puts in force the endpoint list of another router, requested at `asked`. Returns false if it
     /// is older than the current one.
-    pub fn adopt_endpoints(&self, asked: Moment, told: EndpointListMessage) -> bool {
+    pub fn adopt_endpoints(&self, asked: Moment, received: EndpointListMessage) -> bool {
         let now = self.clock.now();
-        self.change_endpoints(now, |list| list.adopt(now, asked, told))
+        self.change_endpoints(now, |list| list.apply_peer_list(now, asked, received))
     }
 
     /// Drops kept endpoints that have expired.
@@ -205,11 +212,11 @@
         }
     }
 
-    /// Records that the store came back after an outage for all routers, which this router noticed
-    /// at `since`. Lapsed registrations are restored within seconds of the store's return, which
-    /// may be before this router reaches it: an endpoint that leaves the list after that has really
-    /// left.
-    pub fn store_returned(&self, since: Moment) {
+    /// Records that the store came back after an outage for all routers, the start of which this
+    /// router noticed at `since`. Lapsed registrations are restored within seconds of the store's
+    /// return, which may be before this router reaches it: an endpoint that leaves the list after
+    /// that has really left.
+    pub fn outage_ended(&self, since: Moment) {
         let now = self.clock.now();
         let returned = self.peers_regained_contact(since).unwrap_or(now).min(now);
         let grace = TimeSpan::from_millis(self.config.lapse_grace_ms);
@@ -366,13 +373,13 @@
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Returns true if this router has more work than it can do in time.
+    /// Returns true if this router should get fewer callers, see [`super::load::is_overloaded`].
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
         self.overloaded.load(Ordering::Relaxed)
     }
 
-    /// Records whether this router has more work than it can do in time.
+    /// Records whether this router should get fewer callers, see [`super::load::is_overloaded`].
     pub fn set_overloaded(&self, overloaded: bool) {
         self.overloaded.store(overloaded, Ordering::Relaxed);
     }
--- a/tests/gateway_readers.rs
+++ b/tests/gateway_readers.rs
@@ -86,7 +86,7 @@
             election_input.failing += usize::from(is_failing);
             election_input.failing_before += usize::from(is_failing && index < own);
             let is_idle = !touch[index] && !is_failing;
-            election_input.idle_before += usize::from(is_idle && index < own);
+            election_input.untried_before += usize::from(is_idle && index < own);
         }
         election_input
     }
@@ -101,7 +101,9 @@
                     continue;
                 }
                 let election_input = self.election_input(index, &touch);
-                let reads = self.routers[index].election.reads(now, election_input);
+                let reads = self.routers[index]
+                    .election
+                    .should_read(now, election_input);
                 let reachable = self.store_is_up && !self.refused.contains(&index);
                 let router = &mut self.routers[index];
                 router.reads_since = reads.then(|| router.reads_since.unwrap_or(self.round));
@@ -195,16 +197,16 @@
 fn when_no_router_is_in_contact_six_try_at_once() {
     let wanted = |contact_count: usize| {
         (0..12)
-            .filter(|idle_before| {
+            .filter(|untried_before| {
                 let mut election = ReaderElection::new(ms(0), TimeSpan(0));
                 let election_input = |contact_count| ElectionInput {
                     contact_count,
-                    idle_before: *idle_before,
+                    untried_before: *untried_before,
                     ..ElectionInput::default()
                 };
                 // Enough routers have been in contact until now.
-                election.reads(ms(1_000), election_input(3));
-                election.reads(ms(1_100), election_input(contact_count))
+                election.should_read(ms(1_000), election_input(3));
+                election.should_read(ms(1_100), election_input(contact_count))
             })
             .count()
     };
