--- a/src/gateway/http/head.rs
+++ b/src/gateway/http/head.rs
@@ -69,7 +69,7 @@
     /// Fields in the order sent.
     pub fields: Vec<HeaderField>,
     /// Whether the sender uses HTTP/1.0, which closes the connection after each answer.
-    pub is_http_10: bool,
+    pub old: bool,
 }
 
 /// The first field with this name.
@@ -198,7 +198,7 @@
         Ok(Some(Self {
             status,
             fields: copy_fields(&head, parsed.headers),
-            is_http_10: version == 0,
+            old: version == 0,
         }))
     }
 
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -101,7 +101,7 @@
 /// be reused. `default_limit` applies if the endpoint states no limit.
 #[must_use]
 pub fn reuse_limit(head: &ResponseHead, default_limit: Duration) -> Option<Duration> {
-    if head.is_http_10 || has_connection_option(&head.fields, "close") {
+    if head.old || has_connection_option(&head.fields, "close") {
         return None;
     }
     let stated = head.text("keep-alive").and_then(keep_alive_timeout);
