--- a/src/gateway/decide/accounts.rs
+++ b/src/gateway/decide/accounts.rs
@@ -1,17 +1,18 @@
 //! Per-second counts of what teams asked for, what was sent to endpoints and what failed.
 //!
 //! Load pattern: a few teams exceed their shares through many routers, and an operator later needs
-//! to know what each of them got in which second. Rates over the share window can't be split into
-//! seconds again, and log lines of single calls are left out at peak load; exact counts per second
-//! can be summed over all routers.
+//! to know what each of them got in which second. Rates over the share window ([`super::shares`]),
+//! which is several seconds long, can't be split into seconds again, and log lines of single calls
+//! are left out at peak load; exact counts per second can be summed over all routers.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use super::super::routes::TeamKey;
 
-/// Most teams in a log line, those with the highest demand first. More teams than exceed their
-/// shares at a time, and few enough for a line of one kilobyte.
+/// Maximum number of teams in a log line, those with the highest demand first. It is higher than
+/// the number of teams that exceed their shares at the same time, and low enough for a line of one
+/// kilobyte.
 const MAX_TEAMS_LOGGED: usize = 16;
 
 /// Counts of one team.
@@ -29,6 +30,7 @@
 #[derive(Debug, Default)]
 pub struct TeamAccounts {
     rows: BTreeMap<TeamKey, TeamAccount>,
+    /// Size of the largest single request, in tokens.
     largest: f64,
 }
 
@@ -37,13 +39,13 @@
         self.rows.entry(team.clone()).or_default()
     }
 
-    /// Counts an arriving request.
+    /// Counts the demand of an arriving request, in tokens.
     pub fn ask(&mut self, team: &TeamKey, tokens: f64) {
         self.row(team).asked += tokens;
         self.largest = self.largest.max(tokens);
     }
 
-    /// Counts a request that was sent to an endpoint.
+    /// Counts a request that was sent to an endpoint, in tokens.
     pub fn send(&mut self, team: &TeamKey, tokens: f64) {
         self.row(team).sent += tokens;
     }
@@ -68,10 +70,12 @@
     }
 }
 
-/// The counts as formatted in the log: `flows=TEAM:ASKED:SENT:SHORT,...`.
+/// The counts as formatted in the log: `teams=N largest=N flows=TEAM:ASKED:SENT:SHORT,...`, where
+/// `teams` is the number of all counted teams, also of those that the line omits.
 #[derive(Debug)]
 pub struct AccountLine {
     rows: Vec<(TeamKey, TeamAccount)>,
+    /// Size of the largest single request, in tokens.
     largest: f64,
 }
 
--- a/src/gateway/decide/budget.rs
+++ b/src/gateway/decide/budget.rs
@@ -1,9 +1,9 @@
-//! One retry budget for all routers, without a store.
+//! One retry budget for all routers, without shared counters.
 //!
-//! The fleet may retry `ratio` of a service's requests plus `slack` requests in any window. Each
-//! router spends that ratio of the requests that it received itself and an equal part of the slack,
-//! so the sum over routers stays within the fleet's budget however unevenly traffic is spread among
-//! them.
+//! All routers together may retry `ratio` of a service's requests plus `slack` requests in any
+//! window. Each router computes that ratio of the requests that it received itself plus an equal
+//! part of the slack, and retries up to three quarters of it, so the sum over routers stays within
+//! the budget however unevenly traffic is spread among them.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 use super::super::routes::ServiceKey;
 use super::window::WindowCount;
 
-/// Fraction of the budget that routers spend. The rest covers requests that the ten buckets of a
-/// window count too long, and a restarted router that lost its counts.
+/// Fraction of the budget that routers spend. The rest covers retries that the ten buckets of a
+/// window drop up to a tenth of the window too early, and a restarted router that lost its counts.
 const SPENT_PART: f64 = 0.75;
 
 /// The published limits on retries.
@@ -22,7 +22,7 @@
 pub struct RetryBounds {
     /// Retries per request.
     pub ratio: f64,
-    /// Additional retries per window, over the whole fleet.
+    /// Additional retries per service and window, over all routers.
     pub slack: f64,
     /// The length of the window.
     pub window: TimeSpan,
--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -38,8 +38,8 @@
 use super::shares::TeamFlow;
 use super::sizes::SizeTable;
 
-/// Weight of a new measurement in the moving average of a service's request duration: it follows
-/// the last twenty answers or so, a second or two of usual traffic.
+/// Weight of a new measurement in the moving average of a service's request duration. The last
+/// twenty answers, a second or two of usual traffic, make up four fifths of the average.
 const LEARNING_WEIGHT: f64 = 0.08;
 
 /// Queued prompt tokens below which the time to the first token says nothing about prefill speed,
@@ -49,8 +49,8 @@
 /// Interval between two log lines with the teams' counts.
 const TEAM_LOG_INTERVAL: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// Most teams over their share that are logged, those with the highest demand first. Only a few
-/// flood at a time.
+/// Maximum number of teams over their share that are logged, those with the highest demand first.
+/// Only a few flood at a time.
 const MAX_LIMITED_TEAMS_LOGGED: usize = 4;
 
 /// A call that asks to be admitted.
@@ -79,11 +79,12 @@
 /// Why a call is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service takes work, or all that do were already tried for this call.
     NoEndpoint,
-    /// All remaining endpoints asked for a pause.
+    /// As `NoEndpoint`, but at least one endpoint would take work if it had not asked for a pause.
     Paused,
-    /// No endpoint is predicted to answer within the objective.
+    /// The predicted time to the first output exceeds the permitted part of the objective, or the
+    /// call's deadline.
     Overload,
     /// The team exceeds its share while endpoints are busy.
     OverShare,
@@ -114,9 +115,10 @@
     Refuse {
         /// Why the call is refused.
         cause: RefusalCause,
-        /// When an endpoint is expected to have room.
+        /// Time until an endpoint is expected to have room.
         retry_after: TimeSpan,
-        /// The lowest predicted time to the first output, in ms; 0 if none was predicted.
+        /// Time since the call arrived plus the predicted time to the first output at the endpoint
+        /// with the lowest cost, in ms; 0 if none was predicted.
         expected_ms: f64,
     },
 }
@@ -132,11 +134,12 @@
     pub fetch_from: Option<SocketAddr>,
     /// Prompt tokens that the endpoint must prefill.
     pub uncached: f64,
-    /// The subset of `uncached` that belongs to shared prompt parts.
+    /// The subset of `uncached` that belongs to prompt parts which other requests share.
     pub reread: f64,
     /// Prompt tokens queued at the endpoint, including this request's.
     pub queued: f64,
     placed_at: Moment,
+    /// True until the first output or the end of the attempt.
     is_prefilling: bool,
     last_activity: ActivityClock,
     replaced: CancellationToken,
@@ -159,18 +162,19 @@
 pub enum AttemptEnd {
     /// The endpoint answered; errors in the answer are due to the request itself.
     Answered,
-    /// The endpoint failed.
+    /// The endpoint answered with a server error (status 500 or higher).
     Failed,
-    /// The endpoint broke off the attempt; carries the request's fingerprint.
+    /// The connection broke before the answer was complete; carries the request's fingerprint.
     Lost(RequestFingerprint),
-    /// No connection was made.
+    /// No connection to this endpoint was made: it failed or timed out, or another endpoint answers
+    /// at the address.
     NotReached,
     /// Nothing listens at the endpoint's address.
     Gone,
     /// The endpoint reported that it is full.
     Full,
-    /// The caller disconnected or the deadline passed. Not counted against the endpoint unless it
-    /// was silent.
+    /// The caller disconnected, the deadline passed, or the endpoint left or paused before the
+    /// request was sent. Not counted against the endpoint unless it was silent.
     Abandoned,
 }
 
@@ -196,10 +200,12 @@
     pub quarantine: CrashQuarantine,
     budget: RetryBudget,
     sizes: SizeTable,
+    /// Moving average of the time from the placement of an attempt to the end of its answer, in ms.
     mean_hold_ms: BTreeMap<ServiceKey, f64>,
     routers: usize,
     prefill_tokens_per_ms: f64,
-    /// True if this router's own link or lateness delays what it measures.
+    /// True while a heavily used link of this router's host or a long delay of its own tasks
+    /// distorts the times that it measures.
     is_disturbed: bool,
 }
 
@@ -230,24 +236,28 @@
         }
     }
 
-    /// Sets the endpoints in use: registered ones and those kept beyond their registration.
+    /// Sets the endpoints in use: registered ones, and those whose registration lapsed but that are
+    /// still used for a while, since an outage of the store may be the cause.
     pub fn set_endpoints(&mut self, now: Moment, entries: &BTreeMap<EndpointKey, EndpointEntry>) {
         for former in self.endpoints.replace(now, entries) {
             self.quarantine.ended(now, &former);
         }
     }
 
-    /// Sets whether this router's own link or lateness delays what it measures.
+    /// Sets whether a heavily used link of this router's host or a long delay of its own tasks
+    /// distorts the times that it measures.
     ///
-    /// Guards against a host that stops using idle endpoints: its full link delays every answer, so
-    /// all endpoints seem many times too slow and some unreachable, and it refuses calls that any
-    /// of them would serve. While the router is disturbed, its measurements are not held against
-    /// endpoints.
+    /// Guards against a router that refuses calls while endpoints are idle: the full link of its
+    /// host delays every answer, so all endpoints seem many times too slow and some unreachable,
+    /// and it refuses calls that any of them would serve. While the router is disturbed, it learns
+    /// no slowness, reports no health to other routers, and connections that time out do not
+    /// lengthen an endpoint's backoff.
     pub fn set_disturbed(&mut self, is_disturbed: bool) {
         self.is_disturbed = is_disturbed;
     }
 
-    /// Returns true if this router's own link or lateness delays what it measures.
+    /// Returns true while a heavily used link of this router's host or a long delay of its own
+    /// tasks distorts the times that it measures.
     #[must_use]
     pub fn is_disturbed(&self) -> bool {
         self.is_disturbed
@@ -267,7 +277,7 @@
         }
     }
 
-    /// Counts an arriving call and returns how it stands to its team's share.
+    /// Counts an arriving call and returns whether it is within its team's share.
     pub fn arrived(&mut self, now: Moment, request: &AdmissionRequest<'_>) -> ShareStanding {
         self.budget.request(now, request.service);
         if let Some(prompt) = request.prompt {
@@ -284,21 +294,22 @@
         }
     }
 
-    /// Counts a generation that this router refused because it was running late. Shares follow the
-    /// demand that routers can handle: the part of a share assigned to a late router is lost.
+    /// Counts a model call that this router refused because its own tasks were delayed. The call is
+    /// logged but does not count as demand when shares are set: a router would be assigned a part
+    /// of the team's share for it, which it can't use and other routers then lack.
     pub fn refused_late(&mut self, team: &TeamKey, prompt: &PromptShape) {
         self.accounts.ask(team, prompt.share_tokens());
         self.accounts.count_unserved(team);
     }
 
-    /// Takes one retry from the fleet's budget. Returns false if the budget is used up.
+    /// Takes one retry from this router's part of the budget. Returns false if it is used up.
     pub fn take_retry(&mut self, now: Moment, service: &ServiceKey) -> bool {
         self.budget.take(now, service, self.routers)
     }
 
     /// Computes the teams' shares from the demand at all routers and the capacity of the endpoints.
-    /// `published` is the published token rate; `elsewhere` and `turned_away_elsewhere` come from
-    /// the other routers. Rates are in tokens per second.
+    /// `published` is the published token rate; `elsewhere`, by the hash of the team's key, and
+    /// `turned_away_elsewhere` are sums over the other routers. Rates are in tokens per second.
     pub fn share_out(
         &mut self,
         now: Moment,
@@ -456,8 +467,9 @@
 
     /// Returns the highest predicted time to the first output at which a call is still sent, in ms.
     ///
-    /// Prefilling a long prompt may take its whole objective on an idle engine. When the size table
-    /// grants it a turn, its own prefill time does not count against the limit.
+    /// Prefilling a long prompt may take its whole objective on an idle engine. When prompts of its
+    /// size are served too seldom ([`SizeTable::is_underserved`]), the limit is therefore raised to
+    /// its time on an idle engine plus a part of the objective.
     #[allow(clippy::cast_precision_loss)]
     fn limit_ms(
         &self,
@@ -482,13 +494,14 @@
         limit.min(left)
     }
 
-    /// Returns the fraction of the objective that a team over its share may use; `served` is its
-    /// service at all routers as a multiple of its share.
+    /// Returns the fraction of the objective that a call of a team over its share may take;
+    /// `served` is the number of [`ShareStanding::Beyond`], at least the team's service at all
+    /// routers as a multiple of its share, and infinite once its allowance is used up.
     ///
     /// Capacity beyond the published rate would otherwise go to the team that asks most often. The
     /// more of it a team already gets, the emptier an endpoint must be to serve it more, so that
     /// all teams over their shares get about the same. With the square, a team served twice as much
-    /// is limited to a quarter of the queue.
+    /// is limited to a quarter of the time.
     fn objective_part_over_share(&self, served: f64) -> f64 {
         self.config.over_share_part / (served * served)
     }
@@ -499,6 +512,7 @@
         TimeSpan::from_millis(least.max(excess_ms as u64))
     }
 
+    /// Counts the call as placed at the endpoint and returns its ticket.
     fn ticket(
         &mut self,
         now: Moment,
@@ -515,7 +529,8 @@
         };
         row.active += 1;
         row.pending_tokens += placement.uncached;
-        // A plain service answers when the request is done; an engine once the prompt is prefilled.
+        // A service that does not run model engines answers when the request is done; an engine
+        // sends its first output once the prompt is prefilled.
         let stay_ms = if request.prompt.is_some() {
             0.0
         } else {
@@ -611,14 +626,15 @@
                 self.quarantine.ended(now, &ticket.entry);
             }
             AttemptEnd::Full => row.pause_when_full(now),
-            // Where a request may not run elsewhere, callers that give up are the only sign that an
-            // endpoint hangs.
+            // If the route does not allow the request to run at a second endpoint, callers that
+            // give up are the only sign that an endpoint hangs.
             AttemptEnd::Abandoned if was_silent => row.health.count(now, true),
             AttemptEnd::Abandoned => {}
         }
     }
 
-    /// Forgets prompt parts that were sent long ago, to keep the tables small.
+    /// Forgets prompt parts that were sent to endpoints longer ago than `part_memory_ms`, to keep
+    /// the tables small.
     pub fn forget_parts(&mut self, now: Moment) {
         let kept = TimeSpan::from_millis(self.config.part_memory_ms);
         for row in self.endpoints.rows_mut() {
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -28,8 +28,9 @@
 /// from the other routers show it.
 const FULL_PAUSE_MS: u64 = 150;
 
-/// Most leaving processes listed in one message: 256 bytes of it. If more of them leave while the
-/// store is away, the other routers learn of the rest once the store is back.
+/// Maximum number of leaving processes listed in one message: 256 bytes of it. If more of them
+/// leave while the store is unavailable, the other routers learn of the rest once the store is
+/// back.
 const MAX_LEAVING_REPORTED: usize = 32;
 
 /// Load of the other routers at one endpoint.
@@ -37,8 +38,8 @@
 pub struct PeerLoad {
     /// Requests in flight.
     pub active: u32,
-    /// Prompt tokens that wait for prefill. A sum of whole numbers, so that subtracting them again
-    /// leaves exactly zero.
+    /// Prompt tokens that wait for prefill. A sum of whole numbers: the table of other routers adds
+    /// and subtracts their reports, and must get back to exactly zero.
     pub pending_tokens: f64,
     /// The endpoint's health as the other routers report it.
     pub health: PeerHealth,
@@ -50,7 +51,7 @@
     /// The registered entry.
     pub entry: EndpointEntry,
     /// The endpoint's hash for rendezvous hashing. It stays the same over restarts, so that all
-    /// routers keep looking for prompt parts at the same home endpoint.
+    /// routers keep expecting a prompt part in the caches of the same endpoints.
     pub hash: u64,
     /// Hash that identifies the endpoint process; a restart changes it.
     life_hash: u64,
@@ -68,13 +69,16 @@
     pub peers: PeerLoad,
     /// The endpoint's health.
     pub health: EndpointHealth,
-    /// The endpoint gets no new work before this time.
+    /// End of a pause set by this router after a failed connection or a full endpoint. Before it,
+    /// the endpoint gets new work only if every other ready endpoint is paused or silent as well. A
+    /// pause that the endpoint asked for is stored in `notices` and always applies.
     pub paused_until: Moment,
-    /// For an endpoint kept beyond its registration: no new work from this time on.
+    /// For an endpoint that is still used although the list no longer has it: it gets no new work
+    /// from this time on.
     used_until: Option<Moment>,
     /// True if another router with a newer endpoint list reports that the endpoint left.
     is_reported_departed: bool,
-    /// What the endpoint process announced about itself in its answers.
+    /// The notices that the endpoint process gave about itself in its answers.
     notices: EndpointNotices,
     /// Consecutive failed connections.
     failed_connections: u32,
@@ -107,9 +111,9 @@
 
     /// Returns true if the endpoint may get new work.
     ///
-    /// Guards against an endpoint that is gone but still used: the use of an endpoint that is kept
-    /// beyond its registration ends here, even if the control thread or the reader of the list is
-    /// stuck.
+    /// Guards against an endpoint that is gone but still used: the time until which an endpoint is
+    /// used without registration is checked on each call, so it ends even if the tasks that read
+    /// the list and remove endpoints are stuck.
     #[must_use]
     pub fn is_ready(&self, now: Moment) -> bool {
         self.is_listed_ready(now) && self.notices.takes_work(now)
@@ -121,7 +125,7 @@
         self.is_taking_work() && !is_over && !self.is_reported_departed
     }
 
-    /// Returns true if the endpoint announced that it is leaving.
+    /// Returns true if the endpoint gave notice that it is leaving.
     #[must_use]
     pub fn announced_leaving(&self) -> bool {
         self.notices.is_leaving
@@ -134,7 +138,9 @@
         (is_paused && self.is_listed_ready(now)).then(|| self.notices.paused_until.since(now))
     }
 
-    /// Returns true if the endpoint is registered as ready.
+    /// Returns true if the endpoint's last known registration has the state `Ready`. Unlike
+    /// [`Self::is_listed_ready`], it ignores expired use and reported departures, and unlike
+    /// [`Self::is_ready`] also the endpoint's own notices.
     fn is_taking_work(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
@@ -184,8 +190,8 @@
     services: BTreeMap<ServiceKey, Vec<usize>>,
     /// Endpoints that left recently.
     pub departures: DepartureTable,
-    /// What endpoint processes announced about themselves, including processes that no list has at
-    /// the moment.
+    /// Notices that endpoint processes gave about themselves, including processes that no list has
+    /// at the moment.
     notices: NoticeTable,
 }
 
@@ -241,8 +247,8 @@
         replaced
     }
 
-    /// Applies what a process announced in an answer. Returns true if it announced for the first
-    /// time that it is leaving.
+    /// Applies the notices that a process gave in an answer. Returns true if it is the first notice
+    /// that the process is leaving.
     pub fn apply_announcement(
         &mut self,
         now: Moment,
@@ -262,10 +268,11 @@
         is_news
     }
 
-    /// Applies other routers' reports of processes that announced that they are leaving.
+    /// Applies other routers' reports of processes that gave notice that they are leaving.
     ///
-    /// Guards against a leaving endpoint that announces it to each router separately: every router
-    /// would have to send it a call, which it may cut, to find out.
+    /// Guards against calls to an endpoint that is leaving: it gives notice only in its answers, so
+    /// without the reports every router would have to send it a call, which it may cut, to find
+    /// out.
     pub fn apply_reported_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
             if self.notices.record_leaving(now, *life) {
@@ -283,7 +290,7 @@
         }
     }
 
-    /// Returns the processes that announced that they are leaving but are still listed as ready,
+    /// Returns the processes that gave notice that they are leaving but are still listed as ready,
     /// for the messages to the other routers.
     #[must_use]
     pub fn leaving_to_report(&self, now: Moment) -> Vec<u64> {
@@ -324,7 +331,7 @@
         found.ok()
     }
 
-    /// Returns one endpoint.
+    /// Returns the row of an endpoint.
     #[must_use]
     pub fn get(&self, key: &EndpointKey) -> Option<&EndpointRow> {
         self.place(key).map(|place| &self.rows[place])
@@ -347,7 +354,7 @@
         row.is_some_and(|row| row.entry.born == entry.born && row.is_ready(now))
     }
 
-    /// Returns one endpoint for modification.
+    /// Returns the row of an endpoint for modification.
     pub fn get_mut(&mut self, key: &EndpointKey) -> Option<&mut EndpointRow> {
         self.place(key).map(|place| &mut self.rows[place])
     }
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -38,24 +38,26 @@
 /// Age up to which received data shows that an endpoint is alive.
 const ACTIVITY_FRESH: TimeSpan = TimeSpan::from_millis(600);
 
-/// Time overdue after which an endpoint counts as silent to this router even if other routers
-/// receive data from it, as behind a cut link.
+/// Time overdue after which an endpoint counts as hung for this router even if other routers
+/// receive data from it, as behind a cut link. Used by [`EndpointHealth::is_silent`] only; an
+/// endpoint is already reported as silent ([`EndpointHealth::is_silent_here`]) as soon as it is
+/// overdue.
 const SILENT_HERE_AFTER: TimeSpan = TimeSpan::from_millis(2_000);
 
-/// Number of other routers that must report an endpoint as silent before a router that has not
-/// tried it does so too.
+/// Number of other routers that must report an endpoint as silent before a router that is not
+/// itself waiting for it counts it as hung.
 const MIN_SILENT_REPORTS: u32 = 2;
 
-/// Weight of a new measurement in the moving average of slowness, which follows the last twenty
-/// answers or so. Slowness is not reported to other routers: with shared sums all routers refused
-/// more, since single measurements err upwards.
+/// Weight of a new measurement in the moving average of slowness. The last twenty measurements make
+/// up four fifths of the average. Slowness is not reported to other routers: when it was averaged
+/// over all routers, each of them refused more calls, since single measurements err upwards.
 const LEARNING_WEIGHT: f64 = 0.08;
 
 /// Time for which a measured slowness holds in full without a new measurement. In a fleet of a
 /// hundred routers each of them measures an engine about once in that time.
 const SLOWNESS_FRESH: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// Half-life of the measured slowness from then on, in us.
+/// Half-life of the measured slowness after [`SLOWNESS_FRESH`], in us.
 const SLOWNESS_HALF_LIFE_US: f64 = 1_500_000.0;
 
 /// Bounds of a single slowness measurement, so that one stalled request does not exclude an engine.
@@ -77,7 +79,9 @@
 /// When the next data from an endpoint is due.
 #[derive(Debug, Clone, Copy)]
 struct AnswerExpectation {
+    /// Start of the wait.
     since: Moment,
+    /// Time from which the data is overdue.
     by: Moment,
 }
 
@@ -107,7 +111,8 @@
     attempts: f64,
     failures: f64,
     counted_at: Moment,
-    /// Measured time to the first output divided by the predicted time; 1 is as predicted.
+    /// Factor by which the endpoint's queue and prefill take longer than predicted for a healthy
+    /// endpoint: a moving average; 1 is as predicted.
     slowness: f64,
     learned_at: Moment,
     expectation: Option<AnswerExpectation>,
@@ -196,7 +201,7 @@
     }
 
     /// Updates the slowness from one measurement; `ratio` is the measured time to the first output
-    /// divided by the predicted time.
+    /// divided by the time that was predicted with the slowness known at the placement.
     pub fn learn_slowness(&mut self, now: Moment, ratio: f64) {
         let known = self.slowness(now);
         let sample = (known * ratio).clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
@@ -204,7 +209,8 @@
         self.learned_at = now;
     }
 
-    /// Returns the measured time to the first output divided by the predicted time.
+    /// Returns the factor by which the endpoint's queue and prefill take longer than predicted for
+    /// a healthy endpoint.
     ///
     /// Guards against a router that has learned that all endpoints are slow and so refuses every
     /// call: it would take no new measurements and never correct itself. A slowness that is not
@@ -221,7 +227,8 @@
         now.since(self.last_activity.last()) < ACTIVITY_FRESH
     }
 
-    /// Returns true if this router has waited for the endpoint for longer than a healthy one takes.
+    /// Returns true if this router's own attempts have waited for the endpoint for longer than a
+    /// healthy one takes.
     #[must_use]
     pub fn is_silent_here(&self, now: Moment) -> bool {
         self.overdue(now) > TimeSpan(0)
@@ -242,9 +249,10 @@
         first.max(next)
     }
 
-    /// Returns true if the endpoint hangs. A request that waits longer than predicted is not
-    /// enough: an endpoint from which any router receives data works and is merely loaded. Only an
-    /// endpoint that is overdue by more than two seconds counts as silent to this router alone.
+    /// Returns true if the endpoint seems to hang: it is overdue at this router, or two other
+    /// routers report it as silent, and no router recently received data from it. An endpoint from
+    /// which any router receives data works and is merely loaded, unless it is overdue at this
+    /// router by more than two seconds.
     #[must_use]
     pub fn is_silent(&self, now: Moment) -> bool {
         let overdue = self.overdue(now);
--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -1,35 +1,38 @@
 //! Max-min fair level under overload, and the allowances of teams above it.
 //!
 //! Load pattern: a few teams ask for many times their shares, through any number of routers, while
-//! the endpoints' capacity is above or below the published rate. The service of each team is known
-//! a second or two late, so every correction is bounded or uses the mean over all teams above the
-//! level.
+//! the endpoints' capacity is above or below the published rate. The service of each team, that is
+//! the tokens of its requests that were sent, is known a second or two late, so every correction is
+//! bounded or uses the mean over all teams above the level. All levels and services are in tokens a
+//! second.
 
 use std::collections::BTreeMap;
 
 use super::shares::TeamFlow;
 
-/// Exponent of the correction of a team's allowance by its service. A bias of 2 between two teams
-/// is reduced to 1.3; the mean over the share window prevents oscillation.
+/// Exponent of the correction of a team's allowance by its service. If one of two teams would be
+/// served twice as much as the other, the correction reduces that ratio to 1.3; the mean over the
+/// share window prevents oscillation.
 const CORRECTION_POWER: f64 = 1.5;
 
 /// Bounds of the correction. In a flood's first second a team is served many times its share before
-/// its demand is known; compensated in full, it would get a tenth of its share for a whole window.
-/// The upper bound keeps routers that could not serve a team from making the other routers flood.
+/// its demand is known; if that were compensated in full, the team would get a tenth of its share
+/// for a whole window. The upper bound limits the rise at the other routers when some routers could
+/// not serve a team: without it those others would send too much at once.
 const MIN_CORRECTION: f64 = 0.6;
 const MAX_CORRECTION: f64 = 1.3;
 
-/// Least allowance beyond the share of a team above the level, as a fraction of the share. Less
-/// would leave endpoints idle that were full a moment ago.
+/// Smallest allowance beyond the share of a team above the level, as a fraction of the share. A
+/// smaller one would leave endpoints idle that were full a moment ago.
 const MIN_SPARE: f64 = 0.5;
 
-/// Allowance beyond the share relative to the mean of what the teams above the level got beyond it.
-/// The excess over 1 lets the fleet find out that endpoints can do more, and makes up for
-/// allowances at routers where they are not used.
+/// Allowance beyond the share, as a multiple of the mean service beyond the level of the teams
+/// above it. The excess over 1 lets the routers find out that endpoints can do more, and makes up
+/// for allowances at routers where they are not used.
 const SPARE_GROWTH: f64 = 1.5;
 
-/// Returns the teams whose demand is above the level, both over the share window and in the last
-/// moments.
+/// Returns the flows of the teams whose demand is above the level, both over the share window and
+/// over [`super::shares::RECENT_WINDOW`].
 pub fn teams_above_level(
     level: f64,
     flows: &BTreeMap<u64, TeamFlow>,
@@ -38,14 +41,14 @@
     flows.filter(move |flow| flow.asked > level && flow.asked_recently > level)
 }
 
-/// Returns what each team above the level may get beyond it; `None` if fewer than two teams are
-/// above it.
+/// Returns the rate that each team above the level may get beyond it, in tokens a second; `None` if
+/// fewer than two teams are above it.
 ///
 /// Guards against oscillating service. Whether a request beyond its team's share finds an endpoint
 /// empty enough depends on the team's service, which is known a second or two late. Without a limit
 /// on the rate, the team gets alternately nothing and several times its share, and a team that
-/// exceeds the level for only a few seconds may get nothing. The mean over all of them is known as
-/// late but hardly changes.
+/// exceeds the level for only a few seconds may get nothing. The mean over all teams above the
+/// level is known just as late, but hardly changes.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn spare_level(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> Option<f64> {
@@ -59,7 +62,8 @@
     Some((SPARE_GROWTH * mean).max(MIN_SPARE * level))
 }
 
-/// Returns the service of the least served team above the level, at least the level.
+/// Returns the service of the least served team above the level, at least the level; infinite if no
+/// team is above it.
 ///
 /// Capacity beyond the published rate goes to the team that finds an endpoint nearly idle, which is
 /// more often the team with more requests and shorter prompts. When compared with its share alone,
@@ -76,7 +80,7 @@
 /// Load pattern: two teams flood, one through many routers and one through a few small ones. An
 /// allowance that is not used in time at one router is not available at another, and demand counted
 /// from messages is late, so that equal allowances gave one team twice the service of the other.
-/// Their service is known; it adjusts the allowances until the service is equal.
+/// The service of both is known, so the allowances are adjusted by it until the service is equal.
 #[must_use]
 pub fn correction(level: f64, served: f64) -> f64 {
     let ratio = level / served.max(1.0);
--- a/src/gateway/decide/notices.rs
+++ b/src/gateway/decide/notices.rs
@@ -1,4 +1,5 @@
-//! Notices that endpoints give about themselves in their answers, and how long each is valid.
+//! Notices that endpoints give about themselves in their answers, and how long each is valid, with
+//! what a router concludes when another endpoint answers or a connection is closed.
 //!
 //! Load pattern: the store is unavailable for seconds while endpoints leave or are full. An answer
 //! is then the only current source, and the store's entries are older or arrive later.
@@ -7,21 +8,23 @@
 //! |---|---|---|
 //! | the endpoint leaves | for its process, at all routers | its next start only |
 //! | it asks for a pause | for that time, at the router that got the notice | its next start only |
-//! | it is full | briefly | nothing |
-//! | another endpoint answers at its address | for a growing pause | a later answer of its own |
+//! | it is full | 150 ms | nothing |
+//! | another endpoint answers at its address | for a pause of 250 ms, doubled up to 2 s | nothing |
 //! | it closes the connection | for the connection | nothing |
 //!
-//! The first two are stored here, by process. The store, a peer's list and the state of a
-//! connection do not change them, since none of these is more recent than the endpoint's own
-//! notice.
+//! The first two are stored here, by process; the pauses of the next two are stored in the endpoint
+//! table, where a later answer of the endpoint itself resets the doubling. The store, another
+//! router's endpoint list and the state of a connection do not change the first two, since none of
+//! these is more recent than the endpoint's own notice.
 
 use std::collections::BTreeMap;
 
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
-/// Time for which notices are kept of a process that is no longer listed. An entry reappears within
-/// seconds of the store's recovery, and a store may be unavailable for minutes.
+/// Time for which notices are kept of a process that is no longer listed. Its entry in the endpoint
+/// list may only be missing because the store is unavailable, possibly for minutes; it reappears
+/// within seconds of the store's recovery.
 const NOTICE_RETENTION: TimeSpan = TimeSpan::from_millis(600_000);
 
 /// Notices that one endpoint process gave about itself.
--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -1,10 +1,10 @@
 //! Selection of the endpoint that is tried next for a request.
 //!
 //! Load pattern: prompts of very different length that share long parts. The time to a first token
-//! is the prompt work queued at the engine plus the request's own, so endpoints are compared by
-//! that work and not by their number of requests. A shared part in an endpoint's prefix cache
-//! costs nothing there. Every router ranks endpoints for a part in the same way (rendezvous
-//! hashing), so that the part stays in few caches without coordination between routers.
+//! is the prefill work queued at the engine plus the request's own, so endpoints are compared by
+//! that work and not by their number of requests. A shared part in an endpoint's prefix cache costs
+//! nothing there. Every router ranks endpoints for a part in the same way (rendezvous hashing), so
+//! that the part stays in few caches without coordination between routers.
 
 use std::net::SocketAddr;
 
@@ -24,48 +24,50 @@
 /// cached. The second gets requests for which the first has no room.
 const HOME_PROBABILITIES: [f64; 2] = [1.0, 0.5];
 
-/// Extra cost of re-reading a shared part, in multiples of the time that it takes: every request
-/// queued at the engine waits for it too.
+/// Extra cost of prefilling a shared part again, in multiples of the time that it takes: every
+/// request queued at the engine waits for it too.
 const REREAD_WEIGHT: f64 = 4.0;
 
 /// Time for which an endpoint is assumed to cache a part that this router sent there.
 const PART_CACHED_FOR: TimeSpan = TimeSpan::from_millis(8_000);
 
-/// Time to a first token on an idle engine in addition to reading the prompt, in ms: connection,
+/// Time to a first token on an idle engine in addition to prefilling the prompt, in ms: connection,
 /// one batch step and the response's way back.
 const IDLE_FIRST_TOKEN_MS: f64 = 12.0;
 
-/// Extra cost of a request to another failure domain, in ms: longer network path, and the price
-/// of traffic between domains.
+/// Extra cost of a request to another failure domain, in ms: longer network path, and the price of
+/// traffic between domains.
 const DOMAIN_PENALTY_MS: f64 = 4.0;
 
 /// Extra cost of fetching a shared part from another engine, in multiples of the time that it
 /// takes: the transfer occupies two links and delays later fetches.
 const FETCH_WEIGHT: f64 = 1.0;
 
-/// Fixed time of a fetch in addition to the transfer, in ms: one round trip between the engines
-/// and the set-up.
+/// Fixed time of a fetch in addition to the transfer, in ms: one round trip between the engines and
+/// the set-up.
 const FETCH_START_MS: f64 = 5.0;
 
 /// Factor by which a fetch from another failure domain takes longer.
 const CROSS_DOMAIN_FETCH_FACTOR: f64 = 2.0;
 
-/// Least number of shared tokens that is fetched; reading fewer takes about as long as a fetch.
+/// Smallest number of shared tokens that is fetched; prefilling fewer takes about as long as a
+/// fetch.
 const LEAST_FETCH: f64 = 256.0;
 
 /// Extra cost of an endpoint at a failure rate of one, in ms: a failed attempt costs the caller
 /// about as much as a late answer.
 const FAILURE_PENALTY_MS: f64 = 1_500.0;
 
-/// Failure rate above that of the best endpoint that is ignored. Up to one in seven requests
-/// fail regardless of the endpoint, and all routers use the same sums: with a smaller tolerance the
-/// whole fleet would send its work to the endpoint with the fewest recent failures.
+/// Difference to the lowest failure rate among the endpoints up to which a failure rate costs
+/// nothing. Up to one in seven requests fail regardless of the endpoint, and all routers add up the
+/// same reports: with a smaller tolerance all of them would send their work to the endpoint with
+/// the fewest recent failures.
 const FAILURE_TOLERANCE: f64 = 0.15;
 
 /// Parameters of the engine model that predicts waiting times.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineModel {
-    /// Prompt tokens that an engine reads per ms while it also generates.
+    /// Prompt tokens that an engine prefills per ms while it also generates.
     pub tokens_per_ms: f64,
     /// Time for which a request occupies an engine slot, in ms.
     pub hold_ms: f64,
@@ -88,18 +90,18 @@
     pub domain: &'a SmolStr,
 }
 
-/// The endpoint selected for a request, and its predicted cost.
+/// The endpoint selected for a request, and the times and the prefill work predicted there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Predicted time to the first output, in ms.
+    /// Predicted time to the first output, in ms; without a prompt only the wait for a slot.
     pub first_ms: f64,
-    /// Predicted time to the first output if the engine were idle, in ms.
+    /// Predicted time to the first output if the engine were idle, in ms; only used with a prompt.
     pub unqueued_ms: f64,
-    /// Prompt tokens that the endpoint must read.
+    /// Prompt tokens that the endpoint must prefill.
     pub uncached: f64,
-    /// Those of them in parts that other requests share.
+    /// The subset of `uncached` in parts that other requests share.
     pub reread: f64,
     /// The engine from which missing shared parts are fetched.
     pub fetch_from: Option<SocketAddr>,
@@ -144,18 +146,18 @@
     }
 }
 
-/// Prompt tokens that an endpoint is expected to read, and those that it has cached.
+/// Prompt tokens that an endpoint is expected to prefill, and those that it has cached.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadingWork {
-    /// All tokens to read.
+    /// All tokens to prefill.
     tokens: f64,
-    /// Tokens to read in shared parts.
+    /// Tokens to prefill in shared parts.
     shared: f64,
     /// Tokens of shared parts that are expected to be cached.
     cached: f64,
 }
 
-/// Returns the reading work of a prompt at one endpoint. A part is assumed to be cached there, with
+/// Returns the prefill work of a prompt at one endpoint. A part is assumed to be cached there, with
 /// all parts before it, if the endpoint is among the first in the part's rendezvous order or this
 /// router sent it there within [`PART_CACHED_FOR`].
 fn reading_work(
@@ -184,12 +186,13 @@
 /// The engine that is expected to cache most tokens of a prompt's shared parts.
 ///
 /// Another engine can fetch a part from there in the time of the transfer, a seventh of the time to
-/// read it, so that a request can go to the engine with the shortest queue wherever its parts are
-/// cached.
+/// prefill it, so that a request can go to the engine with the shortest queue wherever its parts
+/// are cached.
 #[derive(Debug, Clone, Copy)]
 struct PartHolder<'a> {
     row: &'a EndpointRow,
     cached: f64,
+    /// Time to transfer one token's cache entries to another engine, in ms.
     ms_per_token: f64,
 }
 
@@ -207,7 +210,7 @@
         })
     }
 
-    /// Returns what an engine with this reading work would fetch; `None` if a fetch is not worth
+    /// Returns what an engine with this prefill work would fetch; `None` if a fetch is not worth
     /// it.
     fn fetch(&self, row: &EndpointRow, work: ReadingWork) -> Option<PartFetch> {
         let tokens = self.cached - work.cached;
@@ -228,7 +231,7 @@
     }
 }
 
-/// Fetch of shared parts from another engine, which replaces reading them.
+/// Fetch of shared parts from another engine, which replaces prefilling them.
 #[derive(Debug, Clone, Copy)]
 struct PartFetch {
     from: SocketAddr,
@@ -317,9 +320,11 @@
     best.map(|(_, placement)| placement)
 }
 
-/// Endpoints that may get the request. Pauses and silence are ignored if they affect all endpoints
-/// left: a short refusal by the last endpoints must not cause the next requests to be refused, and
-/// a fleet whose endpoints all seem silent is still used.
+/// Returns the endpoints that may get the request. A pause that the endpoint itself asked for
+/// always excludes it. A pause that this router set after a failed connection or a full endpoint,
+/// and silence, are ignored if they affect all endpoints left: a short refusal by the last
+/// endpoints must not cause the next requests to be refused, and a fleet whose endpoints all seem
+/// silent is still used.
 fn usable_rows<'a>(
     rows: &[&'a EndpointRow],
     tried: &[EndpointKey],
@@ -336,7 +341,7 @@
 }
 
 /// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
-/// domain, failures and a busy batch.
+/// domain, failures and a busy batch. `lowest` is the lowest failure rate among the endpoints.
 fn penalties(row: &EndpointRow, ask: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
     let away = if row.entry.domain == *ask.domain {
         0.0
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -4,9 +4,9 @@
 //! any router. A lost attempt alone proves little, since links break too. Together with a sign that
 //! the endpoint's process ended, it makes the request a suspect of that crash. Routers exchange
 //! suspects, and all of them refuse a request that was running in three crashes. The limit is three
-//! because other requests run beside the one that causes the crash: of 64 requests that ran in one
-//! crash few run in a second one and hardly any in a third, while each further engine lost costs
-//! the work of all its requests.
+//! because other requests run beside the one that causes the crash: of 64 requests that were
+//! running at one crash, few are running at a second one and hardly any at a third, while each
+//! further engine lost costs the work of all its requests.
 
 use crate::configs::quarantine::QuarantineConfig;
 use crate::core::tables::crashes::CrashEvidence;
@@ -21,13 +21,15 @@
 /// Crashes after which a request is refused.
 const CRASHES: u32 = 3;
 
-/// Time for which a crash is sent to other routers: callers retry a lost request within seconds.
+/// Time for which a crash's suspects are sent to other routers: callers retry a lost request within
+/// seconds.
 const SUSPECT_GOSSIP_PERIOD: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// Most suspects in one message; the next message carries the next ones.
+/// Maximum number of suspects in one message; the next message carries the next ones.
 const MAX_SENT_SUSPECTS: usize = 6;
 
-/// Most suspects accepted from one message, since a foreign sender could list any number.
+/// Maximum number of suspects accepted from one message: the limit above binds only senders that
+/// run this code, and a message could list any number.
 const MAX_RECEIVED_SUSPECTS: usize = 64;
 
 /// A request that was running in a crash, as exchanged between routers.
@@ -98,6 +100,7 @@
         }
     }
 
+    /// Returns the number of the crash's record, which is added if it is missing.
     fn record(&mut self, now: Moment, endpoint: EndpointId, life: u64) -> u64 {
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let known = self.table.find_record(endpoint, life, now, window);
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Time for which a request is still refused; `None` if it is not refused.
+    /// Returns the time for which a request is still refused; `None` if it is not refused.
     #[must_use]
     pub fn refused_for(&self, now: Moment, fingerprint: RequestFingerprint) -> Option<TimeSpan> {
         let until = self.table.refused_until(fingerprint, now)?;
--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -1,14 +1,15 @@
 //! Max-min shares of the published token rate, over all routers.
 //!
 //! Load pattern: a few teams send many times their usual traffic while the others do not. Each
-//! router measures the demand of each team and sends it to the other routers, so all compute the
-//! same max-min shares. When endpoints are busy, requests of a team over its share give way; each
-//! router applies the part of the share that matches the part of the team's demand arriving there.
-//! While endpoints have room, no team gives way.
+//! router measures the demand of each team over the *share window*, a published number of seconds,
+//! and sends it to the other routers in its gossip messages (digests), so all compute the same
+//! max-min shares. When endpoints are busy, requests of a team over its share are refused first;
+//! each router applies the part of the share that matches the part of the team's demand arriving
+//! there. While endpoints have room, requests over the share are sent as well.
 //!
-//! Two floods that begin seconds apart must be served about the same in any six seconds. A team is
-//! therefore limited as soon as its recent demand rises ([`super::surge`]), and what it was served
-//! before that does not count against it.
+//! Two floods that begin seconds apart must be served about the same in any period of six seconds.
+//! A team is therefore limited as soon as its recent demand rises ([`super::surge`]), and what it
+//! was served before that does not count against it.
 
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
@@ -25,15 +26,17 @@
 use super::surge::TeamDemand;
 use super::window::WindowCount;
 
-/// Most unused allowance that a team may save, in seconds of its allowance. One second lets a burst
-/// of arrivals through; the published share window is several seconds.
+/// Maximum unused allowance that a team can accumulate, in seconds of its allowance, as in a token
+/// bucket. One second lets a burst of arrivals through; the published share window is several
+/// seconds.
 const BURST_S: f64 = 1.0;
 
 /// Shortest period over which rates are averaged: long enough for a few requests of a large team.
 const LEAST_COUNTED: TimeSpan = TimeSpan::from_millis(500);
 
 /// Initial mean size of a request, in tokens, and the weight of a new request in the moving mean.
-/// The mean covers about a hundred requests, one second of traffic at a busy router.
+/// The last hundred requests, one second of traffic at a busy router, make up two thirds of the
+/// mean.
 const FIRST_TOKENS: f64 = 3_000.0;
 const SIZE_WEIGHT: f64 = 0.01;
 
@@ -55,8 +58,9 @@
 pub enum ShareStanding {
     /// Within the share, or the team is not limited.
     Within,
-    /// Beyond the share. The number is the ratio of the team's service to its share, at least 1;
-    /// infinite if the team has used up its allowance beyond the share.
+    /// Beyond the share. The number is at least 1: the ratio of the team's service to its share,
+    /// multiplied by the ratio of its service to that of the least served team over its share, and
+    /// at least 2 during a surge; infinite if the team has used up its allowance beyond the share.
     Beyond(f64),
 }
 
@@ -67,7 +71,7 @@
     pub asked: f64,
     /// Demand over [`RECENT_WINDOW`], where the size of a request is capped at twice the mean.
     pub asked_recently: f64,
-    /// Service over the share window.
+    /// Service, that is the tokens of requests that were sent, over the share window.
     pub served: f64,
 }
 
@@ -119,8 +123,9 @@
     flow: TeamFlow,
     /// Demand at this router at that time.
     asked_here: f64,
-    /// Service by all routers divided by the share, multiplied by its ratio to the service of the
-    /// least served team that asks more than its share.
+    /// Service by all routers divided by the share, multiplied by its ratio, if above 1, to the
+    /// service of the least served team that asks more than its share. The first factor is weighted
+    /// by [`ShareTerms::coverage`], and the product is at least [`MIN_SURGE_RATIO`] in a surge.
     service_ratio: f64,
 }
 
@@ -128,7 +133,7 @@
 #[derive(Debug)]
 struct ShareTerms {
     /// Max-min level, the largest share of a team, in tokens a second; infinite while all demands
-    /// fit.
+    /// fit or the rate is 0, so that no team is limited.
     level: f64,
     /// Service of the least served team that asks more than its share, in tokens a second.
     least: f64,
@@ -210,7 +215,8 @@
     turned_away: WindowCount,
     /// Moving mean of the request size over all teams, in tokens.
     mean_tokens: f64,
-    /// Max-min level, in tokens a second; infinite while all demands fit.
+    /// Max-min level, in tokens a second; infinite while all demands fit. While the rate is 0 it is
+    /// 0 as soon as a team has asked, although no team is limited then.
     level: f64,
     teams: BTreeMap<TeamKey, TeamCounts>,
 }
@@ -298,24 +304,26 @@
         self.turned_away.add(now, tokens);
     }
 
-    /// Rate of such requests, in tokens a second.
+    /// Returns the rate of requests within shares that were refused because endpoints were full, in
+    /// tokens a second.
     pub fn turned_away_per_s(&mut self, now: Moment) -> f64 {
         let seconds = counted_s(now, self.begun, self.window);
         self.turned_away.sum(now) / seconds
     }
 
-    /// Fraction of the share window that the counts cover, from 0 at the first request to 1.
+    /// Returns the fraction of the share window that the counts cover, from 0 at the first request
+    /// to 1. It weights the ratio of service to share.
     ///
     /// When a whole fleet has just started, its callers retry all at once, and one second of that
-    /// service looks like several times the share. Used unweighted, this ratio would make idle
-    /// engines refuse teams for seconds.
+    /// service looks like several times the share. With the unweighted ratio, routers would refuse
+    /// calls of these teams for seconds while engines are idle.
     #[allow(clippy::cast_precision_loss)]
     fn window_coverage(&self, now: Moment) -> f64 {
         let age = self.begun.map_or(TimeSpan(0), |begun| now.since(begun));
         (age.0 as f64 / self.window.0.max(1) as f64).min(1.0)
     }
 
-    /// Demand and service of each team at this router.
+    /// Returns the demand and service of each team at this router.
     pub fn flows(&mut self, now: Moment) -> BTreeMap<TeamKey, TeamFlow> {
         let (begun, window) = (self.begun, self.window);
         let asked_s = counted_s(now, begun, window);
@@ -335,14 +343,14 @@
             .collect()
     }
 
-    /// Max-min level, the largest share of a team, in tokens a second; infinite while all demands
-    /// fit.
+    /// Returns the max-min level, the largest share of a team, in tokens a second; infinite while
+    /// all demands fit, and 0 while the rate is 0 and a team has asked.
     #[must_use]
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Teams that are limited to their shares, in descending order of demand.
+    /// Returns the teams that are limited to their shares, in descending order of demand.
     #[must_use]
     pub fn limited(&self) -> Vec<LimitedTeam> {
         let limited = self.teams.iter().filter_map(|(team, counts)| {
@@ -362,10 +370,10 @@
     /// Sets this router's part of each team's share from the demand at all routers. `rate` is the
     /// capacity of all endpoints together, in tokens a second.
     ///
-    /// Service relative to the share is also summed over all routers. A team that uses many routers
-    /// would look little served at each of them, since one request exceeds a router's part of its
-    /// share for seconds; with counts per router it got twice as much as a team that used one
-    /// router.
+    /// The ratio of service to share is computed from sums over all routers, not at each router. A
+    /// router's part of the share of a team that uses many routers is so small that one request
+    /// uses it up for seconds, so most of these routers see little service in the window. With
+    /// ratios per router such a team got twice as much as a team that used one router.
     pub fn share_out(&mut self, now: Moment, rate: f64, elsewhere: &BTreeMap<u64, TeamFlow>) {
         let own = self.flows(now);
         let mut flows = elsewhere.clone();
@@ -392,7 +400,8 @@
         }
     }
 
-    /// Demand of each team for which shares are set, by the hash of the team's key.
+    /// Returns the demand of each team from which shares are computed, by the hash of the team's
+    /// key.
     fn demands(
         &mut self,
         now: Moment,
@@ -421,15 +430,15 @@
     }
 }
 
-/// Credit in tokens after a refill at `rate` tokens a second, capped at [`BURST_S`] seconds of the
-/// rate.
+/// Returns the credit in tokens after a refill at `rate` tokens a second. The refill stops at
+/// [`BURST_S`] seconds of the rate; a credit that is already higher, from a higher rate, is kept.
 fn refilled(credit: f64, rate: f64, passed_s: f64) -> f64 {
     let most = (rate * BURST_S).max(credit);
     (credit + rate * passed_s).min(most)
 }
 
-/// Seconds over which a count is averaged: the window, or the time since counting began if that is
-/// shorter.
+/// Returns the seconds over which a count is averaged: the window, or the time since counting began
+/// if that is shorter.
 ///
 /// Averaged over the whole window, the demand in a fleet that has just started would seem to fit
 /// for seconds, so no team would be limited while the largest one floods the endpoints.
--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -1,10 +1,11 @@
 //! Guaranteed minimum service for long prompts.
 //!
-//! Load pattern: prompt sizes with a heavy tail under overload. Reading a long prompt takes most of
-//! its objective, so any queue causes it to be refused, on every retry. Letting all long prompts
-//! wait as long as the others costs more than it gains (a tenth of the requests holds half of the
-//! reading work). They are therefore allowed to wait only as often as needed to bring the fraction
-//! of them that is served to `MIN_SERVED_FRACTION` of the whole route's fraction.
+//! Load pattern: prompt sizes with a heavy tail under overload. Prefilling a long prompt takes most
+//! of its route's latency objective, so any queue causes it to be refused, on every retry. Adding a
+//! permitted wait for all long prompts costs more than it gains, as a tenth of the requests makes
+//! up half of the prefill work. The wait is therefore permitted only as often as needed for the
+//! served fraction of the long prompts to reach `MIN_SERVED_FRACTION` of the served fraction of the
+//! whole route.
 
 use std::collections::BTreeMap;
 
@@ -12,18 +13,18 @@
 
 use super::super::routes::RouteKey;
 
-/// Least served fraction of a size band, relative to the served fraction of its whole route. A band
-/// below half of its route counts as starved; the margin covers permitted waits that find no
-/// endpoint.
+/// Served fraction of a size band below which its requests may wait longer, relative to the served
+/// fraction of its whole route. The goal is that no band falls below half of its route's fraction;
+/// the margin from 0.5 to 0.62 covers permitted waits that find no endpoint.
 const MIN_SERVED_FRACTION: f64 = 0.62;
 
-/// Lower bounds of the size bands above the lowest, as multiples of the route's mean size. With the
-/// heavy tails observed (standard deviation about the mean) they separate the largest tenth and the
-/// fifth below it.
+/// Lower bounds of the second and the third size band, as multiples of the route's mean size. With
+/// the heavy tails observed (a standard deviation about as large as the mean) the third band holds
+/// the largest tenth of the requests and the second the next fifth.
 const BAND_BOUNDS: [f64; 2] = [1.2, 2.2];
 
-/// Weight of a new size in the moving mean, which covers about a hundred requests, some seconds of
-/// a router's traffic.
+/// Weight of a new size in the moving mean. The last hundred requests, some seconds of a router's
+/// traffic on one route, make up two thirds of the mean.
 const MEAN_WEIGHT: f64 = 0.01;
 
 /// Half-life of the counts, in us: long enough for several long prompts.
@@ -46,7 +47,9 @@
 
 #[derive(Debug, Default)]
 struct RouteSizes {
+    /// Moving mean of the request size, in tokens.
     mean: f64,
+    /// When the counts were last decayed.
     at: Moment,
     bands: [BandCounts; BAND_BOUNDS.len() + 1],
 }
@@ -80,14 +83,14 @@
     }
 }
 
-/// Requests received and served by each route, by size band.
+/// Requests received and sent on each route, by size band.
 #[derive(Debug, Default)]
 pub struct SizeTable {
     routes: BTreeMap<RouteKey, RouteSizes>,
 }
 
 impl SizeTable {
-    /// Counts a request of this size, in tokens.
+    /// Counts a received request of this size, in tokens.
     pub fn asked(&mut self, now: Moment, route: &RouteKey, tokens: f64) {
         let sizes = self.routes.entry(route.clone()).or_default();
         if sizes.mean <= 0.0 {
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -1,24 +1,28 @@
 //! Detection of demand that rises or falls faster than its mean over the share window.
 //!
 //! Load pattern: a team suddenly sends many times its previous demand, through any number of
-//! routers. Its mean over the share window reaches its share only after one or two seconds. Until
-//! then the team counts as within its share at every router and takes all that the endpoints can
-//! start, which is more than teams already over their shares get in six seconds. Recent demand
-//! shows the flood after a quarter of a second.
+//! routers. Its mean demand over the share window reaches its share only after one or two seconds.
+//! Until then the team counts as within its share at every router, and its requests take all that
+//! the endpoints can start. That is more than teams already over their shares get in six seconds.
+//! The demand over the last 0.3 s ([`super::shares::RECENT_WINDOW`]), the *recent demand*, shows
+//! the flood after a quarter of a second.
 //!
-//! When a flood ends, the mean stays high for seconds, and the means that other routers report are
-//! older and even higher, so that all routers' parts add up to half of the share. A team that asks
-//! less than its share by then would be refused most of its requests.
+//! When a flood ends, the mean stays high for seconds. Each router computes its part of the share
+//! from its own mean divided by the sum of all means; the means reported by other routers are older
+//! and even higher, so the parts add up to only half of the share. A team whose demand is below its
+//! share by then would be refused most of its requests.
 
 use super::shares::TeamFlow;
 
-/// Ratio of recent demand to the mean at which a surge begins.
+/// Ratio of recent demand to the mean at which a surge begins, if [`SURGE_LEVELS`] is exceeded too.
 const SURGE_BEGINS: f64 = 3.0;
 
-/// Ratio of recent demand to the max-min level at which a surge begins. A flood of twice the level
-/// shows in the mean after three seconds, in which it gets half as much again as others do in six;
-/// smaller ones can wait for the mean. Normal teams' requests come in bursts of several times their
-/// mean, and while all demands fit no team is short of capacity.
+/// Ratio of recent demand to the max-min level at which a surge begins, if [`SURGE_BEGINS`] is
+/// exceeded too. A flood of twice the level shows in the mean after three seconds, in which it gets
+/// half as much again as others do in six; smaller floods can wait for the mean. Without this bound
+/// normal teams would count as surging, since their requests come in bursts of several times their
+/// mean. While all demands fit, no team is short of capacity: the level is infinite then, and no
+/// surge begins.
 const SURGE_LEVELS: f64 = 2.0;
 
 /// Ratio of recent demand to the mean at which a surge ends. The mean has nearly caught up by then,
@@ -35,15 +39,16 @@
 /// Ratio of recent demand to the mean from which the mean is accurate again.
 const FALL_ENDS: f64 = 0.75;
 
-/// Decay factor per update of the peak that detects the end of a flood: to an eighth after a
+/// Decay factor per update of the peak that detects the end of a flood: to about a ninth after a
 /// second.
 const FAST_PEAK_DECAY: f64 = 0.8;
 
-/// Upper bound of the fraction of demand removed by the size cap. For a team that sends only the
-/// longest requests, a twentieth of the demand remains.
+/// Upper bound of the fraction of demand removed by the size cap, which counts a request in recent
+/// demand with at most twice the mean size. Even for a team that sends only the longest requests, a
+/// twentieth of the demand remains.
 const MAX_CAPPED_PART: f64 = 0.95;
 
-/// Demand of a team for which its share is set.
+/// Demand of a team from which its share is computed.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamDemand {
     /// Demand at all routers, in tokens a second.
@@ -58,7 +63,7 @@
     /// Decaying peak of recent demand, in tokens a second.
     peak: f64,
     is_surging: bool,
-    /// The same with a faster decay.
+    /// Peak of recent demand with a faster decay, in tokens a second.
     fast_peak: f64,
     is_falling: bool,
     /// Fraction of the mean that recent demand omits because of the size cap on requests, from 0 to
--- a/src/gateway/decide/window.rs
+++ b/src/gateway/decide/window.rs
@@ -3,7 +3,8 @@
 use crate::units::Moment;
 use crate::units::TimeSpan;
 
-/// Buckets per window. An amount is counted at most a tenth of the window too long.
+/// Buckets per window. The current bucket is one of them and only partly filled, so an amount is
+/// dropped up to a tenth of the window too early, never too late.
 const BUCKETS: usize = 10;
 
 /// A sum over a sliding window.
@@ -11,6 +12,7 @@
 pub struct WindowCount {
     bucket_us: u64,
     buckets: [f64; BUCKETS],
+    /// Number of the current bucket, counted from time 0; [`slot`] gives its index in `buckets`.
     newest: u64,
 }
 
