--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -54,8 +54,8 @@
     /// routers keep expecting a prompt part in the caches of the same endpoints.
     pub hash: u64,
     /// Hash that identifies the endpoint process; a restart changes it.
-    life_hash: u64,
-    /// The number of the process in messages between routers: the low 32 bits of `life_hash`. If
+    process_hash: u64,
+    /// The number of the process in messages between routers: the low 32 bits of `process_hash`. If
     /// two processes had the same number, each would be credited with the other's load; that
     /// happens in one of hundreds of fleets.
     pub life: u32,
@@ -89,11 +89,11 @@
 impl EndpointRow {
     #[allow(clippy::cast_possible_truncation)]
     fn new(entry: EndpointEntry) -> Self {
-        let life_hash = entry.life().hash();
+        let process_hash = entry.life().hash();
         Self {
             hash: entry.key.hash(),
-            life_hash,
-            life: life_hash as u32,
+            process_hash,
+            life: process_hash as u32,
             replaced: CancellationToken::new(),
             entry,
             active: 0,
@@ -236,13 +236,13 @@
             }
             let places = self.services.entry(entry.service.clone()).or_default();
             places.push(self.rows.len());
-            let notices = self.notices.of(row.life_hash);
+            let notices = self.notices.of(row.process_hash);
             self.rows.push(EndpointRow { notices, ..row });
         }
         for row in known.into_values() {
             self.departures.mark_departed(now, row.life);
         }
-        let known: BTreeSet<u64> = self.rows.iter().map(|row| row.life_hash).collect();
+        let known: BTreeSet<u64> = self.rows.iter().map(|row| row.process_hash).collect();
         self.notices.forget(now, |life| known.contains(&life));
         replaced
     }
@@ -283,7 +283,7 @@
 
     fn refresh_announcement(&mut self, life: u64) {
         let notices = self.notices.of(life);
-        for row in self.rows.iter_mut().filter(|row| row.life_hash == life) {
+        for row in self.rows.iter_mut().filter(|row| row.process_hash == life) {
             let (key, born) = (&row.entry.key, row.entry.born);
             spdlog::info!("endpoint: key={key} born={born} is leaving, reported by another router");
             row.notices = notices;
@@ -296,7 +296,7 @@
     pub fn leaving_to_report(&self, now: Moment) -> Vec<u64> {
         let leaving = self.rows.iter().filter(|row| row.announced_leaving());
         let unknown = leaving.filter(|row| row.is_listed_ready(now));
-        let lives = unknown.map(|row| row.life_hash);
+        let lives = unknown.map(|row| row.process_hash);
         lives.take(MAX_LEAVING_REPORTED).collect()
     }
 
