--- a/src/gateway/decide/departures.rs
+++ b/src/gateway/decide/departures.rs
@@ -28,23 +28,29 @@
 impl DepartureTable {
     /// Records that an endpoint process left: it is registered as leaving, no longer registered, or
     /// replaced by a new process under the same key.
-    pub fn mark_departed(&mut self, now: Moment, life: u32) {
-        self.left.insert(life, now);
+    pub fn mark_departed(&mut self, now: Moment, process_number: u32) {
+        self.left.insert(process_number, now);
     }
 
     /// Records that an endpoint process takes work, possibly again after it left.
-    pub fn mark_present(&mut self, life: u32) {
-        self.left.remove(&life);
+    pub fn mark_present(&mut self, process_number: u32) {
+        self.left.remove(&process_number);
     }
 
     /// Returns the departures to report to other routers, latest first.
     pub fn departures_to_report(&mut self, now: Moment) -> Vec<u32> {
         self.left
             .retain(|_, at| now.since(*at) < DEPARTURE_REPORT_TIME);
-        let mut latest: Vec<(Moment, u32)> =
-            self.left.iter().map(|(life, at)| (*at, *life)).collect();
+        let mut latest: Vec<(Moment, u32)> = self
+            .left
+            .iter()
+            .map(|(process_number, at)| (*at, *process_number))
+            .collect();
         latest.sort_unstable_by(|left, right| right.cmp(left));
         latest.truncate(MAX_DEPARTURES_REPORTED);
-        latest.into_iter().map(|(_, life)| life).collect()
+        latest
+            .into_iter()
+            .map(|(_, process_number)| process_number)
+            .collect()
     }
 }
