--- a/src/gateway/decide/notices.rs
+++ b/src/gateway/decide/notices.rs
@@ -59,21 +59,21 @@
 impl NoticeTable {
     /// Returns the notices of a process.
     #[must_use]
-    pub fn of(&self, life: u64) -> EndpointNotices {
-        let kept = self.kept.get(&life);
+    pub fn of(&self, process_hash: u64) -> EndpointNotices {
+        let kept = self.kept.get(&process_hash);
         kept.map_or_else(EndpointNotices::default, |kept| kept.notices)
     }
 
     /// Records that a process leaves. Returns true if that was not known before.
-    pub fn record_leaving(&mut self, now: Moment, life: u64) -> bool {
-        let kept = self.kept.entry(life).or_default();
+    pub fn record_leaving(&mut self, now: Moment, process_hash: u64) -> bool {
+        let kept = self.kept.entry(process_hash).or_default();
         kept.received_at = now;
         !std::mem::replace(&mut kept.notices.is_leaving, true)
     }
 
     /// Records that a process asked for a pause. A shorter pause does not end a longer one.
-    pub fn record_pause(&mut self, now: Moment, life: u64, pause: TimeSpan) {
-        let kept = self.kept.entry(life).or_default();
+    pub fn record_pause(&mut self, now: Moment, process_hash: u64, pause: TimeSpan) {
+        let kept = self.kept.entry(process_hash).or_default();
         kept.received_at = now;
         let until = Moment(now.0.saturating_add(pause.0));
         kept.notices.paused_until = kept.notices.paused_until.max(until);
@@ -81,7 +81,8 @@
 
     /// Drops processes that are not `known` and gave no notice within the retention time.
     pub fn forget(&mut self, now: Moment, known: impl Fn(u64) -> bool) {
-        self.kept
-            .retain(|life, kept| now.since(kept.received_at) < NOTICE_RETENTION || known(*life));
+        self.kept.retain(|process_hash, kept| {
+            now.since(kept.received_at) < NOTICE_RETENTION || known(*process_hash)
+        });
     }
 }
