--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -19,7 +19,7 @@
 use super::super::routes::EndpointEntry;
 
 /// Crashes after which a request is refused.
-const CRASHES: u32 = 3;
+const CRASH_LIMIT: u32 = 3;
 
 /// Time for which a crash's suspects are sent to other routers: callers retry a lost request within
 /// seconds.
@@ -55,7 +55,7 @@
 impl Default for CrashQuarantine {
     fn default() -> Self {
         let config = QuarantineConfig {
-            crashes: CRASHES,
+            crashes: CRASH_LIMIT,
             ..QuarantineConfig::default()
         };
         Self {
@@ -115,7 +115,7 @@
             .table
             .add_suspect(record, fingerprint, now, &self.config)
         {
-            spdlog::warn!("quarantine: fingerprint={fingerprint} refused crashes={CRASHES}");
+            spdlog::warn!("quarantine: fingerprint={fingerprint} refused crashes={CRASH_LIMIT}");
         }
     }
 
