--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -23,7 +23,7 @@
 
 /// Time for which a crash's suspects are sent to other routers: callers retry a lost request within
 /// seconds.
-const SUSPECT_GOSSIP_PERIOD: TimeSpan = TimeSpan::from_millis(10_000);
+const SUSPECT_REPORT_TIME: TimeSpan = TimeSpan::from_millis(10_000);
 
 /// Maximum number of suspects in one message; the next message carries the next ones.
 const MAX_SENT_SUSPECTS: usize = 6;
@@ -143,7 +143,7 @@
     pub fn suspects_to_send(&mut self, now: Moment) -> Vec<CrashSuspect> {
         self.table.shrink(now, &self.config);
         let recent = self.table.records_mut();
-        let recent = recent.filter(|record| now.since(record.seen_at) < SUSPECT_GOSSIP_PERIOD);
+        let recent = recent.filter(|record| now.since(record.seen_at) < SUSPECT_REPORT_TIME);
         let suspects: Vec<CrashSuspect> = recent
             .flat_map(|record| {
                 record.suspects.iter().map(|fingerprint| CrashSuspect {
