--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -42,7 +42,7 @@
 /// receive data from it, as behind a cut link. Used by [`EndpointHealth::is_silent`] only; an
 /// endpoint is already reported as silent ([`EndpointHealth::is_silent_here`]) as soon as it is
 /// overdue.
-const SILENT_HERE_AFTER: TimeSpan = TimeSpan::from_millis(2_000);
+const SILENT_DESPITE_PEERS_AFTER: TimeSpan = TimeSpan::from_millis(2_000);
 
 /// Number of other routers that must report an endpoint as silent before a router that is not
 /// itself waiting for it counts it as hung.
@@ -256,7 +256,7 @@
     #[must_use]
     pub fn is_silent(&self, now: Moment) -> bool {
         let overdue = self.overdue(now);
-        if overdue > SILENT_HERE_AFTER {
+        if overdue > SILENT_DESPITE_PEERS_AFTER {
             return true;
         }
         let nobody_receives = self.peer_reports.receiving == 0 && !self.is_recently_active(now);
