--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -619,7 +619,7 @@
                 row.health.count(now, true);
                 self.quarantine.lost(now, &ticket.entry, fingerprint);
             }
-            AttemptEnd::NotReached if self.is_disturbed => row.not_reached_due_to_link(now),
+            AttemptEnd::NotReached if self.is_disturbed => row.record_link_failure(now),
             AttemptEnd::NotReached => row.not_reached(now),
             AttemptEnd::Gone => {
                 row.not_reached(now);
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -166,7 +166,7 @@
 
     /// Records a connection that failed while this router's own link was at fault: pauses the
     /// endpoint briefly and leaves the backoff as it is.
-    pub fn not_reached_due_to_link(&mut self, now: Moment) {
+    pub fn record_link_failure(&mut self, now: Moment) {
         self.paused_until = now + TimeSpan::from_millis(FIRST_PAUSE_MS);
     }
 
