--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -620,9 +620,9 @@
                 self.quarantine.lost(now, &ticket.entry, fingerprint);
             }
             AttemptEnd::NotReached if self.is_disturbed => row.record_link_failure(now),
-            AttemptEnd::NotReached => row.not_reached(now),
+            AttemptEnd::NotReached => row.record_failed_connection(now),
             AttemptEnd::Gone => {
-                row.not_reached(now);
+                row.record_failed_connection(now);
                 self.quarantine.ended(now, &ticket.entry);
             }
             AttemptEnd::Full => row.pause_when_full(now),
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -158,7 +158,7 @@
     }
 
     /// Records a failed connection: pauses the endpoint with exponential backoff.
-    pub fn not_reached(&mut self, now: Moment) {
+    pub fn record_failed_connection(&mut self, now: Moment) {
         let pause = FIRST_PAUSE_MS << self.failed_connections.min(8);
         self.failed_connections += 1;
         self.paused_until = now + TimeSpan::from_millis(pause.min(LONGEST_PAUSE_MS));
