--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -571,7 +571,7 @@
         let Some(row) = self.endpoints.of_attempt(&ticket.entry) else {
             return;
         };
-        row.reached();
+        row.record_reached();
         row.health.first_output_received(now);
         if ticket.queued < MIN_LEARNING_TOKENS || self.is_disturbed {
             return;
@@ -604,7 +604,7 @@
         row.health.attempt_ended(had_output);
         match end {
             AttemptEnd::Answered => {
-                row.reached();
+                row.record_reached();
                 row.health.last_activity.record_activity(now);
                 row.health.count(now, false);
                 let stay = now.since(ticket.placed_at).0 as f64 / 1e3;
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -171,7 +171,7 @@
     }
 
     /// Records that the endpoint answered: resets the backoff.
-    pub fn reached(&mut self) {
+    pub fn record_reached(&mut self) {
         self.failed_connections = 0;
     }
 
