--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -297,7 +297,7 @@
     /// Counts a model call that this router refused because its own tasks were delayed. The call is
     /// logged but does not count as demand when shares are set: a router would be assigned a part
     /// of the team's share for it, which it can't use and other routers then lack.
-    pub fn refused_late(&mut self, team: &TeamKey, prompt: &PromptShape) {
+    pub fn record_refused_late(&mut self, team: &TeamKey, prompt: &PromptShape) {
         self.accounts.ask(team, prompt.share_tokens());
         self.accounts.count_unserved(team);
     }
--- a/src/gateway/late.rs
+++ b/src/gateway/late.rs
@@ -25,7 +25,7 @@
         .as_ref()
         .and_then(|table| key.and_then(|key| table.team(key)));
     if let (Some(team), Some(prompt)) = (team, &facts.prompt) {
-        shared.core().refused_late(team, prompt);
+        shared.core().record_refused_late(team, prompt);
     }
     let wait = Duration::from_millis(shared.config.elsewhere_retry_ms);
     OwnReply::later(OwnStatus::Unavailable, wait)
