--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -450,14 +450,14 @@
             tokens_per_ms: self.prefill_tokens_per_ms,
             hold_ms: self.hold_ms(request.service),
         };
-        let placement_ask = PlacementRequest {
+        let placement_request = PlacementRequest {
             prompt: request.prompt.filter(|_| engine.is_some()),
             engine,
             tried: request.tried,
             domain: &self.domain,
         };
         let rows: Vec<_> = self.endpoints.of_service(request.service).collect();
-        placement::place(&rows, &placement_ask, &model, now)
+        placement::place(&rows, &placement_request, &model, now)
     }
 
     fn hold_ms(&self, service: &ServiceKey) -> f64 {
