--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -250,14 +250,16 @@
 
 fn predicted_ms(
     row: &EndpointRow,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     model: &EngineModel,
     uncached: f64,
     now: Moment,
 ) -> f64 {
-    let slots = ask.engine.map_or(row.entry.slots, |engine| engine.slots);
+    let slots = request
+        .engine
+        .map_or(row.entry.slots, |engine| engine.slots);
     let waiting = slot_wait(row, slots, model.hold_ms);
-    let Some(_) = ask.prompt else {
+    let Some(_) = request.prompt else {
         return waiting;
     };
     let reading = (row.total_pending() + uncached) / model.tokens_per_ms;
@@ -271,12 +273,12 @@
 #[must_use]
 pub fn place(
     rows: &[&EndpointRow],
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     model: &EngineModel,
     now: Moment,
 ) -> Option<Placement> {
-    let usable = usable_rows(rows, ask.tried, now);
-    let shared = ask.prompt.map(shared_parts).unwrap_or_default();
+    let usable = usable_rows(rows, request.tried, now);
+    let shared = request.prompt.map(shared_parts).unwrap_or_default();
     let homes: Vec<HomeRanks> = shared
         .iter()
         .map(|part| HomeRanks::of(&usable, part.id))
@@ -286,14 +288,14 @@
         .map(|row| row.health.failure_rate(now))
         .fold(1.0, f64::min);
     let work_of = |row: &EndpointRow| {
-        let prompt = ask.prompt;
+        let prompt = request.prompt;
         prompt.map(|prompt| reading_work(row, prompt, &homes, now))
     };
     let candidates: Vec<(&EndpointRow, ReadingWork)> = usable
         .into_iter()
         .map(|row| (row, work_of(row).unwrap_or_default()))
         .collect();
-    let holder = PartHolder::of(&candidates, ask.engine);
+    let holder = PartHolder::of(&candidates, request.engine);
     let mut best: Option<(f64, Placement)> = None;
     for (row, mut work) in candidates {
         let fetch = holder.and_then(|holder| holder.fetch(row, work));
@@ -301,9 +303,9 @@
         let fetch_ms = fetch.map_or(0.0, |fetch| fetch.ms);
         work.tokens -= fetched;
         work.shared -= fetched;
-        let first_ms = predicted_ms(row, ask, model, work.tokens, now) + fetch_ms;
+        let first_ms = predicted_ms(row, request, model, work.tokens, now) + fetch_ms;
         let reread_ms = REREAD_WEIGHT * work.shared / model.tokens_per_ms;
-        let penalty_ms = penalties(row, ask, now, lowest) + FETCH_WEIGHT * fetch_ms;
+        let penalty_ms = penalties(row, request, now, lowest) + FETCH_WEIGHT * fetch_ms;
         let cost = first_ms + reread_ms + penalty_ms;
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             let placement = Placement {
@@ -342,8 +344,8 @@
 
 /// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
 /// domain, failures and a busy batch. `lowest` is the lowest failure rate among the endpoints.
-fn penalties(row: &EndpointRow, ask: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
-    let away = if row.entry.domain == *ask.domain {
+fn penalties(row: &EndpointRow, request: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
+    let away = if row.entry.domain == *request.domain {
         0.0
     } else {
         DOMAIN_PENALTY_MS
