--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -148,7 +148,7 @@
 
 /// Prompt tokens that an endpoint is expected to prefill, and those that it has cached.
 #[derive(Debug, Clone, Copy, Default)]
-struct ReadingWork {
+struct PrefillWork {
     /// All tokens to prefill.
     tokens: f64,
     /// Tokens to prefill in shared parts.
@@ -165,7 +165,7 @@
     prompt: &PromptShape,
     homes: &[HomeRanks],
     now: Moment,
-) -> ReadingWork {
+) -> PrefillWork {
     let mut shared = 0.0;
     let mut cached = 0.0_f64;
     for (part, home) in prompt.parts.iter().zip(homes) {
@@ -176,7 +176,7 @@
         cached = cached.max(shared * probability);
     }
     let total = f64::from(prompt.prompt_tokens).max(shared);
-    ReadingWork {
+    PrefillWork {
         tokens: total - cached,
         shared: shared - cached,
         cached,
@@ -197,12 +197,12 @@
 }
 
 impl<'a> PartHolder<'a> {
-    fn of(rows: &[(&'a EndpointRow, ReadingWork)], engine: Option<EngineShape>) -> Option<Self> {
+    fn of(rows: &[(&'a EndpointRow, PrefillWork)], engine: Option<EngineShape>) -> Option<Self> {
         let ms_per_token = engine?.fetch_ms_per_token()?;
         let most = rows
             .iter()
             .max_by(|(_, left), (_, right)| left.cached.total_cmp(&right.cached))?;
-        let (row, ReadingWork { cached, .. }) = *most;
+        let (row, PrefillWork { cached, .. }) = *most;
         (cached >= LEAST_FETCH).then_some(Self {
             row,
             cached,
@@ -212,7 +212,7 @@
 
     /// Returns what an engine with this prefill work would fetch; `None` if a fetch is not worth
     /// it.
-    fn fetch(&self, row: &EndpointRow, work: ReadingWork) -> Option<PartFetch> {
+    fn fetch(&self, row: &EndpointRow, work: PrefillWork) -> Option<PartFetch> {
         let tokens = self.cached - work.cached;
         if tokens < LEAST_FETCH || row.entry.key == self.row.entry.key {
             return None;
@@ -291,7 +291,7 @@
         let prompt = request.prompt;
         prompt.map(|prompt| reading_work(row, prompt, &homes, now))
     };
-    let candidates: Vec<(&EndpointRow, ReadingWork)> = usable
+    let candidates: Vec<(&EndpointRow, PrefillWork)> = usable
         .into_iter()
         .map(|row| (row, work_of(row).unwrap_or_default()))
         .collect();
