--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -160,7 +160,7 @@
 /// Returns the prefill work of a prompt at one endpoint. A part is assumed to be cached there, with
 /// all parts before it, if the endpoint is among the first in the part's rendezvous order or this
 /// router sent it there within [`PART_CACHED_FOR`].
-fn reading_work(
+fn prefill_work(
     row: &EndpointRow,
     prompt: &PromptShape,
     homes: &[HomeRanks],
@@ -289,7 +289,7 @@
         .fold(1.0, f64::min);
     let work_of = |row: &EndpointRow| {
         let prompt = request.prompt;
-        prompt.map(|prompt| reading_work(row, prompt, &homes, now))
+        prompt.map(|prompt| prefill_work(row, prompt, &homes, now))
     };
     let candidates: Vec<(&EndpointRow, PrefillWork)> = usable
         .into_iter()
