--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -262,8 +262,8 @@
     let Some(_) = request.prompt else {
         return waiting;
     };
-    let reading = (row.total_pending() + uncached) / model.tokens_per_ms;
-    IDLE_FIRST_TOKEN_MS + (waiting + reading) * row.health.slowness(now)
+    let prefill_ms = (row.total_pending() + uncached) / model.tokens_per_ms;
+    IDLE_FIRST_TOKEN_MS + (waiting + prefill_ms) * row.health.slowness(now)
 }
 
 /// Selects the endpoint with the lowest cost: the predicted time to a first output plus penalties.
