--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -234,8 +234,8 @@
             } else if was_ready {
                 self.departures.mark_departed(now, row.life);
             }
-            let places = self.services.entry(entry.service.clone()).or_default();
-            places.push(self.rows.len());
+            let indices = self.services.entry(entry.service.clone()).or_default();
+            indices.push(self.rows.len());
             let notices = self.notices.of(row.process_hash);
             self.rows.push(EndpointRow { notices, ..row });
         }
@@ -361,8 +361,8 @@
 
     /// Returns the endpoints of a service.
     pub fn of_service(&self, service: &ServiceKey) -> impl Iterator<Item = &EndpointRow> {
-        let places = self.services.get(service).map(Vec::as_slice);
-        places
+        let indices = self.services.get(service).map(Vec::as_slice);
+        indices
             .unwrap_or_default()
             .iter()
             .map(|place| &self.rows[*place])
