--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -326,7 +326,7 @@
         }
     }
 
-    fn place(&self, key: &EndpointKey) -> Option<usize> {
+    fn index(&self, key: &EndpointKey) -> Option<usize> {
         let found = self.rows.binary_search_by(|row| row.entry.key.cmp(key));
         found.ok()
     }
@@ -334,7 +334,7 @@
     /// Returns the row of an endpoint.
     #[must_use]
     pub fn get(&self, key: &EndpointKey) -> Option<&EndpointRow> {
-        self.place(key).map(|place| &self.rows[place])
+        self.index(key).map(|index| &self.rows[index])
     }
 
     /// Returns the row of the process that an attempt was placed at; `None` if that process has
@@ -356,7 +356,7 @@
 
     /// Returns the row of an endpoint for modification.
     pub fn get_mut(&mut self, key: &EndpointKey) -> Option<&mut EndpointRow> {
-        self.place(key).map(|place| &mut self.rows[place])
+        self.index(key).map(|index| &mut self.rows[index])
     }
 
     /// Returns the endpoints of a service.
@@ -365,7 +365,7 @@
         indices
             .unwrap_or_default()
             .iter()
-            .map(|place| &self.rows[*place])
+            .map(|index| &self.rows[*index])
     }
 
     /// Returns all endpoints.
