--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -122,7 +122,7 @@
     /// Returns true if the endpoint may get new work according to the endpoint lists.
     fn is_listed_ready(&self, now: Moment) -> bool {
         let is_over = self.used_until.is_some_and(|until| now >= until);
-        self.is_taking_work() && !is_over && !self.is_reported_departed
+        self.is_registered_ready() && !is_over && !self.is_reported_departed
     }
 
     /// Returns true if the endpoint gave notice that it is leaving.
@@ -141,7 +141,7 @@
     /// Returns true if the endpoint's last known registration has the state `Ready`. Unlike
     /// [`Self::is_listed_ready`], it ignores expired use and reported departures, and unlike
     /// [`Self::is_ready`] also the endpoint's own notices.
-    fn is_taking_work(&self) -> bool {
+    fn is_registered_ready(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
 
@@ -213,7 +213,7 @@
             before.map(|row| (row.entry.key.clone(), row)).collect();
         self.services.clear();
         for (key, entry) in entries {
-            let was_ready = known.get(key).is_some_and(EndpointRow::is_taking_work);
+            let was_ready = known.get(key).is_some_and(EndpointRow::is_registered_ready);
             let row = match known.remove(key) {
                 Some(row) if row.entry.born == entry.born => EndpointRow {
                     entry: entry.clone(),
@@ -229,7 +229,7 @@
                 }
                 None => EndpointRow::new(entry.clone()),
             };
-            if row.is_taking_work() {
+            if row.is_registered_ready() {
                 self.departures.mark_present(row.life);
             } else if was_ready {
                 self.departures.mark_departed(now, row.life);
