--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -249,7 +249,7 @@
 
     /// Applies the notices that a process gave in an answer. Returns true if it is the first notice
     /// that the process is leaving.
-    pub fn apply_announcement(
+    pub fn apply_notices(
         &mut self,
         now: Moment,
         entry: &EndpointEntry,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -145,7 +145,7 @@
         let is_news = self
             .core()
             .endpoints
-            .apply_announcement(self.clock.now(), entry, words);
+            .apply_notices(self.clock.now(), entry, words);
         let (key, born) = (&entry.key, entry.born);
         if words.is_leaving {
             self.metrics.endpoint_word("leaving");
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -36,9 +36,9 @@
     let all = endpoints("engine", 3);
     let mut core = router_with(&all);
     let leaving = all.values().next().unwrap();
-    assert!(core.endpoints.apply_announcement(ms(100), leaving, LEAVING));
+    assert!(core.endpoints.apply_notices(ms(100), leaving, LEAVING));
     assert!(
-        !core.endpoints.apply_announcement(ms(200), leaving, LEAVING),
+        !core.endpoints.apply_notices(ms(200), leaving, LEAVING),
         "no news"
     );
     core.set_endpoints(ms(300), &BTreeMap::new());
@@ -52,9 +52,8 @@
     let mut all = endpoints("engine", 3);
     let mut core = router_with(&all);
     let first = all.values_mut().next().unwrap();
-    core.endpoints.apply_announcement(ms(100), first, LEAVING);
-    core.endpoints
-        .apply_announcement(ms(100), first, pause(60_000));
+    core.endpoints.apply_notices(ms(100), first, LEAVING);
+    core.endpoints.apply_notices(ms(100), first, pause(60_000));
     first.born = ProcessStartTime(first.born.0 + 1);
     core.set_endpoints(ms(200), &all);
     assert_eq!(ready(&core, ms(200)), 3);
@@ -67,7 +66,7 @@
     let all = endpoints("engine", 3);
     let (mut told, mut other) = (router_with(&all), router_with(&BTreeMap::new()));
     told.endpoints
-        .apply_announcement(ms(100), all.values().next().unwrap(), LEAVING);
+        .apply_notices(ms(100), all.values().next().unwrap(), LEAVING);
     let lives = told.endpoints.leaving_to_report(ms(200));
     assert_eq!(lives.len(), 1);
     other.endpoints.apply_reported_leaving(ms(200), &lives);
@@ -83,7 +82,7 @@
     let all = endpoints("engine", 300);
     let mut core = router_with(&all);
     for entry in all.values() {
-        core.endpoints.apply_announcement(ms(100), entry, LEAVING);
+        core.endpoints.apply_notices(ms(100), entry, LEAVING);
     }
     assert_eq!(core.endpoints.leaving_to_report(ms(200)).len(), 32);
     // Endpoints that the store no longer lists need not be sent.
@@ -97,10 +96,8 @@
     let all = endpoints("engine", 2);
     let mut core = router_with(&all);
     let first = all.values().next().unwrap();
-    core.endpoints
-        .apply_announcement(ms(0), first, pause(3_000));
-    core.endpoints
-        .apply_announcement(ms(500), first, pause(1_000));
+    core.endpoints.apply_notices(ms(0), first, pause(3_000));
+    core.endpoints.apply_notices(ms(500), first, pause(1_000));
     assert_eq!(ready(&core, ms(2_900)), 1);
     assert_eq!(ready(&core, ms(3_000)), 2);
     let service = &first.service;
