--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -276,12 +276,12 @@
     pub fn apply_reported_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
             if self.notices.record_leaving(now, *life) {
-                self.refresh_announcement(*life);
+                self.refresh_notices(*life);
             }
         }
     }
 
-    fn refresh_announcement(&mut self, life: u64) {
+    fn refresh_notices(&mut self, life: u64) {
         let notices = self.notices.of(life);
         for row in self.rows.iter_mut().filter(|row| row.process_hash == life) {
             let (key, born) = (&row.entry.key, row.entry.born);
