--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -50,7 +50,7 @@
     /// Moving mean of the request size, in tokens.
     mean: f64,
     /// When the counts were last decayed.
-    at: Moment,
+    decayed_at: Moment,
     bands: [BandCounts; BAND_BOUNDS.len() + 1],
 }
 
@@ -64,13 +64,13 @@
 
     fn decay(&mut self, now: Moment) {
         #[allow(clippy::cast_precision_loss)]
-        let passed = now.since(self.at).0 as f64;
+        let passed = now.since(self.decayed_at).0 as f64;
         let kept = (-passed / HALF_LIFE_US).exp2();
         for band in &mut self.bands {
             band.asked *= kept;
             band.served *= kept;
         }
-        self.at = now;
+        self.decayed_at = now;
     }
 
     fn whole(&self) -> BandCounts {
