--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -531,13 +531,13 @@
         row.pending_tokens += placement.uncached;
         // A service that does not run model engines answers when the request is done; an engine
         // sends its first output once the prompt is prefilled.
-        let stay_ms = if request.prompt.is_some() {
+        let answer_hold_ms = if request.prompt.is_some() {
             0.0
         } else {
             hold_ms
         };
         row.health
-            .attempt_started(now, placement.first_ms + stay_ms);
+            .attempt_started(now, placement.first_ms + answer_hold_ms);
         if let Some(prompt) = request.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
             self.sizes.served(&request.route.name, tokens);
