--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -607,12 +607,12 @@
                 row.record_reached();
                 row.health.last_activity.record_activity(now);
                 row.health.count(now, false);
-                let stay = now.since(ticket.placed_at).0 as f64 / 1e3;
+                let measured_hold_ms = now.since(ticket.placed_at).0 as f64 / 1e3;
                 let mean = self
                     .mean_hold_ms
                     .entry(ticket.entry.service.clone())
-                    .or_insert(stay);
-                *mean += LEARNING_WEIGHT * (stay - *mean);
+                    .or_insert(measured_hold_ms);
+                *mean += LEARNING_WEIGHT * (measured_hold_ms - *mean);
             }
             AttemptEnd::Failed => row.health.count(now, true),
             AttemptEnd::Lost(fingerprint) => {
