--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -51,7 +51,7 @@
 /// level is known just as late, but hardly changes.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
-pub fn spare_level(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> Option<f64> {
+pub fn allowance_beyond_level(level: f64, flows: &BTreeMap<u64, TeamFlow>) -> Option<f64> {
     let beyond: Vec<f64> = teams_above_level(level, flows)
         .map(|flow| (flow.served - level).max(0.0))
         .collect();
--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -18,10 +18,10 @@
 use crate::units::TimeSpan;
 
 use super::super::routes::TeamKey;
+use super::levels::allowance_beyond_level;
 use super::levels::correction;
 use super::levels::least_served;
 use super::levels::max_min_level;
-use super::levels::spare_level;
 use super::surge::SurgeDetector;
 use super::surge::TeamDemand;
 use super::window::WindowCount;
@@ -385,7 +385,7 @@
         let terms = ShareTerms {
             level: if rate > 0.0 { level } else { f64::INFINITY },
             least: least_served(level, &flows),
-            spare: spare_level(level, &flows),
+            spare: allowance_beyond_level(level, &flows),
             coverage: self.window_coverage(now),
             window: self.window,
         };
