--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -240,7 +240,7 @@
     /// still used for a while, since an outage of the store may be the cause.
     pub fn set_endpoints(&mut self, now: Moment, entries: &BTreeMap<EndpointKey, EndpointEntry>) {
         for former in self.endpoints.replace(now, entries) {
-            self.quarantine.ended(now, &former);
+            self.quarantine.record_process_end(now, &former);
         }
     }
 
@@ -623,7 +623,7 @@
             AttemptEnd::NotReached => row.record_failed_connection(now),
             AttemptEnd::Gone => {
                 row.record_failed_connection(now);
-                self.quarantine.ended(now, &ticket.entry);
+                self.quarantine.record_process_end(now, &ticket.entry);
             }
             AttemptEnd::Full => row.pause_when_full(now),
             // If the route does not allow the request to run at a second endpoint, callers that
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -87,7 +87,7 @@
 
     /// Records a sign that an endpoint's process ended: nothing listens at its address, or a new
     /// process registered. Attempts recently lost there become suspects.
-    pub fn ended(&mut self, now: Moment, entry: &EndpointEntry) {
+    pub fn record_process_end(&mut self, now: Moment, entry: &EndpointEntry) {
         let endpoint = endpoint_id(entry);
         if !self.table.has_losses(endpoint) {
             return;
