--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -617,7 +617,8 @@
             AttemptEnd::Failed => row.health.count(now, true),
             AttemptEnd::Lost(fingerprint) => {
                 row.health.count(now, true);
-                self.quarantine.lost(now, &ticket.entry, fingerprint);
+                self.quarantine
+                    .record_lost_attempt(now, &ticket.entry, fingerprint);
             }
             AttemptEnd::NotReached if self.is_disturbed => row.record_link_failure(now),
             AttemptEnd::NotReached => row.record_failed_connection(now),
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -75,7 +75,12 @@
 
 impl CrashQuarantine {
     /// Records an attempt that broke off. Whether its endpoint crashed may not be known yet.
-    pub fn lost(&mut self, now: Moment, entry: &EndpointEntry, fingerprint: RequestFingerprint) {
+    pub fn record_lost_attempt(
+        &mut self,
+        now: Moment,
+        entry: &EndpointEntry,
+        fingerprint: RequestFingerprint,
+    ) {
         let endpoint = endpoint_id(entry);
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let life = entry.life().hash();
