--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -245,7 +245,7 @@
     match outcome {
         AttemptOutcome::Delivered(status) => {
             let mut core = traffic.shared.core();
-            core.quarantine.answered(call.fingerprint);
+            core.quarantine.record_answer(call.fingerprint);
             Some(CallEnd::Answered(status))
         }
         AttemptOutcome::CallerLeft => Some(CallEnd::CallerLeft),
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -132,7 +132,7 @@
     }
 
     /// Clears a request that got a complete answer.
-    pub fn answered(&mut self, fingerprint: RequestFingerprint) {
+    pub fn record_answer(&mut self, fingerprint: RequestFingerprint) {
         self.table.clear(fingerprint);
     }
 
