--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -99,14 +99,14 @@
         }
         let oldest = Moment(now.0.saturating_sub(self.config.evidence_ms * 1_000));
         let losses = self.table.take_losses(endpoint, oldest);
-        let record = self.record(now, endpoint, entry.life().hash());
+        let record = self.find_or_add_record(now, endpoint, entry.life().hash());
         for fingerprint in losses {
             self.suspect(now, record, fingerprint);
         }
     }
 
     /// Returns the number of the crash's record, which is added if it is missing.
-    fn record(&mut self, now: Moment, endpoint: EndpointId, life: u64) -> u64 {
+    fn find_or_add_record(&mut self, now: Moment, endpoint: EndpointId, life: u64) -> u64 {
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let known = self.table.find_record(endpoint, life, now, window);
         known.unwrap_or_else(|| {
@@ -139,7 +139,7 @@
     /// Merges suspects from another router's message.
     pub fn merge_suspects(&mut self, now: Moment, received: impl Iterator<Item = CrashSuspect>) {
         for suspect in received.take(MAX_RECEIVED_SUSPECTS) {
-            let record = self.record(now, suspect.endpoint, suspect.life);
+            let record = self.find_or_add_record(now, suspect.endpoint, suspect.life);
             self.suspect(now, record, suspect.fingerprint);
         }
     }
