--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -282,7 +282,8 @@
         self.budget.request(now, request.service);
         if let Some(prompt) = request.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.asked(now, &request.route.name, tokens);
+            self.sizes
+                .count_received_request(now, &request.route.name, tokens);
         }
         match (request.team, request.prompt) {
             (Some(team), Some(prompt)) => {
--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -91,7 +91,7 @@
 
 impl SizeTable {
     /// Counts a received request of this size, in tokens.
-    pub fn asked(&mut self, now: Moment, route: &RouteKey, tokens: f64) {
+    pub fn count_received_request(&mut self, now: Moment, route: &RouteKey, tokens: f64) {
         let sizes = self.routes.entry(route.clone()).or_default();
         if sizes.mean <= 0.0 {
             sizes.mean = tokens;
