--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -541,7 +541,7 @@
             .attempt_started(now, placement.first_ms + answer_hold_ms);
         if let Some(prompt) = request.prompt {
             let tokens = f64::from(prompt.prompt_tokens);
-            self.sizes.served(&request.route.name, tokens);
+            self.sizes.count_sent_request(&request.route.name, tokens);
             if let Some(team) = request.team {
                 let tokens = prompt.share_tokens();
                 self.accounts.send(team, tokens);
--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -103,7 +103,7 @@
     }
 
     /// Counts a request of this size, in tokens, that was sent.
-    pub fn served(&mut self, route: &RouteKey, tokens: f64) {
+    pub fn count_sent_request(&mut self, route: &RouteKey, tokens: f64) {
         if let Some(sizes) = self.routes.get_mut(route) {
             let band = sizes.band(tokens);
             sizes.bands[band].served += 1.0;
