--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -423,7 +423,7 @@
             let all = flows.get(&team.hash()).copied().unwrap_or_default();
             let capped_part = counts.capped_part(now);
             counts.surge.set_capped_part(capped_part);
-            let demand = counts.surge.demand(own, all, self.level);
+            let demand = counts.surge.update(own, all, self.level);
             demands.insert(team.hash(), demand);
         }
         demands
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -85,7 +85,7 @@
 
     /// Updates the surge state and returns the team's demand, from the flow at this router, the
     /// flow at all routers and the max-min level last set, in tokens a second.
-    pub fn demand(&mut self, own: TeamFlow, all: TeamFlow, level: f64) -> TeamDemand {
+    pub fn update(&mut self, own: TeamFlow, all: TeamFlow, level: f64) -> TeamDemand {
         self.peak = all.asked_recently.max(self.peak * PEAK_DECAY);
         let bound = if self.is_surging {
             SURGE_ENDS * all.asked
--- a/tests/gateway_floods.rs
+++ b/tests/gateway_floods.rs
@@ -190,10 +190,10 @@
         asked_recently: 80_000.0,
         served: 20_000.0,
     };
-    let fits = detector.demand(burst, burst, f64::INFINITY);
+    let fits = detector.update(burst, burst, f64::INFINITY);
     assert!(!detector.is_surging());
     assert!((fits.asked - 20_000.0).abs() < 1.0);
-    detector.demand(burst, burst, 50_000.0);
+    detector.update(burst, burst, 50_000.0);
     assert!(
         !detector.is_surging(),
         "four times its mean, less than two levels"
@@ -202,7 +202,7 @@
         asked_recently: 150_000.0,
         ..burst
     };
-    let surging = detector.demand(flood, flood, 50_000.0);
+    let surging = detector.update(flood, flood, 50_000.0);
     assert!(detector.is_surging());
     assert!((surging.asked - 150_000.0).abs() < 1.0);
 }
@@ -217,9 +217,9 @@
         asked_recently: recent,
         served: 0.0,
     };
-    detector.demand(flow(10_000.0), flow(400_000.0), 50_000.0);
+    detector.update(flow(10_000.0), flow(400_000.0), 50_000.0);
     for _ in 0..3 {
-        let demand = detector.demand(flow(10_000.0), flow(10_000.0), 50_000.0);
+        let demand = detector.update(flow(10_000.0), flow(10_000.0), 50_000.0);
         assert!(detector.is_surging());
         assert!(demand.asked > 250_000.0, "{demand:?}");
     }
