--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -420,7 +420,7 @@
                 expected_ms: expected,
             };
         }
-        self.ticket(now, request, &placement)
+        self.place_attempt(now, request, &placement)
     }
 
     /// Refuses a call that no endpoint can take. The caller should retry when the first pause ends:
@@ -514,7 +514,7 @@
     }
 
     /// Counts the call as placed at the endpoint and returns its ticket.
-    fn ticket(
+    fn place_attempt(
         &mut self,
         now: Moment,
         request: &AdmissionRequest<'_>,
