--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -481,7 +481,7 @@
         let objective = request.route.objective_ms as f64;
         let part = match standing {
             ShareStanding::Within => self.config.objective_part,
-            ShareStanding::Beyond(served) => self.objective_part_over_share(served),
+            ShareStanding::Beyond(service_ratio) => self.objective_part_over_share(service_ratio),
         };
         let left = request.left.0 as f64 / 1e3;
         let mut limit = objective * part;
@@ -496,15 +496,15 @@
     }
 
     /// Returns the fraction of the objective that a call of a team over its share may take;
-    /// `served` is the number of [`ShareStanding::Beyond`], at least the team's service at all
+    /// `service_ratio` is the number of [`ShareStanding::Beyond`], at least the team's service at all
     /// routers as a multiple of its share, and infinite once its allowance is used up.
     ///
     /// Capacity beyond the published rate would otherwise go to the team that asks most often. The
     /// more of it a team already gets, the emptier an endpoint must be to serve it more, so that
     /// all teams over their shares get about the same. With the square, a team served twice as much
     /// is limited to a quarter of the time.
-    fn objective_part_over_share(&self, served: f64) -> f64 {
-        self.config.over_share_part / (served * served)
+    fn objective_part_over_share(&self, service_ratio: f64) -> f64 {
+        self.config.over_share_part / (service_ratio * service_ratio)
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
