--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -283,7 +283,7 @@
         .iter()
         .map(|part| HomeRanks::of(&usable, part.id))
         .collect();
-    let lowest = usable
+    let lowest_failure_rate = usable
         .iter()
         .map(|row| row.health.failure_rate(now))
         .fold(1.0, f64::min);
@@ -305,7 +305,8 @@
         work.shared -= fetched;
         let first_ms = predicted_ms(row, request, model, work.tokens, now) + fetch_ms;
         let reread_ms = REREAD_WEIGHT * work.shared / model.tokens_per_ms;
-        let penalty_ms = penalties(row, request, now, lowest) + FETCH_WEIGHT * fetch_ms;
+        let penalty_ms =
+            penalties(row, request, now, lowest_failure_rate) + FETCH_WEIGHT * fetch_ms;
         let cost = first_ms + reread_ms + penalty_ms;
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             let placement = Placement {
@@ -343,14 +344,19 @@
 }
 
 /// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
-/// domain, failures and a busy batch. `lowest` is the lowest failure rate among the endpoints.
-fn penalties(row: &EndpointRow, request: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
+/// domain, failures and a busy batch. `lowest_failure_rate` is the lowest failure rate among the endpoints.
+fn penalties(
+    row: &EndpointRow,
+    request: &PlacementRequest<'_>,
+    now: Moment,
+    lowest_failure_rate: f64,
+) -> f64 {
     let away = if row.entry.domain == *request.domain {
         0.0
     } else {
         DOMAIN_PENALTY_MS
     };
-    let excess = row.health.failure_rate(now) - lowest - FAILURE_TOLERANCE;
+    let excess = row.health.failure_rate(now) - lowest_failure_rate - FAILURE_TOLERANCE;
     let failing = excess.max(0.0) * FAILURE_PENALTY_MS;
     let busy = f64::from(row.total_active()) / f64::from(row.entry.slots.max(1));
     away + failing + busy * FULL_BATCH_MS
