--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -495,9 +495,9 @@
         limit.min(left)
     }
 
-    /// Returns the fraction of the objective that a call of a team over its share may take;
-    /// `service_ratio` is the number of [`ShareStanding::Beyond`], at least the team's service at all
-    /// routers as a multiple of its share, and infinite once its allowance is used up.
+    /// Returns the fraction of the objective that a call of a team over its share may take.
+    /// `service_ratio` is the number of [`ShareStanding::Beyond`]; it is infinite once the team's
+    /// allowance is used up, so that the call is refused.
     ///
     /// Capacity beyond the published rate would otherwise go to the team that asks most often. The
     /// more of it a team already gets, the emptier an endpoint must be to serve it more, so that
--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -344,7 +344,8 @@
 }
 
 /// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
-/// domain, failures and a busy batch. `lowest_failure_rate` is the lowest failure rate among the endpoints.
+/// domain, failures and a busy batch. `lowest_failure_rate` is the lowest one among the usable
+/// endpoints.
 fn penalties(
     row: &EndpointRow,
     request: &PlacementRequest<'_>,
--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -58,9 +58,10 @@
 pub enum ShareStanding {
     /// Within the share, or the team is not limited.
     Within,
-    /// Beyond the share. The number is at least 1: the ratio of the team's service to its share,
-    /// multiplied by the ratio of its service to that of the least served team over its share, and
-    /// at least 2 during a surge; infinite if the team has used up its allowance beyond the share.
+    /// Beyond the share. The number is at least 1: the ratio of the team's service to its share
+    /// (closer to 1 until the counts cover the share window), multiplied by the ratio, if above 1,
+    /// of its service to that of the least served team over its share. It is at least 2 during a
+    /// surge, and infinite if the team has used up its allowance beyond the share.
     Beyond(f64),
 }
 
