--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -28,8 +28,9 @@
 /// from the other routers show it.
 const FULL_PAUSE_MS: u64 = 150;
 
-/// Most leaving processes listed in one message: 256 bytes of it. If more of them leave while the
-/// store is away, the other routers learn of the rest once the store is back.
+/// Maximum number of leaving processes listed in one message: 256 bytes of it. If more of them
+/// leave while the store is unavailable, the other routers learn of the rest once the store is
+/// back.
 const MAX_LEAVING_REPORTED: usize = 32;
 
 /// Load of the other routers at one endpoint.
@@ -37,8 +38,8 @@
 pub struct PeerLoad {
     /// Requests in flight.
     pub active: u32,
-    /// Prompt tokens that wait for prefill. A sum of whole numbers, so that subtracting them again
-    /// leaves exactly zero.
+    /// Prompt tokens that wait for prefill. A sum of whole numbers: the table of other routers adds
+    /// and subtracts their reports, and must get back to exactly zero.
     pub pending_tokens: f64,
     /// The endpoint's health as the other routers report it.
     pub health: PeerHealth,
@@ -50,11 +51,11 @@
     /// The registered entry.
     pub entry: EndpointEntry,
     /// The endpoint's hash for rendezvous hashing. It stays the same over restarts, so that all
-    /// routers keep looking for prompt parts at the same home endpoint.
+    /// routers keep expecting a prompt part in the caches of the same endpoints.
     pub hash: u64,
     /// Hash that identifies the endpoint process; a restart changes it.
-    life_hash: u64,
-    /// The number of the process in messages between routers: the low 32 bits of `life_hash`. If
+    process_hash: u64,
+    /// The number of the process in messages between routers: the low 32 bits of `process_hash`. If
     /// two processes had the same number, each would be credited with the other's load; that
     /// happens in one of hundreds of fleets.
     pub life: u32,
@@ -68,13 +69,16 @@
     pub peers: PeerLoad,
     /// The endpoint's health.
     pub health: EndpointHealth,
-    /// The endpoint gets no new work before this time.
+    /// End of a pause set by this router after a failed connection or a full endpoint. Before it,
+    /// the endpoint gets new work only if every other ready endpoint is paused or silent as well. A
+    /// pause that the endpoint asked for is stored in `notices` and always applies.
     pub paused_until: Moment,
-    /// For an endpoint kept beyond its registration: no new work from this time on.
+    /// For an endpoint that is still used although the list no longer has it: it gets no new work
+    /// from this time on.
     used_until: Option<Moment>,
     /// True if another router with a newer endpoint list reports that the endpoint left.
     is_reported_departed: bool,
-    /// What the endpoint process announced about itself in its answers.
+    /// The notices that the endpoint process gave about itself in its answers.
     notices: EndpointNotices,
     /// Consecutive failed connections.
     failed_connections: u32,
@@ -85,11 +89,11 @@
 impl EndpointRow {
     #[allow(clippy::cast_possible_truncation)]
     fn new(entry: EndpointEntry) -> Self {
-        let life_hash = entry.life().hash();
+        let process_hash = entry.life().hash();
         Self {
             hash: entry.key.hash(),
-            life_hash,
-            life: life_hash as u32,
+            process_hash,
+            life: process_hash as u32,
             replaced: CancellationToken::new(),
             entry,
             active: 0,
@@ -107,9 +111,9 @@
 
     /// Returns true if the endpoint may get new work.
     ///
-    /// Guards against an endpoint that is gone but still used: the use of an endpoint that is kept
-    /// beyond its registration ends here, even if the control thread or the reader of the list is
-    /// stuck.
+    /// Guards against an endpoint that is gone but still used: the time until which an endpoint is
+    /// used without registration is checked on each call, so it ends even if the tasks that read
+    /// the list and remove endpoints are stuck.
     #[must_use]
     pub fn is_ready(&self, now: Moment) -> bool {
         self.is_listed_ready(now) && self.notices.takes_work(now)
@@ -118,10 +122,10 @@
     /// Returns true if the endpoint may get new work according to the endpoint lists.
     fn is_listed_ready(&self, now: Moment) -> bool {
         let is_over = self.used_until.is_some_and(|until| now >= until);
-        self.is_taking_work() && !is_over && !self.is_reported_departed
+        self.is_registered_ready() && !is_over && !self.is_reported_departed
     }
 
-    /// Returns true if the endpoint announced that it is leaving.
+    /// Returns true if the endpoint gave notice that it is leaving.
     #[must_use]
     pub fn announced_leaving(&self) -> bool {
         self.notices.is_leaving
@@ -134,8 +138,10 @@
         (is_paused && self.is_listed_ready(now)).then(|| self.notices.paused_until.since(now))
     }
 
-    /// Returns true if the endpoint is registered as ready.
-    fn is_taking_work(&self) -> bool {
+    /// Returns true if the endpoint's last known registration has the state `Ready`. Unlike
+    /// [`Self::is_listed_ready`], it ignores expired use and reported departures, and unlike
+    /// [`Self::is_ready`] also the endpoint's own notices.
+    fn is_registered_ready(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
 
@@ -152,7 +158,7 @@
     }
 
     /// Records a failed connection: pauses the endpoint with exponential backoff.
-    pub fn not_reached(&mut self, now: Moment) {
+    pub fn record_failed_connection(&mut self, now: Moment) {
         let pause = FIRST_PAUSE_MS << self.failed_connections.min(8);
         self.failed_connections += 1;
         self.paused_until = now + TimeSpan::from_millis(pause.min(LONGEST_PAUSE_MS));
@@ -160,12 +166,12 @@
 
     /// Records a connection that failed while this router's own link was at fault: pauses the
     /// endpoint briefly and leaves the backoff as it is.
-    pub fn not_reached_due_to_link(&mut self, now: Moment) {
+    pub fn record_link_failure(&mut self, now: Moment) {
         self.paused_until = now + TimeSpan::from_millis(FIRST_PAUSE_MS);
     }
 
     /// Records that the endpoint answered: resets the backoff.
-    pub fn reached(&mut self) {
+    pub fn record_reached(&mut self) {
         self.failed_connections = 0;
     }
 
@@ -184,8 +190,8 @@
     services: BTreeMap<ServiceKey, Vec<usize>>,
     /// Endpoints that left recently.
     pub departures: DepartureTable,
-    /// What endpoint processes announced about themselves, including processes that no list has at
-    /// the moment.
+    /// Notices that endpoint processes gave about themselves, including processes that no list has
+    /// at the moment.
     notices: NoticeTable,
 }
 
@@ -207,7 +213,7 @@
             before.map(|row| (row.entry.key.clone(), row)).collect();
         self.services.clear();
         for (key, entry) in entries {
-            let was_ready = known.get(key).is_some_and(EndpointRow::is_taking_work);
+            let was_ready = known.get(key).is_some_and(EndpointRow::is_registered_ready);
             let row = match known.remove(key) {
                 Some(row) if row.entry.born == entry.born => EndpointRow {
                     entry: entry.clone(),
@@ -223,27 +229,27 @@
                 }
                 None => EndpointRow::new(entry.clone()),
             };
-            if row.is_taking_work() {
+            if row.is_registered_ready() {
                 self.departures.mark_present(row.life);
             } else if was_ready {
                 self.departures.mark_departed(now, row.life);
             }
-            let places = self.services.entry(entry.service.clone()).or_default();
-            places.push(self.rows.len());
-            let notices = self.notices.of(row.life_hash);
+            let indices = self.services.entry(entry.service.clone()).or_default();
+            indices.push(self.rows.len());
+            let notices = self.notices.of(row.process_hash);
             self.rows.push(EndpointRow { notices, ..row });
         }
         for row in known.into_values() {
             self.departures.mark_departed(now, row.life);
         }
-        let known: BTreeSet<u64> = self.rows.iter().map(|row| row.life_hash).collect();
+        let known: BTreeSet<u64> = self.rows.iter().map(|row| row.process_hash).collect();
         self.notices.forget(now, |life| known.contains(&life));
         replaced
     }
 
-    /// Applies what a process announced in an answer. Returns true if it announced for the first
-    /// time that it is leaving.
-    pub fn apply_announcement(
+    /// Applies the notices that a process gave in an answer. Returns true if it is the first notice
+    /// that the process is leaving.
+    pub fn apply_notices(
         &mut self,
         now: Moment,
         entry: &EndpointEntry,
@@ -262,34 +268,35 @@
         is_news
     }
 
-    /// Applies other routers' reports of processes that announced that they are leaving.
+    /// Applies other routers' reports of processes that gave notice that they are leaving.
     ///
-    /// Guards against a leaving endpoint that announces it to each router separately: every router
-    /// would have to send it a call, which it may cut, to find out.
+    /// Guards against calls to an endpoint that is leaving: it gives notice only in its answers, so
+    /// without the reports every router would have to send it a call, which it may cut, to find
+    /// out.
     pub fn apply_reported_leaving(&mut self, now: Moment, lives: &[u64]) {
         for life in lives {
             if self.notices.record_leaving(now, *life) {
-                self.refresh_announcement(*life);
+                self.refresh_notices(*life);
             }
         }
     }
 
-    fn refresh_announcement(&mut self, life: u64) {
+    fn refresh_notices(&mut self, life: u64) {
         let notices = self.notices.of(life);
-        for row in self.rows.iter_mut().filter(|row| row.life_hash == life) {
+        for row in self.rows.iter_mut().filter(|row| row.process_hash == life) {
             let (key, born) = (&row.entry.key, row.entry.born);
             spdlog::info!("endpoint: key={key} born={born} is leaving, reported by another router");
             row.notices = notices;
         }
     }
 
-    /// Returns the processes that announced that they are leaving but are still listed as ready,
+    /// Returns the processes that gave notice that they are leaving but are still listed as ready,
     /// for the messages to the other routers.
     #[must_use]
     pub fn leaving_to_report(&self, now: Moment) -> Vec<u64> {
         let leaving = self.rows.iter().filter(|row| row.announced_leaving());
         let unknown = leaving.filter(|row| row.is_listed_ready(now));
-        let lives = unknown.map(|row| row.life_hash);
+        let lives = unknown.map(|row| row.process_hash);
         lives.take(MAX_LEAVING_REPORTED).collect()
     }
 
@@ -319,15 +326,15 @@
         }
     }
 
-    fn place(&self, key: &EndpointKey) -> Option<usize> {
+    fn index(&self, key: &EndpointKey) -> Option<usize> {
         let found = self.rows.binary_search_by(|row| row.entry.key.cmp(key));
         found.ok()
     }
 
-    /// Returns one endpoint.
+    /// Returns the row of an endpoint.
     #[must_use]
     pub fn get(&self, key: &EndpointKey) -> Option<&EndpointRow> {
-        self.place(key).map(|place| &self.rows[place])
+        self.index(key).map(|index| &self.rows[index])
     }
 
     /// Returns the row of the process that an attempt was placed at; `None` if that process has
@@ -347,18 +354,18 @@
         row.is_some_and(|row| row.entry.born == entry.born && row.is_ready(now))
     }
 
-    /// Returns one endpoint for modification.
+    /// Returns the row of an endpoint for modification.
     pub fn get_mut(&mut self, key: &EndpointKey) -> Option<&mut EndpointRow> {
-        self.place(key).map(|place| &mut self.rows[place])
+        self.index(key).map(|index| &mut self.rows[index])
     }
 
     /// Returns the endpoints of a service.
     pub fn of_service(&self, service: &ServiceKey) -> impl Iterator<Item = &EndpointRow> {
-        let places = self.services.get(service).map(Vec::as_slice);
-        places
+        let indices = self.services.get(service).map(Vec::as_slice);
+        indices
             .unwrap_or_default()
             .iter()
-            .map(|place| &self.rows[*place])
+            .map(|index| &self.rows[*index])
     }
 
     /// Returns all endpoints.
--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -1,10 +1,10 @@
 //! Selection of the endpoint that is tried next for a request.
 //!
 //! Load pattern: prompts of very different length that share long parts. The time to a first token
-//! is the prompt work queued at the engine plus the request's own, so endpoints are compared by
-//! that work and not by their number of requests. A shared part in an endpoint's prefix cache
-//! costs nothing there. Every router ranks endpoints for a part in the same way (rendezvous
-//! hashing), so that the part stays in few caches without coordination between routers.
+//! is the prefill work queued at the engine plus the request's own, so endpoints are compared by
+//! that work and not by their number of requests. A shared part in an endpoint's prefix cache costs
+//! nothing there. Every router ranks endpoints for a part in the same way (rendezvous hashing), so
+//! that the part stays in few caches without coordination between routers.
 
 use std::net::SocketAddr;
 
@@ -24,48 +24,50 @@
 /// cached. The second gets requests for which the first has no room.
 const HOME_PROBABILITIES: [f64; 2] = [1.0, 0.5];
 
-/// Extra cost of re-reading a shared part, in multiples of the time that it takes: every request
-/// queued at the engine waits for it too.
+/// Extra cost of prefilling a shared part again, in multiples of the time that it takes: every
+/// request queued at the engine waits for it too.
 const REREAD_WEIGHT: f64 = 4.0;
 
 /// Time for which an endpoint is assumed to cache a part that this router sent there.
 const PART_CACHED_FOR: TimeSpan = TimeSpan::from_millis(8_000);
 
-/// Time to a first token on an idle engine in addition to reading the prompt, in ms: connection,
+/// Time to a first token on an idle engine in addition to prefilling the prompt, in ms: connection,
 /// one batch step and the response's way back.
 const IDLE_FIRST_TOKEN_MS: f64 = 12.0;
 
-/// Extra cost of a request to another failure domain, in ms: longer network path, and the price
-/// of traffic between domains.
+/// Extra cost of a request to another failure domain, in ms: longer network path, and the price of
+/// traffic between domains.
 const DOMAIN_PENALTY_MS: f64 = 4.0;
 
 /// Extra cost of fetching a shared part from another engine, in multiples of the time that it
 /// takes: the transfer occupies two links and delays later fetches.
 const FETCH_WEIGHT: f64 = 1.0;
 
-/// Fixed time of a fetch in addition to the transfer, in ms: one round trip between the engines
-/// and the set-up.
+/// Fixed time of a fetch in addition to the transfer, in ms: one round trip between the engines and
+/// the set-up.
 const FETCH_START_MS: f64 = 5.0;
 
 /// Factor by which a fetch from another failure domain takes longer.
 const CROSS_DOMAIN_FETCH_FACTOR: f64 = 2.0;
 
-/// Least number of shared tokens that is fetched; reading fewer takes about as long as a fetch.
+/// Smallest number of shared tokens that is fetched; prefilling fewer takes about as long as a
+/// fetch.
 const LEAST_FETCH: f64 = 256.0;
 
 /// Extra cost of an endpoint at a failure rate of one, in ms: a failed attempt costs the caller
 /// about as much as a late answer.
 const FAILURE_PENALTY_MS: f64 = 1_500.0;
 
-/// Failure rate above that of the best endpoint that is ignored. Up to one in seven requests
-/// fail regardless of the endpoint, and all routers use the same sums: with a smaller tolerance the
-/// whole fleet would send its work to the endpoint with the fewest recent failures.
+/// Difference to the lowest failure rate among the endpoints up to which a failure rate costs
+/// nothing. Up to one in seven requests fail regardless of the endpoint, and all routers add up the
+/// same reports: with a smaller tolerance all of them would send their work to the endpoint with
+/// the fewest recent failures.
 const FAILURE_TOLERANCE: f64 = 0.15;
 
 /// Parameters of the engine model that predicts waiting times.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineModel {
-    /// Prompt tokens that an engine reads per ms while it also generates.
+    /// Prompt tokens that an engine prefills per ms while it also generates.
     pub tokens_per_ms: f64,
     /// Time for which a request occupies an engine slot, in ms.
     pub hold_ms: f64,
@@ -88,18 +90,18 @@
     pub domain: &'a SmolStr,
 }
 
-/// The endpoint selected for a request, and its predicted cost.
+/// The endpoint selected for a request, and the times and the prefill work predicted there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Predicted time to the first output, in ms.
+    /// Predicted time to the first output, in ms; without a prompt only the wait for a slot.
     pub first_ms: f64,
-    /// Predicted time to the first output if the engine were idle, in ms.
+    /// Predicted time to the first output if the engine were idle, in ms; only used with a prompt.
     pub unqueued_ms: f64,
-    /// Prompt tokens that the endpoint must read.
+    /// Prompt tokens that the endpoint must prefill.
     pub uncached: f64,
-    /// Those of them in parts that other requests share.
+    /// The subset of `uncached` in parts that other requests share.
     pub reread: f64,
     /// The engine from which missing shared parts are fetched.
     pub fetch_from: Option<SocketAddr>,
@@ -144,26 +146,26 @@
     }
 }
 
-/// Prompt tokens that an endpoint is expected to read, and those that it has cached.
+/// Prompt tokens that an endpoint is expected to prefill, and those that it has cached.
 #[derive(Debug, Clone, Copy, Default)]
-struct ReadingWork {
-    /// All tokens to read.
+struct PrefillWork {
+    /// All tokens to prefill.
     tokens: f64,
-    /// Tokens to read in shared parts.
+    /// Tokens to prefill in shared parts.
     shared: f64,
     /// Tokens of shared parts that are expected to be cached.
     cached: f64,
 }
 
-/// Returns the reading work of a prompt at one endpoint. A part is assumed to be cached there, with
+/// Returns the prefill work of a prompt at one endpoint. A part is assumed to be cached there, with
 /// all parts before it, if the endpoint is among the first in the part's rendezvous order or this
 /// router sent it there within [`PART_CACHED_FOR`].
-fn reading_work(
+fn prefill_work(
     row: &EndpointRow,
     prompt: &PromptShape,
     homes: &[HomeRanks],
     now: Moment,
-) -> ReadingWork {
+) -> PrefillWork {
     let mut shared = 0.0;
     let mut cached = 0.0_f64;
     for (part, home) in prompt.parts.iter().zip(homes) {
@@ -174,7 +176,7 @@
         cached = cached.max(shared * probability);
     }
     let total = f64::from(prompt.prompt_tokens).max(shared);
-    ReadingWork {
+    PrefillWork {
         tokens: total - cached,
         shared: shared - cached,
         cached,
@@ -184,22 +186,23 @@
 /// The engine that is expected to cache most tokens of a prompt's shared parts.
 ///
 /// Another engine can fetch a part from there in the time of the transfer, a seventh of the time to
-/// read it, so that a request can go to the engine with the shortest queue wherever its parts are
-/// cached.
+/// prefill it, so that a request can go to the engine with the shortest queue wherever its parts
+/// are cached.
 #[derive(Debug, Clone, Copy)]
 struct PartHolder<'a> {
     row: &'a EndpointRow,
     cached: f64,
+    /// Time to transfer one token's cache entries to another engine, in ms.
     ms_per_token: f64,
 }
 
 impl<'a> PartHolder<'a> {
-    fn of(rows: &[(&'a EndpointRow, ReadingWork)], engine: Option<EngineShape>) -> Option<Self> {
+    fn of(rows: &[(&'a EndpointRow, PrefillWork)], engine: Option<EngineShape>) -> Option<Self> {
         let ms_per_token = engine?.fetch_ms_per_token()?;
         let most = rows
             .iter()
             .max_by(|(_, left), (_, right)| left.cached.total_cmp(&right.cached))?;
-        let (row, ReadingWork { cached, .. }) = *most;
+        let (row, PrefillWork { cached, .. }) = *most;
         (cached >= LEAST_FETCH).then_some(Self {
             row,
             cached,
@@ -207,9 +210,9 @@
         })
     }
 
-    /// Returns what an engine with this reading work would fetch; `None` if a fetch is not worth
+    /// Returns what an engine with this prefill work would fetch; `None` if a fetch is not worth
     /// it.
-    fn fetch(&self, row: &EndpointRow, work: ReadingWork) -> Option<PartFetch> {
+    fn fetch(&self, row: &EndpointRow, work: PrefillWork) -> Option<PartFetch> {
         let tokens = self.cached - work.cached;
         if tokens < LEAST_FETCH || row.entry.key == self.row.entry.key {
             return None;
@@ -228,7 +231,7 @@
     }
 }
 
-/// Fetch of shared parts from another engine, which replaces reading them.
+/// Fetch of shared parts from another engine, which replaces prefilling them.
 #[derive(Debug, Clone, Copy)]
 struct PartFetch {
     from: SocketAddr,
@@ -247,18 +250,20 @@
 
 fn predicted_ms(
     row: &EndpointRow,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     model: &EngineModel,
     uncached: f64,
     now: Moment,
 ) -> f64 {
-    let slots = ask.engine.map_or(row.entry.slots, |engine| engine.slots);
+    let slots = request
+        .engine
+        .map_or(row.entry.slots, |engine| engine.slots);
     let waiting = slot_wait(row, slots, model.hold_ms);
-    let Some(_) = ask.prompt else {
+    let Some(_) = request.prompt else {
         return waiting;
     };
-    let reading = (row.total_pending() + uncached) / model.tokens_per_ms;
-    IDLE_FIRST_TOKEN_MS + (waiting + reading) * row.health.slowness(now)
+    let prefill_ms = (row.total_pending() + uncached) / model.tokens_per_ms;
+    IDLE_FIRST_TOKEN_MS + (waiting + prefill_ms) * row.health.slowness(now)
 }
 
 /// Selects the endpoint with the lowest cost: the predicted time to a first output plus penalties.
@@ -268,29 +273,29 @@
 #[must_use]
 pub fn place(
     rows: &[&EndpointRow],
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     model: &EngineModel,
     now: Moment,
 ) -> Option<Placement> {
-    let usable = usable_rows(rows, ask.tried, now);
-    let shared = ask.prompt.map(shared_parts).unwrap_or_default();
+    let usable = usable_rows(rows, request.tried, now);
+    let shared = request.prompt.map(shared_parts).unwrap_or_default();
     let homes: Vec<HomeRanks> = shared
         .iter()
         .map(|part| HomeRanks::of(&usable, part.id))
         .collect();
-    let lowest = usable
+    let lowest_failure_rate = usable
         .iter()
         .map(|row| row.health.failure_rate(now))
         .fold(1.0, f64::min);
     let work_of = |row: &EndpointRow| {
-        let prompt = ask.prompt;
-        prompt.map(|prompt| reading_work(row, prompt, &homes, now))
+        let prompt = request.prompt;
+        prompt.map(|prompt| prefill_work(row, prompt, &homes, now))
     };
-    let candidates: Vec<(&EndpointRow, ReadingWork)> = usable
+    let candidates: Vec<(&EndpointRow, PrefillWork)> = usable
         .into_iter()
         .map(|row| (row, work_of(row).unwrap_or_default()))
         .collect();
-    let holder = PartHolder::of(&candidates, ask.engine);
+    let holder = PartHolder::of(&candidates, request.engine);
     let mut best: Option<(f64, Placement)> = None;
     for (row, mut work) in candidates {
         let fetch = holder.and_then(|holder| holder.fetch(row, work));
@@ -298,9 +303,10 @@
         let fetch_ms = fetch.map_or(0.0, |fetch| fetch.ms);
         work.tokens -= fetched;
         work.shared -= fetched;
-        let first_ms = predicted_ms(row, ask, model, work.tokens, now) + fetch_ms;
+        let first_ms = predicted_ms(row, request, model, work.tokens, now) + fetch_ms;
         let reread_ms = REREAD_WEIGHT * work.shared / model.tokens_per_ms;
-        let penalty_ms = penalties(row, ask, now, lowest) + FETCH_WEIGHT * fetch_ms;
+        let penalty_ms =
+            penalties(row, request, now, lowest_failure_rate) + FETCH_WEIGHT * fetch_ms;
         let cost = first_ms + reread_ms + penalty_ms;
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             let placement = Placement {
@@ -317,9 +323,11 @@
     best.map(|(_, placement)| placement)
 }
 
-/// Endpoints that may get the request. Pauses and silence are ignored if they affect all endpoints
-/// left: a short refusal by the last endpoints must not cause the next requests to be refused, and
-/// a fleet whose endpoints all seem silent is still used.
+/// Returns the endpoints that may get the request. A pause that the endpoint itself asked for
+/// always excludes it. A pause that this router set after a failed connection or a full endpoint,
+/// and silence, are ignored if they affect all endpoints left: a short refusal by the last
+/// endpoints must not cause the next requests to be refused, and a fleet whose endpoints all seem
+/// silent is still used.
 fn usable_rows<'a>(
     rows: &[&'a EndpointRow],
     tried: &[EndpointKey],
@@ -336,14 +344,20 @@
 }
 
 /// Penalties of an endpoint in addition to its time to a first output, in ms: another failure
-/// domain, failures and a busy batch.
-fn penalties(row: &EndpointRow, ask: &PlacementRequest<'_>, now: Moment, lowest: f64) -> f64 {
-    let away = if row.entry.domain == *ask.domain {
+/// domain, failures and a busy batch. `lowest_failure_rate` is the lowest one among the usable
+/// endpoints.
+fn penalties(
+    row: &EndpointRow,
+    request: &PlacementRequest<'_>,
+    now: Moment,
+    lowest_failure_rate: f64,
+) -> f64 {
+    let away = if row.entry.domain == *request.domain {
         0.0
     } else {
         DOMAIN_PENALTY_MS
     };
-    let excess = row.health.failure_rate(now) - lowest - FAILURE_TOLERANCE;
+    let excess = row.health.failure_rate(now) - lowest_failure_rate - FAILURE_TOLERANCE;
     let failing = excess.max(0.0) * FAILURE_PENALTY_MS;
     let busy = f64::from(row.total_active()) / f64::from(row.entry.slots.max(1));
     away + failing + busy * FULL_BATCH_MS
--- a/src/gateway/decide/quarantine.rs
+++ b/src/gateway/decide/quarantine.rs
@@ -4,9 +4,9 @@
 //! any router. A lost attempt alone proves little, since links break too. Together with a sign that
 //! the endpoint's process ended, it makes the request a suspect of that crash. Routers exchange
 //! suspects, and all of them refuse a request that was running in three crashes. The limit is three
-//! because other requests run beside the one that causes the crash: of 64 requests that ran in one
-//! crash few run in a second one and hardly any in a third, while each further engine lost costs
-//! the work of all its requests.
+//! because other requests run beside the one that causes the crash: of 64 requests that were
+//! running at one crash, few are running at a second one and hardly any at a third, while each
+//! further engine lost costs the work of all its requests.
 
 use crate::configs::quarantine::QuarantineConfig;
 use crate::core::tables::crashes::CrashEvidence;
@@ -19,15 +19,17 @@
 use super::super::routes::EndpointEntry;
 
 /// Crashes after which a request is refused.
-const CRASHES: u32 = 3;
+const CRASH_LIMIT: u32 = 3;
 
-/// Time for which a crash is sent to other routers: callers retry a lost request within seconds.
-const SUSPECT_GOSSIP_PERIOD: TimeSpan = TimeSpan::from_millis(10_000);
+/// Time for which a crash's suspects are sent to other routers: callers retry a lost request within
+/// seconds.
+const SUSPECT_REPORT_TIME: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// Most suspects in one message; the next message carries the next ones.
+/// Maximum number of suspects in one message; the next message carries the next ones.
 const MAX_SENT_SUSPECTS: usize = 6;
 
-/// Most suspects accepted from one message, since a foreign sender could list any number.
+/// Maximum number of suspects accepted from one message: the limit above binds only senders that
+/// run this code, and a message could list any number.
 const MAX_RECEIVED_SUSPECTS: usize = 64;
 
 /// A request that was running in a crash, as exchanged between routers.
@@ -53,7 +55,7 @@
 impl Default for CrashQuarantine {
     fn default() -> Self {
         let config = QuarantineConfig {
-            crashes: CRASHES,
+            crashes: CRASH_LIMIT,
             ..QuarantineConfig::default()
         };
         Self {
@@ -73,7 +75,12 @@
 
 impl CrashQuarantine {
     /// Records an attempt that broke off. Whether its endpoint crashed may not be known yet.
-    pub fn lost(&mut self, now: Moment, entry: &EndpointEntry, fingerprint: RequestFingerprint) {
+    pub fn record_lost_attempt(
+        &mut self,
+        now: Moment,
+        entry: &EndpointEntry,
+        fingerprint: RequestFingerprint,
+    ) {
         let endpoint = endpoint_id(entry);
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let life = entry.life().hash();
@@ -85,20 +92,21 @@
 
     /// Records a sign that an endpoint's process ended: nothing listens at its address, or a new
     /// process registered. Attempts recently lost there become suspects.
-    pub fn ended(&mut self, now: Moment, entry: &EndpointEntry) {
+    pub fn record_process_end(&mut self, now: Moment, entry: &EndpointEntry) {
         let endpoint = endpoint_id(entry);
         if !self.table.has_losses(endpoint) {
             return;
         }
         let oldest = Moment(now.0.saturating_sub(self.config.evidence_ms * 1_000));
         let losses = self.table.take_losses(endpoint, oldest);
-        let record = self.record(now, endpoint, entry.life().hash());
+        let record = self.find_or_add_record(now, endpoint, entry.life().hash());
         for fingerprint in losses {
             self.suspect(now, record, fingerprint);
         }
     }
 
-    fn record(&mut self, now: Moment, endpoint: EndpointId, life: u64) -> u64 {
+    /// Returns the number of the crash's record, which is added if it is missing.
+    fn find_or_add_record(&mut self, now: Moment, endpoint: EndpointId, life: u64) -> u64 {
         let window = TimeSpan::from_millis(self.config.evidence_ms);
         let known = self.table.find_record(endpoint, life, now, window);
         known.unwrap_or_else(|| {
@@ -112,11 +120,11 @@
             .table
             .add_suspect(record, fingerprint, now, &self.config)
         {
-            spdlog::warn!("quarantine: fingerprint={fingerprint} refused crashes={CRASHES}");
+            spdlog::warn!("quarantine: fingerprint={fingerprint} refused crashes={CRASH_LIMIT}");
         }
     }
 
-    /// Time for which a request is still refused; `None` if it is not refused.
+    /// Returns the time for which a request is still refused; `None` if it is not refused.
     #[must_use]
     pub fn refused_for(&self, now: Moment, fingerprint: RequestFingerprint) -> Option<TimeSpan> {
         let until = self.table.quarantined_until(fingerprint, now)?;
@@ -124,14 +132,14 @@
     }
 
     /// Clears a request that got a complete answer.
-    pub fn answered(&mut self, fingerprint: RequestFingerprint) {
+    pub fn record_answer(&mut self, fingerprint: RequestFingerprint) {
         self.table.clear(fingerprint);
     }
 
     /// Merges suspects from another router's message.
     pub fn merge_suspects(&mut self, now: Moment, received: impl Iterator<Item = CrashSuspect>) {
         for suspect in received.take(MAX_RECEIVED_SUSPECTS) {
-            let record = self.record(now, suspect.endpoint, suspect.life);
+            let record = self.find_or_add_record(now, suspect.endpoint, suspect.life);
             self.suspect(now, record, suspect.fingerprint);
         }
     }
@@ -140,7 +148,7 @@
     pub fn suspects_to_send(&mut self, now: Moment) -> Vec<CrashSuspect> {
         self.table.shrink(now, &self.config);
         let recent = self.table.records_mut();
-        let recent = recent.filter(|record| now.since(record.seen_at) < SUSPECT_GOSSIP_PERIOD);
+        let recent = recent.filter(|record| now.since(record.seen_at) < SUSPECT_REPORT_TIME);
         let suspects: Vec<CrashSuspect> = recent
             .flat_map(|record| {
                 record.suspects.iter().map(|fingerprint| CrashSuspect {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -149,10 +149,10 @@
         if announcement == EndpointAnnouncement::default() {
             return;
         }
-        let is_news =
-            self.core()
-                .endpoints
-                .apply_announcement(self.clock.now(), entry, announcement);
+        let is_news = self
+            .core()
+            .endpoints
+            .apply_notices(self.clock.now(), entry, announcement);
         let (key, born) = (&entry.key, entry.born);
         if announcement.is_leaving {
             self.metrics.endpoint_announcement("leaving");
