--- a/src/core/action.rs
+++ b/src/core/action.rs
@@ -21,8 +21,8 @@
 pub enum RefusalReason {
     /// The team's queue at this router is full.
     QueueFull,
-    /// The retry budget of the team is used up, or the request has used its maximum number of
-    /// attempts.
+    /// No retry is left: the retry budget of the team is used up, or the request has used its
+    /// maximum number of attempts.
     RetryBudget,
     /// It would miss its deadline because too many requests are queued before it.
     Overloaded,
@@ -32,7 +32,8 @@
     Quarantined,
     /// The router is draining and no peer could take the request.
     Draining,
-    /// The publication in force does not list the team.
+    /// The publication in force does not list the team. Counts as "not ready", with a delay for
+    /// a retry, since a newer publication may list it.
     NotReady,
     /// The endpoint or the link failed, and the request may not be repeated or its answer has begun
     /// and can't be resumed.
@@ -82,7 +83,7 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Refuse the request with an error answer; the core drops its state.
+    /// Refuse the request with an error answer; the core forgets the request.
     Refuse {
         /// The request.
         request: RequestId,
@@ -93,7 +94,7 @@
         /// Delay before a retry; zero if a retry would not help.
         retry_after: TimeSpan,
     },
-    /// The request is answered; the core drops its state. A stored answer to a request with a
+    /// The request is answered; the core forgets the request. A stored answer to a request with a
     /// ticket stays until `ForgetAnswer`.
     ///
     /// For a request that was joined to another one with `JoinAnswer`, this means that the original
@@ -112,9 +113,9 @@
     },
     /// Attach the caller to the running attempt or stored answer of another request with the same
     /// ticket, from the start of the answer. `Complete` or `Refuse` of the later request follows
-    /// when the original ends, or at once if it has ended; a replay in progress is finished even
-    /// after `ForgetAnswer`. If the start of the answer is not stored, the driver answers the
-    /// later caller "unknown".
+    /// when the original ends, or at once if it has ended; passing on the stored answer to the
+    /// later caller, once begun, is finished even after `ForgetAnswer`. If the start of the answer
+    /// is not stored, the driver answers the later caller "unknown".
     JoinAnswer {
         /// The later request.
         request: RequestId,
--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -147,8 +147,9 @@
         /// Highest fencing token of the orders it has followed; 0 if it ignores fencing tokens.
         fence: u64,
     },
-    /// The endpoint's host refused a connection: no process is listening. Sent for attempts and
-    /// for load polls; an attempt also ends as `NotSent`.
+    /// The endpoint's host refused a TCP connection: no process is listening. Not to be confused
+    /// with [`AttemptOutcome::Refused`], an answer of the endpoint. Sent for attempts and for load
+    /// polls; an attempt also ends as `NotSent`.
     EndpointRefused {
         /// The endpoint.
         endpoint: EndpointId,
--- a/src/core/finish.rs
+++ b/src/core/finish.rs
@@ -1,5 +1,5 @@
 //! Ends requests that are in the request table with an answer or a refusal. All systems do that
-//! through this module, so that the request's ticket ends with it, exactly once.
+//! through this module, so that the request's ticket ends together with the request, exactly once.
 //!
 //! Other ends do not pass through here: requests that are refused or answered before they are added
 //! to the table (`tickets`, `draining`), that are forwarded to a peer (`draining`), or whose caller
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -9,9 +9,9 @@
 //! roles. The host list names routers and endpoints, and the configuration service provides
 //! publications: the teams, pools and endpoints of the fleet, with a revision.
 //!
-//! Units: times are microseconds ([`Moment`]), service is weighted tokens or calls
-//! ([`crate::units::ServiceUnits`]). Time never goes backwards. After the process was suspended the
-//! driver passes the current time and does not make up for missed ticks.
+//! Units: times are microseconds ([`Moment`]), service is weighted tokens for engines and weighted
+//! calls for plain services ([`crate::units::ServiceUnits`]). Time never goes backwards. After the
+//! process was suspended the driver passes the current time and does not make up for missed ticks.
 
 pub mod action;
 pub mod event;
@@ -36,8 +36,8 @@
 use self::state::CoreState;
 use self::systems::CoreSystem;
 
-/// Identity of a router. Read from its local settings, except for the incarnation, which is drawn
-/// at random at each start.
+/// Identity of a router. Read from its local settings, except for the incarnation, which is
+/// made of the time and a random number at each start, so that a later one is higher.
 #[derive(Debug, Clone)]
 pub struct RouterIdentity {
     /// The host it runs on.
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -83,7 +83,9 @@
     pub retry_budgets: RetryBudgets,
     /// Requests in backoff before a retry, ordered by the end of the backoff.
     pub backoffs: BTreeSet<(Moment, RequestId)>,
-    /// Pools touched by this event, for which waiting requests are dispatched and reports sent.
+    /// Pools that the current event changed, or all pools on a tick. `dispatch` dispatches their
+    /// waiting requests; `reporting`, which adds all pools on a tick, sends the reports that are
+    /// due and empties the set.
     pub touched_pools: BTreeSet<PoolId>,
     /// Byte budget of urgent demand reports.
     pub report_budget: ByteBudget,
--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -106,6 +106,7 @@
         .get(&facts.team)
         .map_or(0, |usage| usage.queue.len());
     let full = waiting >= team.queue_limit as usize;
+    // `>`: a request that has arrived is already in the table and counts itself.
     let router_full = state.requests.len() > state.config.admission.queue_limit as usize;
     if full || router_full {
         return refusal(RefusalReason::QueueFull, usual_delay);
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -156,8 +156,9 @@
     };
     let now = state.now;
     let row = state.endpoints.row(endpoint);
-    // An endpoint that refuses connections frees its slots at once, so without a backoff it would
-    // attract all traffic and cause a burst of failures. The backoff doubles with each failure.
+    // Applies to every failure. The worst is an endpoint that refuses connections: it frees its
+    // slots at once, so without a backoff it would attract all traffic and cause a burst of
+    // failures. The backoff doubles with each failure.
     row.backoff_until = now + TimeSpan(first_backoff.0 << row.failures.min(MAX_BACKOFF_DOUBLINGS));
     row.failures += 1;
 }
@@ -224,6 +225,7 @@
             .get(request)
             .is_some_and(|entry| entry.stage == RequestStage::Backoff(until));
         if waits && quarantine::awaits_crash_check(state, request) {
+            // 0 retries: waiting for the crash check is no retry, so it takes the shortest backoff.
             back_off(state, request, 0);
         } else if waits {
             admission::enqueue_first(state, request);
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -24,8 +24,8 @@
 use crate::wire::PeerBody;
 use crate::wire::allotment::SlotAllotment;
 
-/// Virtual time per unit of the fields `clock`, the pool's virtual time, and `lead`, by how much a
-/// team's virtual time exceeds it, of an allotment.
+/// Unit of the fields `clock` and `lead` of an allotment, in virtual time. `clock` is the pool's
+/// virtual time; `lead` is a team's virtual time minus `clock`.
 pub const VIRTUAL_TIME_STEP: i64 = 10_000;
 
 /// A router with waiting requests may keep its target of slots and, beyond that, the target divided
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -2,7 +2,7 @@
 //! running ones.
 //!
 //! The router marks itself as leaving, which membership gossip spreads, so that it owns no pool and
-//! gets no forwarded requests. A request with a ticket that this incarnation of the router issued
+//! gets no forwarded requests. A request with a ticket that this incarnation of the router minted
 //! stays and runs here, since no other router may run it: a peer would have to offer a new ticket.
 
 use crate::core::action::CoreAction;
--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// Returns the leaving endpoints to announce with one ping.
+/// Returns the news of leaving endpoints, that is, the updates about them to gossip with one ping,
+/// and counts them as sent.
 pub fn take_news(state: &mut CoreState) -> Vec<LeavingEndpoint> {
     let limit = retransmit_limit(state.members.len(), state.config.probing.spread);
     let ids = state.leaving_gossip.take(state.config.leaving.news, limit);
--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -234,6 +234,7 @@
         let down = allowed * f64::from(config.step_down_percent) / 100.0;
         down.max(least.min(allowed))
     } else {
+        // At least half a slot per step.
         allowed + part(config.step_up_percent).max(0.5)
     };
     limit.allowed = (next < published).then_some(next);
--- a/src/core/systems/membership.rs
+++ b/src/core/systems/membership.rs
@@ -219,9 +219,9 @@
     };
     let reachable = row.reachable;
     state.members.change(host, |entry| entry.connected = false);
-    // A router that others reach and this one doesn't would be suspected after each failed dial
-    // and refute it each time; suspecting it once is enough. After that, indirect pings through
-    // other routers decide.
+    // A router that others reach and this one doesn't would be suspected after each failed dial and
+    // refute it each time. So once it is marked as not reachable, a failed dial no longer makes it
+    // suspect: indirect pings through other routers decide.
     if !state.detector.kept_connections.contains_key(host) || !reachable {
         return;
     }
--- a/src/core/systems/orders.rs
+++ b/src/core/systems/orders.rs
@@ -4,9 +4,9 @@
 //! owner of the pool that the endpoint serves now. That owner knows the demand of its own pool, so
 //! it decides, and it alone sends the order. Endpoints that check fencing tokens reject stale
 //! orders. Some endpoints don't, so two more rules hold. A router gives orders only after it has
-//! owned the pool for `belief_ms`, which is longer than a previous owner can still assume to be the
-//! owner. An endpoint keeps a model for at least `residence_ms`, so that two routers that both give
-//! orders cause at most one model load in that time.
+//! owned the pool for `belief_ms`, which is longer than a previous owner can go on acting as the
+//! owner after it lost the pool. An endpoint keeps a model for at least `residence_ms`, so that two
+//! routers that both give orders cause at most one model load in that time.
 
 use crate::catalog::FenceCheck;
 use crate::core::action::CoreAction;
@@ -47,9 +47,9 @@
 }
 
 /// Updates the number of routers by which the rate of model loads is divided: the largest number
-/// that this router has known at any time, whether or not they are alive or own pools. Together,
-/// all routers thus stay within the rate even if a partition makes each of them consider itself the
-/// only one.
+/// that this router has known whenever a host list was read, whether or not they are alive or own
+/// pools. Together, all routers thus stay within the rate even if a partition makes each of them
+/// consider itself the only one.
 fn count_hosts(state: &mut CoreState) {
     let known = state.members.iter().count() as u64;
     let budget = &mut state.orders.budget;
@@ -268,10 +268,14 @@
     }
 }
 
-/// Returns true if the pool that wishes for the endpoint lacks slots, and its demand per slot is,
-/// compared with that of the giving pool without the endpoint, at least `pressure_percent` percent
-/// now and no less with the endpoint. The last condition keeps the endpoint from being requested
-/// back. A pool with demand does not give its last slots.
+/// Returns true if the endpoint should move to the pool that wishes for it. All of these must hold:
+///
+/// - The wishing pool has more demand than slots.
+/// - Its demand per slot now is at least `pressure_percent` percent of the demand per slot that the
+///   giving pool will have without the endpoint.
+/// - Its demand per slot with the endpoint is no less than that of the giving pool without it. This
+///   keeps the endpoint from being requested back.
+/// - The giving pool keeps slots or has no demand.
 fn is_transfer_justified(
     state: &CoreState,
     endpoint: EndpointId,
@@ -294,8 +298,8 @@
     much_more && no_less && wanted > has
 }
 
-/// Returns the next order, or `None` while another router that gave the last order and can't be
-/// seen from here may still control the endpoint.
+/// Returns the next order, or `None` while another router that gave the last order, and is not
+/// known here to be alive, may still control the endpoint.
 fn next_order(state: &CoreState, endpoint: EndpointId, pool: PoolId) -> Option<OpenOrder> {
     let entry = state.catalog.endpoints.get(&endpoint)?;
     let seen = state.orders.fences.get(&endpoint).copied();
@@ -315,8 +319,9 @@
     })
 }
 
-/// Returns true if the router that gave the last order is seen alive. It has then handed the
-/// endpoint over, or else it would still own the pool that the endpoint serves.
+/// Returns true if the router that gave the last order is known to be alive. It has then handed the
+/// endpoint over: otherwise it would still own the pool that the endpoint serves, and this router
+/// would not.
 fn is_fence_holder_alive(state: &CoreState, tag: u32) -> bool {
     state.members.iter().any(|(host, row)| {
         let holds = row
--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -145,6 +145,7 @@
         }
         pool.drop_member(from);
     }
+    // An entry router that has acknowledged no allotment yet is at the start of a term.
     report.acked == 0
 }
 
@@ -206,8 +207,8 @@
         };
         let before = member.teams.insert(team, demand);
         // Charges from before the first report to this owner are ignored: a new owner starts all
-        // teams at the same virtual time, which can widen the fairness gap between teams by at most
-        // its usual bound, once.
+        // teams at the same virtual time, which can widen the fairness gap between teams once, by
+        // at most its usual bound, `debt_units`.
         let known = before.map_or(*charged, |old| old.charged);
         charges.push((team, (*charged - known) * CHARGE_STEP));
     }
@@ -223,6 +224,7 @@
     if pool.scarce && !pool.vacant.is_empty() {
         pool.urgent = true;
     }
+    // Requests wait and every held slot is busy, or slots are vacant.
     if waits && (member.held <= member.demand() - member.waiting() || !pool.vacant.is_empty()) {
         pool.urgent = true;
     }
--- a/src/core/systems/ownership/allotments.rs
+++ b/src/core/systems/ownership/allotments.rs
@@ -16,6 +16,10 @@
 use crate::wire::PeerBody;
 use crate::wire::allotment::SlotAllotment;
 
+/// Sends the allotments that are due to the pool's entry routers. One is sent if it is urgent; if
+/// the pool is scarce and the target was lowered, since the last one sent, to below the slots held;
+/// or if `refresh_ms` have passed since the last one and there is something to send: waiting
+/// requests, a changed target or `scarce` flag, or a report to acknowledge.
 pub(super) fn send_allotments(state: &mut CoreState, pool_id: PoolId, pool: &mut OwnedPool) {
     let now = state.now;
     let refresh = TimeSpan::from_millis(state.config.ownership.refresh_ms);
--- a/src/core/systems/ownership/grants.rs
+++ b/src/core/systems/ownership/grants.rs
@@ -31,8 +31,8 @@
 ///
 /// After a partition more slots of some endpoints are held than their limits allow, for a while.
 /// Then all routers are above their targets although other endpoints have vacant slots, and
-/// requests would wait beside them until the last long request ends. The next reallocation asks
-/// for the surplus back.
+/// requests would wait, despite the vacant slots, until the last long request ends. The next
+/// reallocation asks for the surplus back.
 pub(super) fn grant_leftover(pool: &mut OwnedPool) {
     let mut hosts: Vec<(u32, u32, HostName)> = pool
         .members
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -133,7 +133,8 @@
         state.publication_sync.fetch = None;
     }
     // A lagging configuration service may deliver an old revision after a newer one, which would
-    // revert shares. Revisions only increase, so ignoring one that is not higher is always safe.
+    // revert shares and other published values. Revisions only increase, so ignoring one that is
+    // not higher is always safe.
     if catalog.revision <= state.catalog.revision {
         return;
     }
@@ -257,10 +258,13 @@
     });
 }
 
-/// Marks this router, once it has a publication, as ready in one of two cases: the host list has
-/// been read, every other router that is connected or whose incarnation is not known yet has
-/// announced its revision, and none is higher than that in force; or `ready_ms` have passed since
-/// the start. Without this, a router that restarts without state could serve with an old revision
+/// Marks this router, once it has a publication, as ready in either of two cases:
+///
+/// - `ready_ms` have passed since the start.
+/// - The host list has been read; every other router that is connected, or whose incarnation is not
+///   known yet, has announced its revision; and none of these is higher than that in force.
+///
+/// Without this, a router that restarts without state could serve with an old revision
 /// from a lagging configuration service.
 fn update_readiness(state: &mut CoreState) {
     if state.publication_sync.ready || state.catalog.revision == ConfigRevision(0) {
--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -34,7 +34,8 @@
 use crate::units::TimeSpan;
 use crate::wire::PeerBody;
 
-/// Minimum age of a lost attempt at which a load report proves that its endpoint still runs.
+/// Minimum age of a lost attempt at which a load report proves that its endpoint still runs; a
+/// report that was on its way when the endpoint crashed arrives earlier.
 const REPORT_GRACE: TimeSpan = TimeSpan::from_millis(50);
 
 /// Handles lost attempts, signs of crashes and notices from peers; starts isolated suspects.
@@ -163,6 +164,7 @@
     suspect_losses(state, endpoint, number);
 }
 
+/// Finds the record of a crash or adds one, adds the new evidence to it, and returns its number.
 fn open_record(
     state: &mut CoreState,
     endpoint: EndpointId,
@@ -174,6 +176,7 @@
     let number = known.unwrap_or_else(|| state.crashes.add_record(endpoint, life, evidence, now));
     if let Some(record) = state.crashes.record_mut(number) {
         record.seen_at = now;
+        // One of the two is 0, unknown, or they are the same.
         record.life = record.life.max(life);
     }
     if evidence == CrashEvidence::Confirmed {
@@ -216,7 +219,7 @@
     refuse_waiting(state, fingerprint);
 }
 
-/// Refuses the requests waiting here that have a refused fingerprint.
+/// Refuses the requests waiting here whose fingerprint is in quarantine.
 fn refuse_waiting(state: &mut CoreState, fingerprint: RequestFingerprint) {
     let Some(until) = state.crashes.quarantined_until(fingerprint, state.now) else {
         return;
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -19,10 +19,10 @@
 use crate::wire::PeerBody;
 use crate::wire::quarantine::QuarantineNotice;
 
-/// Reports to the homes which copies ended. A copy that is found to have ended is reported on the
-/// next tick, because those recorded before are taken first. The loss of a copy is sent one tick
-/// earlier, by `send_notices`, so that no home grants the lease for the next copy before it knows
-/// of the loss.
+/// Reports to the homes which copies ended. First sends the ends recorded so far, then records the
+/// copies that were found to have ended. An end is thus reported one tick after the loss of the
+/// copy, which `send_notices` sends, so that no home grants the lease for the next copy before it
+/// knows of the loss.
 pub fn report_ended_copies(state: &mut CoreState) {
     let ended = state.trials.take_ended();
     notify_homes(state, ended, |notice, fingerprint| {
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -293,8 +293,8 @@
 }
 
 /// Returns true if a request continues although its caller disconnected: other callers wait for its
-/// answer, or it may have run and a resend must find the answer. Otherwise its ticket can be used
-/// again.
+/// answer, or it may have run and a resend must find the answer. Otherwise makes its ticket
+/// available for use again and returns false.
 pub fn continues_without_caller(
     state: &mut CoreState,
     repeat: RepeatRule,
--- a/src/core/tables/byte_budget.rs
+++ b/src/core/tables/byte_budget.rs
@@ -9,8 +9,8 @@
 ///
 /// A message may overdraw the bucket; the debt must be paid off before the next message. Without
 /// the debt, a bucket refilled by a few bytes per tick would let a whole message through every
-/// tick. The debt is capped at one second's worth, because messages that are sent regardless of the
-/// budget would otherwise keep it closed forever.
+/// tick. At each refill the debt is capped at one second's worth, because messages that are sent
+/// regardless of the budget would otherwise keep it closed forever.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ByteBudget {
     left: i64,
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -1,5 +1,9 @@
 //! Endpoint crashes, the requests that were running when they happened, and lost attempts that may
 //! be due to a crash.
+//!
+//! The `life` of an endpoint is a number that identifies its process and changes with each restart,
+//! read from load reports; 0 means unknown. A copy of a request is an occurrence of it with the
+//! same fingerprint, for example because the caller sent it again, perhaps to another router.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -61,6 +65,7 @@
 #[derive(Debug, Default)]
 pub struct CrashTable {
     records: BTreeMap<u64, CrashRecord>,
+    /// Number of the last record added.
     counted: u64,
     suspects: BTreeMap<RequestFingerprint, SuspectRow>,
     losses: BTreeMap<EndpointId, Vec<LostAttempt>>,
@@ -108,8 +113,8 @@
     }
 
     /// True if a copy of a request was lost since `oldest`, either here, and it is not known yet
-    /// whether its endpoint crashed, or at another router; what that router found out is not
-    /// considered.
+    /// whether its endpoint crashed, or at another router. A loss at another router counts even if
+    /// that router has found the cause since.
     #[must_use]
     pub fn has_unexplained_loss(&self, fingerprint: RequestFingerprint, oldest: Moment) -> bool {
         let reported_at = self.remote_losses.get(&fingerprint);
@@ -134,9 +139,10 @@
         self.losses.keys().copied().collect()
     }
 
-    /// The number of the known crash of an endpoint to which new evidence belongs, if any. That is
-    /// one with the same `life`. Two routers may see the same crash, one of them without knowing
-    /// the `life`; so if either is unknown, it is one with evidence within `window`.
+    /// The number of the known crash of an endpoint to which new evidence belongs, if any: one with
+    /// the same `life`, or, if `life` or that of the record is unknown, one whose last evidence is
+    /// no older than `window`. The latter is for two routers that see the same crash, one of them
+    /// without knowing the `life`.
     #[must_use]
     pub fn find_record(
         &self,
@@ -214,7 +220,7 @@
     /// True if a request was running in as many crashes as `config.crashes`. At most one
     /// unconfirmed crash counts, and only in addition to a confirmed one, so that broken
     /// connections alone never quarantine a request. A crash whose record was removed counts as
-    /// confirmed.
+    /// confirmed, since its evidence is no longer known.
     fn meets_crash_limit(
         &self,
         fingerprint: RequestFingerprint,
@@ -258,8 +264,9 @@
             .collect()
     }
 
-    /// Quarantines a request for `config.refuse_ms`; false if it was in quarantine already. It
-    /// stays a suspect for the same time afterwards, so that one more crash quarantines it again.
+    /// Quarantines a request for `config.refuse_ms`; false if it was in quarantine already, which
+    /// is then prolonged to `config.refuse_ms` from now. It stays a suspect for the same time
+    /// afterwards, so that one more crash quarantines it again.
     pub fn put_in_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -304,7 +311,8 @@
     /// The endpoints for the isolated run of a suspect, in order of preference. All routers that
     /// know the same crash compute the same order, so that each suspect of a crash gets its own
     /// endpoint if there are enough, and all copies of a request, at whichever router they arrive,
-    /// get the same one.
+    /// get the same one. Endpoints preferred by other suspects follow last; the endpoint that
+    /// crashed is returned only if there is no other.
     #[must_use]
     pub fn isolation_endpoints(
         &self,
--- a/src/core/tables/detector.rs
+++ b/src/core/tables/detector.rs
@@ -19,8 +19,9 @@
     pub suspect_since: Option<Moment>,
     /// Other routers that reported the same suspicion.
     pub confirmers: BTreeSet<HostName>,
-    /// Since when this router has had no connection to the peer although it wants to keep one;
-    /// cleared once the peer is marked as not reachable.
+    /// Since when this router has had no connection to the peer although it wants to keep one.
+    /// After the suspicion timeout the peer is marked as not reachable and this is cleared. It is
+    /// also cleared when a connection opens.
     pub lost_at: Option<Moment>,
     /// When it was declared dead.
     pub dead_since: Option<Moment>,
@@ -55,9 +56,11 @@
 pub struct DetectorTable {
     /// Failure detection state per router.
     pub peer_health: BTreeMap<HostName, PeerHealth>,
-    /// Routers with a running suspicion or reachability timeout.
+    /// Routers with a running suspicion timeout (`suspect_since`) or reachability timeout
+    /// (`lost_at`).
     pub running_timeouts: BTreeSet<HostName>,
-    /// Dead routers.
+    /// Routers that were declared dead; not those known from the host list only, although their
+    /// state is `Dead` too.
     pub dead: BTreeSet<HostName>,
     /// Routers to which this one keeps a connection open, and when each was last needed.
     pub kept_connections: BTreeMap<HostName, Moment>,
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -1,10 +1,11 @@
 //! An entry router's state of a pool: waiting requests, the slots it holds, and the order of teams
 //! according to the pool's owner.
 //!
-//! Entry router and owner count the granted and returned slots in terms. The entry router begins a
-//! new term, with a higher number, when the owner changes or asks for it; both then count from the
-//! slots of the attempts that are running at that time. An epoch is a router's incarnation
-//! truncated to 32 bits, by which messages for an earlier incarnation are recognised.
+//! Entry router and owner both count the granted and returned slots. Their counts are valid within
+//! a term, a numbered period. The entry router begins a new term, with a higher number, when the
+//! owner changes or asks for it; both then count from the slots of the attempts that are running at
+//! that time. An epoch is a router's incarnation truncated to 32 bits, by which messages for an
+//! earlier incarnation are recognised.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -46,7 +47,8 @@
     pub returned: u64,
     /// Number of running attempts of this router on the endpoint.
     pub busy: u32,
-    /// Sequence number of the first report that contains the endpoint's current values.
+    /// Sequence number of the first report that contains, or will contain, the endpoint's current
+    /// values.
     pub first_sent_in: u64,
 }
 
@@ -134,7 +136,8 @@
     pub busy: u32,
     /// True while the pool's demand exceeds its slots according to the owner.
     pub scarce: bool,
-    /// The pool's virtual time according to the owner.
+    /// The pool's virtual time according to the owner, in units of 1 / [`VIRTUAL_SCALE`] of a
+    /// service unit for a team of share 1.
     pub clock: i64,
     /// The current term: the number of times that this router restarted its slot counts.
     pub term: u32,
--- a/src/core/tables/members.rs
+++ b/src/core/tables/members.rs
@@ -22,7 +22,8 @@
     Suspect,
     /// It is draining: it gets no new work, and owns no pools as long as there is a live router.
     Leaving,
-    /// It is considered failed, or it is only known from the host list and was never connected.
+    /// It was declared dead by the failure detector, or it is only known from the host list and was
+    /// never connected. Only in the former case is it in `DetectorTable::dead`.
     Dead,
 }
 
@@ -46,8 +47,9 @@
     pub reachable: bool,
 }
 
-/// A router's state as gossiped. The greater value takes precedence: a later incarnation first,
-/// then a later refutation, then the worse state.
+/// A router's state as gossiped. The greater value takes precedence: a higher incarnation first,
+/// then a higher refutation count, then the worse state. An incarnation contains the time of
+/// the start, so that a later process has a higher one; a handshake overrides gossip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberRank {
     /// The incarnation that has the state.
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Applies `change` to a row and increments the version if a field that decides ownership has
-    /// changed.
+    /// Applies `change` to a row and increments the version if the state, the incarnation or
+    /// reachability has changed. Those decide which router owns a pool and the owner's epoch.
     pub fn change(&mut self, host: &HostName, change: impl FnOnce(&mut MemberEntry)) {
         let Some(row) = self.rows.get_mut(host) else {
             return;
--- a/src/core/tables/orders.rs
+++ b/src/core/tables/orders.rs
@@ -16,9 +16,9 @@
 use crate::units::RouterIncarnation;
 use crate::units::TimeSpan;
 
-/// Cost of one model load in units of [`LoadBudget`]. The buckets of all routers together gain
-/// `loads_per_minute` units per microsecond, so a load costs the 60,000,000 microseconds of a
-/// minute.
+/// Cost of one model load in units of [`LoadBudget`]. A unit is one 60,000,000th of a load, as a
+/// minute has 60,000,000 microseconds: the buckets of all routers together gain `loads_per_minute`
+/// units per microsecond.
 const LOAD_COST: u64 = 60_000_000;
 
 /// An order that the endpoint has not carried out yet.
@@ -62,8 +62,9 @@
 }
 
 impl LoadBudget {
-    /// Refills the bucket for the time since the last call, up to one load. The bucket starts
-    /// empty, so that restarts gain nothing.
+    /// Refills the bucket for the time since the last call (the first call: since moment 0), up to
+    /// one load. The bucket starts empty and gains nothing while `hosts` is 0, so that restarts
+    /// gain nothing.
     pub fn refill(&mut self, now: Moment, loads_per_minute: u32) {
         let passed = now.since(self.refilled).0;
         self.refilled = now;
@@ -85,7 +86,7 @@
 /// State of model-load orders at this router.
 #[derive(Debug, Default)]
 pub struct OrderTable {
-    /// Pools that this router owns, and since when without a pause of its process.
+    /// Pools that this router owns, and since when; counted anew after a pause of this process.
     pub owner_since: BTreeMap<PoolId, Moment>,
     /// Owned pools whose demand exceeds their slots, and since when.
     pub scarce_since: BTreeMap<PoolId, Moment>,
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -18,7 +18,8 @@
     pub waiting: u32,
     /// Number of running attempts.
     pub running: u32,
-    /// Service charged at the entry router since its start, as last reported, in `CHARGE_STEP`s.
+    /// Service charged at the entry router since its start, as last reported, in steps of
+    /// [`CHARGE_STEP`](crate::core::systems::reporting::CHARGE_STEP) service units.
     pub charged: i64,
 }
 
@@ -31,7 +32,8 @@
     pub granted: u64,
     /// Slots returned since then, as last reported.
     pub returned: u64,
-    /// Sequence number of the first allotment with the current value of `granted`.
+    /// Sequence number of the first allotment that has, or will have, the current value of
+    /// `granted`.
     pub first_sent_in: u64,
 }
 
@@ -44,7 +46,8 @@
     }
 }
 
-/// The owner's state of one entry router in the pool.
+/// The owner's state of one entry router that reports demand for the pool. Not to be confused
+/// with the members of the fleet in `members`.
 #[derive(Debug, Clone)]
 pub struct PoolMember {
     /// Its incarnation. A new incarnation gets a new state.
@@ -162,7 +165,7 @@
     pub assigned_slots: BTreeMap<EndpointId, u32>,
     /// Endpoints with slots that no router holds, ordered by the number of such slots.
     pub vacant: BTreeSet<(u32, EndpointId)>,
-    /// When targets and grants were last computed.
+    /// When the slots were last reallocated, that is, when targets and grants were last computed.
     pub shared_at: Moment,
     /// When spare slots were last distributed over entry routers without waiting requests.
     pub spare_granted_at: Moment,
@@ -219,7 +222,7 @@
         });
     }
 
-    /// Replaces `before` by `after` in the number of an endpoint's slots that are held.
+    /// Adds `after - before` to the number of an endpoint's slots that are held.
     pub fn move_assigned(&mut self, endpoint: EndpointId, before: u32, after: u32) {
         self.change_vacancy(endpoint, |pool| {
             let assigned_slots = pool.assigned_slots.entry(endpoint).or_default();
--- a/src/core/tables/publication_sync.rs
+++ b/src/core/tables/publication_sync.rs
@@ -7,7 +7,7 @@
 use crate::units::HostName;
 use crate::units::Moment;
 
-/// Maximum number of rejected revisions that are remembered.
+/// Maximum number of refused revisions, those with an invalid publication, that are remembered.
 const MAX_REFUSED_REVISIONS: usize = 32;
 
 /// A fetch of a publication from a peer that is in progress.
--- a/src/core/tables/requests.rs
+++ b/src/core/tables/requests.rs
@@ -14,8 +14,8 @@
 /// Stage of a request's processing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Not queued and not running: it just arrived, or its attempt ended or was cancelled, and no
-    /// system has decided about it yet.
+    /// Undecided, neither queued nor running: it just arrived, or its attempt ended or was
+    /// cancelled, and no system has decided about it yet.
     New,
     /// In its team's queue.
     Waiting,
@@ -60,8 +60,8 @@
     pub charged: i64,
     /// The endpoint of the last attempt; a retry prefers another one.
     pub last_endpoint: Option<EndpointId>,
-    /// True once an attempt has ended of which a byte may have reached an endpoint. Not yet set
-    /// while the first attempt runs.
+    /// True once an attempt has ended that an endpoint may have executed; an attempt that was not
+    /// sent or was refused with an answer is none. Not yet set while the first attempt runs.
     pub may_have_run: bool,
 }
 
--- a/src/core/tables/tickets.rs
+++ b/src/core/tables/tickets.rs
@@ -53,6 +53,7 @@
 /// with the most rows are reduced to their outcome, and the oldest outcomes are dropped.
 #[derive(Debug, Default)]
 pub struct TicketTable {
+    /// Number of the last ticket minted.
     minted: u64,
     rows: BTreeMap<u64, TicketRow>,
     /// Rows that no request holds, which may be evicted; each has weight 1.
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -1,5 +1,7 @@
-//! Isolated runs of suspects, outside the teams' queues. The fleet runs one copy of a request at a
-//! time, which is enforced by leases as long as the router that grants them answers.
+//! Isolated runs of suspects, called trials, outside the teams' queues. A copy of a request is an
+//! occurrence of it with the same fingerprint, for example because the caller sent it again,
+//! perhaps to another router. The fleet runs one copy of a request at a time, which is enforced by
+//! leases as long as the router that grants them answers.
 //!
 //! One router, the home of a request's fingerprint, grants the lease to one router at a time. A
 //! lease that isn't renewed expires, so a holder that dies blocks the others only for that long. A
