--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -86,7 +86,7 @@
     /// Pools that the current event changed, or all pools on a tick. `dispatch` dispatches their
     /// waiting requests; `reporting`, which adds all pools on a tick, sends the reports that are
     /// due and empties the set.
-    pub touched_pools: BTreeSet<PoolId>,
+    pub changed_pools: BTreeSet<PoolId>,
     /// Byte budget of urgent demand reports.
     pub report_budget: ByteBudget,
     /// Byte budget of allotments.
@@ -127,7 +127,7 @@
             slot_limits: SlotLimits::default(),
             retry_budgets: RetryBudgets::default(),
             backoffs: BTreeSet::new(),
-            touched_pools: BTreeSet::new(),
+            changed_pools: BTreeSet::new(),
             report_budget: ByteBudget::default(),
             allotment_budget: ByteBudget::default(),
             draining: false,
--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -157,7 +157,7 @@
         pool.has_new_demand = true;
     }
     dispatch::rank_team(state, pool_id, team);
-    state.touched_pools.insert(pool_id);
+    state.changed_pools.insert(pool_id);
 }
 
 /// Takes a waiting request out of its queue.
--- a/src/core/systems/attempts.rs
+++ b/src/core/systems/attempts.rs
@@ -143,7 +143,7 @@
     pool.mark_changed(team);
     pool.change_slots(endpoint, |hold| hold.busy = hold.busy.saturating_sub(1));
     dispatch::rank_team(state, pool_id, team);
-    state.touched_pools.insert(pool_id);
+    state.changed_pools.insert(pool_id);
 }
 
 fn update_endpoint_backoff(state: &mut CoreState, endpoint: EndpointId, outcome: AttemptOutcome) {
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -43,7 +43,7 @@
     {
         take_allotment(state, from, *incarnation, allotment);
     }
-    for pool in state.touched_pools.clone() {
+    for pool in state.changed_pools.clone() {
         give_back_surplus(state, pool);
         give_back_surplus(state, pool);
         dispatch_waiting(state, pool);
@@ -89,7 +89,7 @@
         if let Some(owner) = pool.owner.clone() {
             reporting::begin_term(pool, owner);
         }
-        state.touched_pools.insert(pool_id);
+        state.changed_pools.insert(pool_id);
         return;
     }
     take_grants(pool, allotment);
@@ -104,7 +104,7 @@
             rank_team(state, pool_id, team);
         }
     }
-    state.touched_pools.insert(pool_id);
+    state.changed_pools.insert(pool_id);
 }
 
 fn take_grants(pool: &mut EntryPool, allotment: &SlotAllotment) {
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -94,7 +94,7 @@
 fn mark_reports_urgent(state: &mut CoreState) {
     for (pool_id, pool) in &mut state.entry_pools {
         pool.urgent = true;
-        state.touched_pools.insert(*pool_id);
+        state.changed_pools.insert(*pool_id);
     }
 }
 
@@ -160,6 +160,6 @@
         while let Some((_, endpoint)) = pool.free_endpoints.first().copied() {
             pool.give_back(endpoint);
         }
-        state.touched_pools.insert(pool_id);
+        state.changed_pools.insert(pool_id);
     }
 }
--- a/src/core/systems/leaving.rs
+++ b/src/core/systems/leaving.rs
@@ -139,6 +139,6 @@
                 pool.give_back(endpoint);
             }
         }
-        state.touched_pools.insert(pool_id);
+        state.changed_pools.insert(pool_id);
     }
 }
--- a/src/core/systems/publication.rs
+++ b/src/core/systems/publication.rs
@@ -142,7 +142,7 @@
     state.publication_text = text.clone();
     for pool in state.catalog.pools.keys() {
         state.entry_pools.entry(*pool).or_default();
-        state.touched_pools.insert(*pool);
+        state.changed_pools.insert(*pool);
     }
     probing::push(state);
     fetch_if_behind(state);
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -101,7 +101,7 @@
             };
             state.trials.start(endpoint, trial);
             dispatch::start(state, pool_id, NextRequest { request, team }, endpoint);
-            state.touched_pools.insert(pool_id);
+            state.changed_pools.insert(pool_id);
             None
         }
     }
--- a/src/core/systems/reporting.rs
+++ b/src/core/systems/reporting.rs
@@ -25,9 +25,9 @@
     if matches!(event, CoreEvent::Tick) {
         refill(state);
         let pools: Vec<PoolId> = state.entry_pools.keys().copied().collect();
-        state.touched_pools.extend(pools);
+        state.changed_pools.extend(pools);
     }
-    for pool in std::mem::take(&mut state.touched_pools) {
+    for pool in std::mem::take(&mut state.changed_pools) {
         update_owner(state, pool);
         report_if_due(state, pool);
     }
