--- a/src/core/systems/quarantine.rs
+++ b/src/core/systems/quarantine.rs
@@ -215,7 +215,7 @@
 }
 
 fn refuse_fleet_wide(state: &mut CoreState, fingerprint: RequestFingerprint) {
-    state.crashes.unannounced_refusals.insert(fingerprint);
+    state.crashes.unannounced_quarantines.insert(fingerprint);
     refuse_waiting(state, fingerprint);
 }
 
--- a/src/core/systems/quarantine/notices.rs
+++ b/src/core/systems/quarantine/notices.rs
@@ -22,7 +22,7 @@
 pub fn send_notices(state: &mut CoreState) {
     let mut notices = crash_notices(state);
     let others = QuarantineNotice {
-        refused: numbers(std::mem::take(&mut state.crashes.unannounced_refusals)),
+        refused: numbers(std::mem::take(&mut state.crashes.unannounced_quarantines)),
         innocent: numbers(std::mem::take(&mut state.crashes.unannounced_clearances)),
         lost: take_batch(&mut state.crashes.unannounced_losses),
         ..QuarantineNotice::default()
--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -76,7 +76,7 @@
     /// Suspects cleared by a whole answer, not yet announced to peers.
     pub unannounced_clearances: BTreeSet<RequestFingerprint>,
     /// Newly quarantined requests, not yet announced to peers.
-    pub unannounced_refusals: BTreeSet<RequestFingerprint>,
+    pub unannounced_quarantines: BTreeSet<RequestFingerprint>,
 }
 
 impl CrashTable {
