--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -268,15 +268,15 @@
         (true, false) => config.share_out_ms,
         (false, _) => config.refresh_ms,
     };
-    if now < pool.grants_from || now.since(pool.shared_at) < TimeSpan::from_millis(wait) {
+    if now < pool.grants_from || now.since(pool.reallocated_at) < TimeSpan::from_millis(wait) {
         return;
     }
     set_limits(state, pool_id);
     let Some(mut pool) = state.owned.remove(&pool_id) else {
         return;
     };
-    let passed = now.since(pool.shared_at);
-    pool.shared_at = now;
+    let passed = now.since(pool.reallocated_at);
+    pool.reallocated_at = now;
     pool.urgent = false;
     advance_clock(state, &mut pool, passed);
     let demands = pool.team_demands();
--- a/src/core/tables/owned_pool.rs
+++ b/src/core/tables/owned_pool.rs
@@ -166,7 +166,7 @@
     /// Endpoints with slots that no router holds, ordered by the number of such slots.
     pub vacant: BTreeSet<(u32, EndpointId)>,
     /// When the slots were last reallocated, that is, when targets and grants were last computed.
-    pub shared_at: Moment,
+    pub reallocated_at: Moment,
     /// When spare slots were last distributed over entry routers without waiting requests.
     pub spare_granted_at: Moment,
     /// This pool's own part of the byte budget of allotments.
@@ -191,7 +191,7 @@
             limits: BTreeMap::new(),
             assigned_slots: BTreeMap::new(),
             vacant: BTreeSet::new(),
-            shared_at: Moment(0),
+            reallocated_at: Moment(0),
             spare_granted_at: Moment(0),
             budget: ByteBudget::default(),
             urgent: false,
