--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -46,7 +46,7 @@
         } => {
             if let Some(PeerBody::Demand(report)) = &message.body {
                 handle_report(state, from, *incarnation, report);
-                share_out_if_due(state, PoolId(report.pool));
+                reallocate_if_due(state, PoolId(report.pool));
             }
         }
         CoreEvent::Tick => {
@@ -54,7 +54,7 @@
             drop_gone_members(state);
             let pools: Vec<PoolId> = state.owned.keys().copied().collect();
             for pool in pools {
-                share_out_if_due(state, pool);
+                reallocate_if_due(state, pool);
             }
         }
         _ => {}
@@ -253,7 +253,7 @@
     state.owned.retain(|_, pool| !pool.members.is_empty());
 }
 
-fn share_out_if_due(state: &mut CoreState, pool_id: PoolId) {
+fn reallocate_if_due(state: &mut CoreState, pool_id: PoolId) {
     let now = state.now;
     let config = &state.config.ownership;
     let Some(pool) = state.owned.get(&pool_id) else {
