--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -98,7 +98,7 @@
         pool.report_acked = pool.report_acked.max(allotment.acked);
         pool.target = allotment.target;
         pool.scarce = allotment.scarce;
-        take_order(pool, allotment);
+        take_team_times(pool, allotment);
         let teams: Vec<TeamId> = pool.order.iter().map(|(_, team)| *team).collect();
         for team in teams {
             rank_team(state, pool_id, team);
@@ -115,7 +115,7 @@
     }
 }
 
-fn take_order(pool: &mut EntryPool, allotment: &SlotAllotment) {
+fn take_team_times(pool: &mut EntryPool, allotment: &SlotAllotment) {
     pool.clock = steps_to_time(allotment.clock);
     let rows = allotment.teams.iter().zip(&allotment.lead);
     for ((team, lead), quota) in rows.zip(&allotment.quota) {
