--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -188,7 +188,7 @@
     };
     let (repeat, current_stage) = (entry.facts.repeat, entry.stage);
     let sent = entry.may_have_run || matches!(current_stage, RequestStage::Running { .. });
-    if tickets::continues_without_caller(state, repeat, sent) {
+    if tickets::continue_or_release_ticket(state, repeat, sent) {
         return;
     }
     match current_stage {
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -295,7 +295,7 @@
 /// Returns true if a request continues although its caller disconnected: other callers wait for its
 /// answer, or it may have run and a resend must find the answer. Otherwise makes its ticket
 /// available for use again and returns false.
-pub fn continues_without_caller(
+pub fn continue_or_release_ticket(
     state: &mut CoreState,
     repeat: RepeatRule,
     may_have_run: bool,
