--- a/src/core/tables/crashes.rs
+++ b/src/core/tables/crashes.rs
@@ -66,7 +66,7 @@
 pub struct CrashTable {
     records: BTreeMap<u64, CrashRecord>,
     /// Number of the last record added.
-    counted: u64,
+    last_number: u64,
     suspects: BTreeMap<RequestFingerprint, SuspectRow>,
     losses: BTreeMap<EndpointId, Vec<LostAttempt>>,
     /// Requests of which another router lost a copy, and when a loss was last reported here.
@@ -171,7 +171,7 @@
         evidence: CrashEvidence,
         now: Moment,
     ) -> u64 {
-        self.counted += 1;
+        self.last_number += 1;
         let record = CrashRecord {
             endpoint,
             life,
@@ -180,8 +180,8 @@
             suspects: BTreeSet::new(),
             unannounced: BTreeSet::new(),
         };
-        self.records.insert(self.counted, record);
-        self.counted
+        self.records.insert(self.last_number, record);
+        self.last_number
     }
 
     /// Mutable access to a crash.
