--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -170,7 +170,7 @@
 pub fn handle_lease_requests(state: &mut CoreState, from: &HostName, notice: &QuarantineNotice) {
     let span = super::check_window(state);
     for fingerprint in notice.ended.iter().copied().map(RequestFingerprint) {
-        state.trials.give_back(fingerprint, from);
+        state.trials.end_lease(fingerprint, from);
     }
     let mut answer = QuarantineNotice::default();
     for fingerprint in notice.wanted.iter().copied().map(RequestFingerprint) {
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -189,7 +189,7 @@
     }
 
     /// As the home, ends the lease of a holder.
-    pub fn give_back(&mut self, fingerprint: RequestFingerprint, holder: &HostName) {
+    pub fn end_lease(&mut self, fingerprint: RequestFingerprint, holder: &HostName) {
         let held = self.granted.get(&fingerprint);
         if held.is_some_and(|lease| lease.holder == *holder) {
             self.granted.remove(&fingerprint);
