--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -283,11 +283,11 @@
     update_accounts(state, &mut pool, &demands);
     set_targets(state, &mut pool, &demands);
     let refresh = TimeSpan::from_millis(state.config.ownership.refresh_ms);
-    let spread = now.since(pool.spare_granted_at) >= refresh;
-    if spread {
+    let include_idle = now.since(pool.spare_granted_at) >= refresh;
+    if include_idle {
         pool.spare_granted_at = now;
     }
-    grant_vacant(&mut pool, spread);
+    grant_vacant(&mut pool, include_idle);
     grant_leftover(&mut pool);
     send_allotments(state, pool_id, &mut pool);
     state.owned.insert(pool_id, pool);
--- a/src/core/systems/ownership/grants.rs
+++ b/src/core/systems/ownership/grants.rs
@@ -6,14 +6,14 @@
 
 /// Grants vacant slots, first to the entry routers that are furthest below their targets.
 ///
-/// Routers with waiting requests are always considered; the others only if `spread` is true, since
+/// Routers with waiting requests are always considered; the others only if `include_idle` is true, since
 /// granting them spare slots costs messages that serve no waiting request.
-pub(super) fn grant_vacant(pool: &mut OwnedPool, spread: bool) {
+pub(super) fn grant_vacant(pool: &mut OwnedPool, include_idle: bool) {
     let mut hosts: Vec<(u32, HostName)> = pool
         .members
         .iter()
         .filter(|(_, member)| member.target > member.held)
-        .filter(|(_, member)| spread || member.waiting() > 0)
+        .filter(|(_, member)| include_idle || member.waiting() > 0)
         .map(|(host, member)| (member.target - member.held, host.clone()))
         .collect();
     hosts.sort_by(|left, right| right.cmp(left));
