--- a/src/core/systems/limits.rs
+++ b/src/core/systems/limits.rs
@@ -101,7 +101,9 @@
     }
 }
 
-/// Returns the latency goal for the first byte of a request's answer.
+/// Returns the latency goal for the first byte of a request's answer: that of its kind, which
+/// `first_byte_ms` can only lower, for interactive requests to pools of the engine protocol.
+/// `first_byte_ms` applies alone if the kind is unknown.
 fn first_byte_goal(state: &CoreState, facts: &RequestFacts) -> TimeSpan {
     let default_goal = TimeSpan::from_millis(state.config.limits.first_byte_ms);
     let kind = state
--- a/src/core/systems/ownership/accounts.rs
+++ b/src/core/systems/ownership/accounts.rs
@@ -19,8 +19,8 @@
 const MAX_WEIGHT_FACTOR: f64 = 2.0;
 
 /// Advances the pool's clock to the mean virtual time, weighted by share, of the teams that have
-/// waited for at least `BACKLOGGED_AFTER`. Teams that wait only for moments would hold it back: they
-/// are served at once and their virtual time grows little.
+/// waited for at least `BACKLOGGED_AFTER`. Teams that wait only for moments would hold it back:
+/// they are served at once and their virtual time grows little.
 #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
 pub(super) fn advance_clock(state: &CoreState, pool: &mut OwnedPool, passed: TimeSpan) {
     let now = state.now;
@@ -76,7 +76,8 @@
 }
 
 /// Returns a team's share, reduced if the team is ahead of the clock and increased if it is behind,
-/// so that it would reach the clock after `correction_ms`.
+/// so that it would reach the clock after `correction_ms`. The divisor is at least 1 unit of
+/// virtual time.
 #[allow(clippy::cast_precision_loss)]
 pub(super) fn team_weight(state: &CoreState, pool: &OwnedPool, team: TeamId) -> f64 {
     let share = f64::from(state.catalog.share_of(team).0.max(1));
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -292,8 +292,8 @@
     shrink(state);
 }
 
-/// Returns true if a request continues although its caller disconnected: other callers wait for its
-/// answer, or it may have run and a resend must find the answer. Otherwise makes its ticket
+/// Returns true if a request must continue although its caller disconnected: other callers wait for
+/// its answer, or it may have run and a resend must find the answer. Otherwise makes its ticket
 /// available for use again and returns false.
 pub fn continue_or_release_ticket(
     state: &mut CoreState,
--- a/src/core/tables/entry_pool.rs
+++ b/src/core/tables/entry_pool.rs
@@ -149,7 +149,8 @@
     pub allotment_seen: u64,
     /// When the last report was sent.
     pub reported_at: Moment,
-    /// True if an early report is due, for example because slots were returned.
+    /// True if an early report is due, for example because slots were returned. New demand also
+    /// makes a report early, but only while no slot is free (`has_new_demand`).
     pub urgent: bool,
     /// True if a team started to wait since the last report.
     pub has_new_demand: bool,
