--- a/src/core/systems/admission.rs
+++ b/src/core/systems/admission.rs
@@ -106,6 +106,7 @@
         .get(&facts.team)
         .map_or(0, |usage| usage.queue.len());
     let full = waiting >= team.queue_limit as usize;
+    // `>`: a request that has arrived is already in the table and counts itself.
     let router_full = state.requests.len() > state.config.admission.queue_limit as usize;
     if full || router_full {
         return refusal(RefusalReason::QueueFull, usual_delay);
@@ -156,7 +157,7 @@
         pool.has_new_demand = true;
     }
     dispatch::rank_team(state, pool_id, team);
-    state.touched_pools.insert(pool_id);
+    state.changed_pools.insert(pool_id);
 }
 
 /// Takes a waiting request out of its queue.
@@ -187,7 +188,7 @@
     };
     let (repeat, current_stage) = (entry.facts.repeat, entry.stage);
     let sent = entry.may_have_run || matches!(current_stage, RequestStage::Running { .. });
-    if tickets::continues_without_caller(state, repeat, sent) {
+    if tickets::continue_or_release_ticket(state, repeat, sent) {
         return;
     }
     match current_stage {
--- a/src/core/systems/dispatch.rs
+++ b/src/core/systems/dispatch.rs
@@ -24,8 +24,8 @@
 use crate::wire::PeerBody;
 use crate::wire::allotment::SlotAllotment;
 
-/// Virtual time per unit of the fields `clock`, the pool's virtual time, and `lead`, by how much a
-/// team's virtual time exceeds it, of an allotment.
+/// Unit of the fields `clock` and `lead` of an allotment, in virtual time. `clock` is the pool's
+/// virtual time; `lead` is a team's virtual time minus `clock`.
 pub const VIRTUAL_TIME_STEP: i64 = 10_000;
 
 /// A router with waiting requests may keep its target of slots and, beyond that, the target divided
@@ -43,7 +43,7 @@
     {
         take_allotment(state, from, *incarnation, allotment);
     }
-    for pool in state.touched_pools.clone() {
+    for pool in state.changed_pools.clone() {
         give_back_surplus(state, pool);
         give_back_surplus(state, pool);
         dispatch_waiting(state, pool);
@@ -89,7 +89,7 @@
         if let Some(owner) = pool.owner.clone() {
             reporting::begin_term(pool, owner);
         }
-        state.touched_pools.insert(pool_id);
+        state.changed_pools.insert(pool_id);
         return;
     }
     take_grants(pool, allotment);
@@ -98,13 +98,13 @@
         pool.report_acked = pool.report_acked.max(allotment.acked);
         pool.target = allotment.target;
         pool.scarce = allotment.scarce;
-        take_order(pool, allotment);
+        take_team_times(pool, allotment);
         let teams: Vec<TeamId> = pool.order.iter().map(|(_, team)| *team).collect();
         for team in teams {
             rank_team(state, pool_id, team);
         }
     }
-    state.touched_pools.insert(pool_id);
+    state.changed_pools.insert(pool_id);
 }
 
 fn take_grants(pool: &mut EntryPool, allotment: &SlotAllotment) {
@@ -115,7 +115,7 @@
     }
 }
 
-fn take_order(pool: &mut EntryPool, allotment: &SlotAllotment) {
+fn take_team_times(pool: &mut EntryPool, allotment: &SlotAllotment) {
     pool.clock = steps_to_time(allotment.clock);
     let rows = allotment.teams.iter().zip(&allotment.lead);
     for ((team, lead), quota) in rows.zip(&allotment.quota) {
--- a/src/core/systems/draining.rs
+++ b/src/core/systems/draining.rs
@@ -2,7 +2,7 @@
 //! running ones.
 //!
 //! The router marks itself as leaving, which membership gossip spreads, so that it owns no pool and
-//! gets no forwarded requests. A request with a ticket that this incarnation of the router issued
+//! gets no forwarded requests. A request with a ticket that this incarnation of the router minted
 //! stays and runs here, since no other router may run it: a peer would have to offer a new ticket.
 
 use crate::core::action::CoreAction;
@@ -94,7 +94,7 @@
 fn mark_reports_urgent(state: &mut CoreState) {
     for (pool_id, pool) in &mut state.entry_pools {
         pool.urgent = true;
-        state.touched_pools.insert(*pool_id);
+        state.changed_pools.insert(*pool_id);
     }
 }
 
@@ -160,6 +160,6 @@
         while let Some((_, endpoint)) = pool.free_endpoints.first().copied() {
             pool.give_back(endpoint);
         }
-        state.touched_pools.insert(pool_id);
+        state.changed_pools.insert(pool_id);
     }
 }
--- a/src/core/systems/ownership.rs
+++ b/src/core/systems/ownership.rs
@@ -46,7 +46,7 @@
         } => {
             if let Some(PeerBody::Demand(report)) = &message.body {
                 handle_report(state, from, *incarnation, report);
-                share_out_if_due(state, PoolId(report.pool));
+                reallocate_if_due(state, PoolId(report.pool));
             }
         }
         CoreEvent::Tick => {
@@ -54,7 +54,7 @@
             drop_gone_members(state);
             let pools: Vec<PoolId> = state.owned.keys().copied().collect();
             for pool in pools {
-                share_out_if_due(state, pool);
+                reallocate_if_due(state, pool);
             }
         }
         _ => {}
@@ -145,6 +145,7 @@
         }
         pool.drop_member(from);
     }
+    // An entry router that has acknowledged no allotment yet is at the start of a term.
     report.acked == 0
 }
 
@@ -206,8 +207,8 @@
         };
         let before = member.teams.insert(team, demand);
         // Charges from before the first report to this owner are ignored: a new owner starts all
-        // teams at the same virtual time, which can widen the fairness gap between teams by at most
-        // its usual bound, once.
+        // teams at the same virtual time, which can widen the fairness gap between teams once, by
+        // at most its usual bound, `debt_units`.
         let known = before.map_or(*charged, |old| old.charged);
         charges.push((team, (*charged - known) * CHARGE_STEP));
     }
@@ -223,6 +224,7 @@
     if pool.scarce && !pool.vacant.is_empty() {
         pool.urgent = true;
     }
+    // Requests wait and every held slot is busy, or slots are vacant.
     if waits && (member.held <= member.demand() - member.waiting() || !pool.vacant.is_empty()) {
         pool.urgent = true;
     }
@@ -251,7 +253,7 @@
     state.owned.retain(|_, pool| !pool.members.is_empty());
 }
 
-fn share_out_if_due(state: &mut CoreState, pool_id: PoolId) {
+fn reallocate_if_due(state: &mut CoreState, pool_id: PoolId) {
     let now = state.now;
     let config = &state.config.ownership;
     let Some(pool) = state.owned.get(&pool_id) else {
@@ -266,26 +268,26 @@
         (true, false) => config.share_out_ms,
         (false, _) => config.refresh_ms,
     };
-    if now < pool.grants_from || now.since(pool.shared_at) < TimeSpan::from_millis(wait) {
+    if now < pool.grants_from || now.since(pool.reallocated_at) < TimeSpan::from_millis(wait) {
         return;
     }
     set_limits(state, pool_id);
     let Some(mut pool) = state.owned.remove(&pool_id) else {
         return;
     };
-    let passed = now.since(pool.shared_at);
-    pool.shared_at = now;
+    let passed = now.since(pool.reallocated_at);
+    pool.reallocated_at = now;
     pool.urgent = false;
     advance_clock(state, &mut pool, passed);
     let demands = pool.team_demands();
     update_accounts(state, &mut pool, &demands);
     set_targets(state, &mut pool, &demands);
     let refresh = TimeSpan::from_millis(state.config.ownership.refresh_ms);
-    let spread = now.since(pool.spare_granted_at) >= refresh;
-    if spread {
+    let include_idle = now.since(pool.spare_granted_at) >= refresh;
+    if include_idle {
         pool.spare_granted_at = now;
     }
-    grant_vacant(&mut pool, spread);
+    grant_vacant(&mut pool, include_idle);
     grant_leftover(&mut pool);
     send_allotments(state, pool_id, &mut pool);
     state.owned.insert(pool_id, pool);
--- a/src/core/systems/tickets.rs
+++ b/src/core/systems/tickets.rs
@@ -292,10 +292,10 @@
     shrink(state);
 }
 
-/// Returns true if a request continues although its caller disconnected: other callers wait for its
-/// answer, or it may have run and a resend must find the answer. Otherwise its ticket can be used
-/// again.
-pub fn continues_without_caller(
+/// Returns true if a request must continue although its caller disconnected: other callers wait for
+/// its answer, or it may have run and a resend must find the answer. Otherwise makes its ticket
+/// available for use again and returns false.
+pub fn continue_or_release_ticket(
     state: &mut CoreState,
     repeat: RepeatRule,
     may_have_run: bool,
--- a/src/core/tables/trials.rs
+++ b/src/core/tables/trials.rs
@@ -1,5 +1,7 @@
-//! Isolated runs of suspects, outside the teams' queues. The fleet runs one copy of a request at a
-//! time, which is enforced by leases as long as the router that grants them answers.
+//! Isolated runs of suspects, called trials, outside the teams' queues. A copy of a request is an
+//! occurrence of it with the same fingerprint, for example because the caller sent it again,
+//! perhaps to another router. The fleet runs one copy of a request at a time, which is enforced by
+//! leases as long as the router that grants them answers.
 //!
 //! One router, the home of a request's fingerprint, grants the lease to one router at a time. A
 //! lease that isn't renewed expires, so a holder that dies blocks the others only for that long. A
@@ -187,7 +189,7 @@
     }
 
     /// As the home, ends the lease of a holder.
-    pub fn give_back(&mut self, fingerprint: RequestFingerprint, holder: &HostName) {
+    pub fn end_lease(&mut self, fingerprint: RequestFingerprint, holder: &HostName) {
         let held = self.granted.get(&fingerprint);
         if held.is_some_and(|lease| lease.holder == *holder) {
             self.granted.remove(&fingerprint);
