--- a/src/gateway/decide/accounts.rs
+++ b/src/gateway/decide/accounts.rs
@@ -22,7 +22,7 @@
     pub asked: f64,
     /// Tokens of requests that were sent to endpoints.
     pub sent: f64,
-    /// Requests that were refused or had no output in time.
+    /// Unserved requests: those that were refused or had no output in time.
     pub short: u32,
 }
 
--- a/src/gateway/decide/budget.rs
+++ b/src/gateway/decide/budget.rs
@@ -13,8 +13,9 @@
 use super::super::routes::ServiceKey;
 use super::window::WindowCount;
 
-/// Fraction of the budget that routers spend. The rest covers retries that the ten buckets of a
-/// window drop up to a tenth of the window too early, and a restarted router that lost its counts.
+/// Fraction of the budget that routers spend. The rest covers retries that leave the count up to a
+/// tenth of the window too early, as a window has ten buckets, and a restarted router that lost its
+/// counts.
 const SPENT_PART: f64 = 0.75;
 
 /// The published limits on retries.
--- a/src/gateway/decide/capacity.rs
+++ b/src/gateway/decide/capacity.rs
@@ -1,15 +1,16 @@
-//! Estimate of the capacity of all endpoints while it is below the published rate.
+//! Estimate of the capacity of all endpoints while it is below the published token rate.
 //!
 //! Load pattern: many endpoints are unavailable, slow, or fewer than the published rate assumes,
 //! while a few teams flood. Measured against a rate that is out of reach, no team exceeds its
-//! share, so refusals hit at random: calls are refused at the router for which the queues at the
-//! endpoints are longest, and small teams are refused as often as the flooding ones. The rate to
+//! share, so refusals hit at random: calls are refused at the router that predicts the longest
+//! queues at the endpoints, and small teams are refused as often as the flooding ones. The rate to
 //! share out is then an estimate of the rate that the endpoints serve.
 
 use crate::units::Moment;
 
-/// Tokens within shares that are turned away from full endpoints, as a fraction of the demand,
-/// above which the endpoints count as saturated. Below it, single endpoints are briefly full.
+/// Tokens within shares that are turned away ([`FleetFlow::turned_away`]), as a fraction of the
+/// demand, above which the endpoints count as saturated. Below it, single endpoints are briefly
+/// full.
 const SATURATED_PART: f64 = 0.03;
 
 /// Growth of the estimate per second while the endpoints are not saturated. A fleet that lost half
@@ -28,7 +29,9 @@
     pub asked: f64,
     /// Tokens of requests that were sent to endpoints.
     pub served: f64,
-    /// Tokens refused because endpoints were full although the team was within its share.
+    /// Tokens refused, although the team was within its share, because the predicted time to the
+    /// first output exceeded the limit. Usually the endpoints are full then; a call with a short
+    /// deadline counts too.
     pub turned_away: f64,
 }
 
--- a/src/gateway/decide/core.rs
+++ b/src/gateway/decide/core.rs
@@ -86,7 +86,8 @@
     /// The predicted time to the first output exceeds the permitted part of the objective, or the
     /// call's deadline.
     Overload,
-    /// The team exceeds its share while endpoints are busy.
+    /// The team exceeds its share, and endpoints are busy or its allowance beyond the share is used
+    /// up.
     OverShare,
     /// The request was running during several crashes of endpoints.
     Quarantined,
@@ -115,7 +116,7 @@
     Refuse {
         /// Why the call is refused.
         cause: RefusalCause,
-        /// Time until an endpoint is expected to have room.
+        /// Time after which the caller should retry.
         retry_after: TimeSpan,
         /// Time since the call arrived plus the predicted time to the first output at the endpoint
         /// with the lowest cost, in ms; 0 if none was predicted.
@@ -134,7 +135,8 @@
     pub fetch_from: Option<SocketAddr>,
     /// Prompt tokens that the endpoint must prefill.
     pub uncached: f64,
-    /// The subset of `uncached` that belongs to prompt parts which other requests share.
+    /// The subset of `uncached` that belongs to prompt parts which other requests share, whether or
+    /// not an engine prefilled them before.
     pub reread: f64,
     /// Prompt tokens queued at the endpoint, including this request's.
     pub queued: f64,
@@ -200,7 +202,8 @@
     pub quarantine: CrashQuarantine,
     budget: RetryBudget,
     sizes: SizeTable,
-    /// Moving average of the time from the placement of an attempt to the end of its answer, in ms.
+    /// Moving average of the time from the placement of an attempt to the end of its answer, in ms;
+    /// a wait for an engine slot is part of it.
     mean_hold_ms: BTreeMap<ServiceKey, f64>,
     routers: usize,
     prefill_tokens_per_ms: f64,
@@ -250,8 +253,8 @@
     /// Guards against a router that refuses calls while endpoints are idle: the full link of its
     /// host delays every answer, so all endpoints seem many times too slow and some unreachable,
     /// and it refuses calls that any of them would serve. While the router is disturbed, it learns
-    /// no slowness, reports no health to other routers, and connections that time out do not
-    /// lengthen an endpoint's backoff.
+    /// no slowness, reports no health to other routers, and connections that fail or time out do
+    /// not lengthen an endpoint's backoff.
     pub fn set_disturbed(&mut self, is_disturbed: bool) {
         self.is_disturbed = is_disturbed;
     }
@@ -495,7 +498,9 @@
         limit.min(left)
     }
 
-    /// Returns the fraction of the objective that a call of a team over its share may take.
+    /// Returns the fraction of the objective that a call of a team over its share may take. Service
+    /// is here the tokens of a team's requests that were sent.
+    ///
     /// `service_ratio` is the number of [`ShareStanding::Beyond`]; it is infinite once the team's
     /// allowance is used up, so that the call is refused.
     ///
--- a/src/gateway/decide/endpoints.rs
+++ b/src/gateway/decide/endpoints.rs
@@ -38,8 +38,8 @@
 pub struct PeerLoad {
     /// Requests in flight.
     pub active: u32,
-    /// Prompt tokens that wait for prefill. A sum of whole numbers: the table of other routers adds
-    /// and subtracts their reports, and must get back to exactly zero.
+    /// Prompt tokens that wait for prefill. All reports are whole numbers, so that adding and later
+    /// subtracting them gets back to exactly zero.
     pub pending_tokens: f64,
     /// The endpoint's health as the other routers report it.
     pub health: PeerHealth,
@@ -69,9 +69,9 @@
     pub peers: PeerLoad,
     /// The endpoint's health.
     pub health: EndpointHealth,
-    /// End of a pause set by this router after a failed connection or a full endpoint. Before it,
-    /// the endpoint gets new work only if every other ready endpoint is paused or silent as well. A
-    /// pause that the endpoint asked for is stored in `notices` and always applies.
+    /// End of a pause set by this router itself after a failed connection or a full endpoint.
+    /// Before it, the endpoint gets new work only if every other ready endpoint is paused or silent
+    /// as well. A pause that the endpoint asked for is stored in `notices` and always applies.
     pub paused_until: Moment,
     /// For an endpoint that is still used although the list no longer has it: it gets no new work
     /// from this time on.
@@ -111,9 +111,9 @@
 
     /// Returns true if the endpoint may get new work.
     ///
-    /// Guards against an endpoint that is gone but still used: the time until which an endpoint is
-    /// used without registration is checked on each call, so it ends even if the tasks that read
-    /// the list and remove endpoints are stuck.
+    /// Guards against an endpoint that is gone but still used: an endpoint without registration is
+    /// used until a fixed time, which is checked on each call. The use ends even if the tasks that
+    /// read the list and remove endpoints are stuck.
     #[must_use]
     pub fn is_ready(&self, now: Moment) -> bool {
         self.is_listed_ready(now) && self.notices.takes_work(now)
@@ -268,7 +268,8 @@
         is_news
     }
 
-    /// Applies other routers' reports of processes that gave notice that they are leaving.
+    /// Applies other routers' reports of processes that gave notice that they are leaving; `lives`
+    /// holds the hashes of these processes.
     ///
     /// Guards against calls to an endpoint that is leaving: it gives notice only in its answers, so
     /// without the reports every router would have to send it a call, which it may cut, to find
@@ -290,8 +291,8 @@
         }
     }
 
-    /// Returns the processes that gave notice that they are leaving but are still listed as ready,
-    /// for the messages to the other routers.
+    /// Returns the hashes of the processes that gave notice that they are leaving but are still
+    /// listed as ready, for the messages to the other routers.
     #[must_use]
     pub fn leaving_to_report(&self, now: Moment) -> Vec<u64> {
         let leaving = self.rows.iter().filter(|row| row.announced_leaving());
--- a/src/gateway/decide/health.rs
+++ b/src/gateway/decide/health.rs
@@ -5,6 +5,11 @@
 //! call every few seconds, so routers share their observations. Reports from other routers weigh as
 //! much as a router's own observations. A router to which most endpoints are silent reports
 //! nothing, since the fault is more likely its own.
+//!
+//! An endpoint is *overdue* at a router if the router's own attempts have waited for data longer
+//! than a healthy endpoint takes; the router then reports it as *silent*. Whether it
+//! counts as *hung* depends on both this router's wait and the other routers' reports
+//! ([`EndpointHealth::is_silent`]).
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -76,7 +81,8 @@
     pub silent: u32,
 }
 
-/// When the next data from an endpoint is due.
+/// When data from an endpoint is due while attempts wait for their first output. Streams are
+/// checked against [`STREAM_SILENCE`] instead.
 #[derive(Debug, Clone, Copy)]
 struct AnswerExpectation {
     /// Start of the wait.
@@ -249,9 +255,9 @@
         first.max(next)
     }
 
-    /// Returns true if the endpoint seems to hang: it is overdue at this router, or two other
-    /// routers report it as silent, and no router recently received data from it. An endpoint from
-    /// which any router receives data works and is merely loaded, unless it is overdue at this
+    /// Returns true if the endpoint seems to hang: no router recently received data from it, and
+    /// either it is overdue at this router or two other routers report it as silent. An endpoint
+    /// from which any router receives data works and is merely loaded, unless it is overdue at this
     /// router by more than two seconds.
     #[must_use]
     pub fn is_silent(&self, now: Moment) -> bool {
--- a/src/gateway/decide/levels.rs
+++ b/src/gateway/decide/levels.rs
@@ -1,5 +1,8 @@
 //! Max-min fair level under overload, and the allowances of teams above it.
 //!
+//! The *level* is the largest share. Each team may get its demand, but at most the level; it is set
+//! so that all teams together get exactly the rate to share out.
+//!
 //! Load pattern: a few teams ask for many times their shares, through any number of routers, while
 //! the endpoints' capacity is above or below the published rate. The service of each team, that is
 //! the tokens of its requests that were sent, is known a second or two late, so every correction is
@@ -11,7 +14,8 @@
 use super::shares::TeamFlow;
 
 /// Exponent of the correction of a team's allowance by its service. If one of two teams would be
-/// served twice as much as the other, the correction reduces that ratio to 1.3; the mean over the
+/// served twice as much as the other, the correction reduces that ratio to 1.3, that is 2 to the
+/// power of 1 / (1 + 1.5), since it depends on the service that results from it. The mean over the
 /// share window prevents oscillation.
 const CORRECTION_POWER: f64 = 1.5;
 
@@ -26,9 +30,9 @@
 /// smaller one would leave endpoints idle that were full a moment ago.
 const MIN_SPARE: f64 = 0.5;
 
-/// Allowance beyond the share, as a multiple of the mean service beyond the level of the teams
-/// above it. The excess over 1 lets the routers find out that endpoints can do more, and makes up
-/// for allowances at routers where they are not used.
+/// Allowance beyond the share, as a multiple of what the teams above the level are served beyond
+/// it, on average. The excess over 1 lets the routers find out that endpoints can do more, and
+/// makes up for the parts of allowances that lie at routers which do not use them.
 const SPARE_GROWTH: f64 = 1.5;
 
 /// Returns the flows of the teams whose demand is above the level, both over the share window and
@@ -89,8 +93,8 @@
         .clamp(MIN_CORRECTION, MAX_CORRECTION)
 }
 
-/// Returns the max-min fair level: the limit per demand at which all demands together get `rate`;
-/// infinite if all fit.
+/// Returns the max-min fair level: if each demand is cut to at most the level, the demands add up
+/// to `rate`. It is infinite if all demands fit.
 #[must_use]
 pub fn max_min_level(rate: f64, demands: impl Iterator<Item = f64>) -> f64 {
     let mut sorted: Vec<f64> = demands.collect();
--- a/src/gateway/decide/mod.rs
+++ b/src/gateway/decide/mod.rs
@@ -1,10 +1,11 @@
 //! The gateway's decision logic: no I/O except log lines, no clock, no global randomness.
 //!
-//! A *fleet* is one deployment with all its routers and endpoints. A *flood* is demand of one team
-//! that is several times its share; the team is *flooding* while it lasts. The *store* is the
-//! service from which routers read the list of registered endpoints; routers decide without it
-//! while it is unavailable. A route's *objective* is its latency objective: the time by which a
-//! call should be answered, or a stream should have its first event.
+//! A *fleet* is one deployment with all its routers and endpoints. A team's *share* is the part of
+//! the token rate that it may use when the demands of all teams exceed that rate. A *flood* is
+//! demand of one team that is several times its share; the team is *flooding* while it lasts. The
+//! *store* is the service from which routers read the list of registered endpoints; routers decide
+//! without it while it is unavailable. A route's *objective* is its latency objective: the time by
+//! which a call should be answered, or a stream should have its first event.
 //!
 //! Each router decides on its own, from its own counts and the counts that the other routers
 //! gossip. An endpoint can still refuse a request, so outdated information costs time but never
--- a/src/gateway/decide/notices.rs
+++ b/src/gateway/decide/notices.rs
@@ -1,5 +1,4 @@
-//! Notices that endpoints give about themselves in their answers, and how long each is valid, with
-//! what a router concludes when another endpoint answers or a connection is closed.
+//! Notices that endpoints give about themselves in their answers, and how long each is valid.
 //!
 //! Load pattern: the store is unavailable for seconds while endpoints leave or are full. An answer
 //! is then the only current source, and the store's entries are older or arrive later.
@@ -8,14 +7,16 @@
 //! |---|---|---|
 //! | the endpoint leaves | for its process, at all routers | its next start only |
 //! | it asks for a pause | for that time, at the router that got the notice | its next start only |
-//! | it is full | 150 ms | nothing |
-//! | another endpoint answers at its address | for a pause of 250 ms, doubled up to 2 s | nothing |
+//! | it is full | 150 ms | its next start, a newer pause |
+//! | another endpoint answers at its address | 250 ms, doubled up to 2 s | as above |
 //! | it closes the connection | for the connection | nothing |
 //!
-//! The first two are stored here, by process; the pauses of the next two are stored in the endpoint
-//! table, where a later answer of the endpoint itself resets the doubling. The store, another
-//! router's endpoint list and the state of a connection do not change the first two, since none of
-//! these is more recent than the endpoint's own notice.
+//! The last two rows are not notices, but what a router concludes from an answer or a connection.
+//! The first two are stored here, by process. The pauses of the next two are stored in the endpoint
+//! table, where the newest pause replaces the former one, even a longer one, and a later answer of
+//! the endpoint itself resets the doubling. The store, another router's endpoint list and the state
+//! of a connection do not change the first two, since none of these is more recent than the
+//! endpoint's own notice.
 
 use std::collections::BTreeMap;
 
--- a/src/gateway/decide/placement.rs
+++ b/src/gateway/decide/placement.rs
@@ -20,12 +20,12 @@
 use super::super::routes::EngineShape;
 use super::endpoints::EndpointRow;
 
-/// Assumed probability that the first and second endpoint in a part's rendezvous order have it
-/// cached. The second gets requests for which the first has no room.
+/// Assumed probability that the first and second endpoint in a part's rendezvous order, its
+/// *homes*, have it cached. The second gets requests for which the first has no room.
 const HOME_PROBABILITIES: [f64; 2] = [1.0, 0.5];
 
-/// Extra cost of prefilling a shared part again, in multiples of the time that it takes: every
-/// request queued at the engine waits for it too.
+/// Extra cost of prefilling a shared part that is not cached, in multiples of the time that it
+/// takes: every request queued at the engine waits for it too.
 const REREAD_WEIGHT: f64 = 4.0;
 
 /// Time for which an endpoint is assumed to cache a part that this router sent there.
@@ -59,9 +59,9 @@
 const FAILURE_PENALTY_MS: f64 = 1_500.0;
 
 /// Difference to the lowest failure rate among the endpoints up to which a failure rate costs
-/// nothing. Up to one in seven requests fail regardless of the endpoint, and all routers add up the
-/// same reports: with a smaller tolerance all of them would send their work to the endpoint with
-/// the fewest recent failures.
+/// nothing. Up to one in seven requests fail regardless of the endpoint. Since all routers add up
+/// the same reports, with a smaller tolerance all of them would send their work to the endpoint
+/// with the fewest recent failures.
 const FAILURE_TOLERANCE: f64 = 0.15;
 
 /// Parameters of the engine model that predicts waiting times.
@@ -69,7 +69,8 @@
 pub struct EngineModel {
     /// Prompt tokens that an engine prefills per ms while it also generates.
     pub tokens_per_ms: f64,
-    /// Time for which a request occupies an engine slot, in ms.
+    /// Time for which a request is taken to occupy an engine slot, in ms. The router passes the
+    /// mean time from the placement to the end of an answer, which includes a wait for a slot.
     pub hold_ms: f64,
 }
 
@@ -98,6 +99,7 @@
     /// Predicted time to the first output, in ms; without a prompt only the wait for a slot.
     pub first_ms: f64,
     /// Predicted time to the first output if the engine were idle, in ms; only used with a prompt.
+    /// Unlike `first_ms`, it does not include the endpoint's slowness.
     pub unqueued_ms: f64,
     /// Prompt tokens that the endpoint must prefill.
     pub uncached: f64,
@@ -114,6 +116,7 @@
     &prompt.parts[..shared]
 }
 
+/// Returns the endpoint's hash for a part; the largest comes first in the rendezvous order.
 fn rank_of(row: &EndpointRow, part: u64) -> u64 {
     xxh3_64_with_seed(&row.hash.to_le_bytes(), part)
 }
@@ -325,9 +328,8 @@
 
 /// Returns the endpoints that may get the request. A pause that the endpoint itself asked for
 /// always excludes it. A pause that this router set after a failed connection or a full endpoint,
-/// and silence, are ignored if they affect all endpoints left: a short refusal by the last
-/// endpoints must not cause the next requests to be refused, and a fleet whose endpoints all seem
-/// silent is still used.
+/// and silence, are ignored if they affect all endpoints left. Otherwise requests would be refused
+/// while the last endpoints are paused for a moment, or while all endpoints only seem silent.
 fn usable_rows<'a>(
     rows: &[&'a EndpointRow],
     tried: &[EndpointKey],
--- a/src/gateway/decide/shares.rs
+++ b/src/gateway/decide/shares.rs
@@ -5,7 +5,9 @@
 //! and sends it to the other routers in its gossip messages (digests), so all compute the same
 //! max-min shares. When endpoints are busy, requests of a team over its share are refused first;
 //! each router applies the part of the share that matches the part of the team's demand arriving
-//! there. While endpoints have room, requests over the share are sent as well.
+//! there. While endpoints have room, requests over the share are sent as well. Once at least two
+//! teams are over their shares, each may do so only up to an *allowance* beyond its share (`spare`,
+//! see [`super::levels::allowance_beyond_level`]).
 //!
 //! Two floods that begin seconds apart must be served about the same in any period of six seconds.
 //! A team is therefore limited as soon as its recent demand rises ([`super::surge`]), and what it
@@ -58,10 +60,8 @@
 pub enum ShareStanding {
     /// Within the share, or the team is not limited.
     Within,
-    /// Beyond the share. The number is at least 1: the ratio of the team's service to its share
-    /// (closer to 1 until the counts cover the share window), multiplied by the ratio, if above 1,
-    /// of its service to that of the least served team over its share. It is at least 2 during a
-    /// surge, and infinite if the team has used up its allowance beyond the share.
+    /// Beyond the share. The number says how far: it is the `service_ratio` last computed for the
+    /// team, at least 1. It is infinite if the team has used up its allowance beyond the share.
     Beyond(f64),
 }
 
@@ -124,9 +124,11 @@
     flow: TeamFlow,
     /// Demand at this router at that time.
     asked_here: f64,
-    /// Service by all routers divided by the share, multiplied by its ratio, if above 1, to the
-    /// service of the least served team that asks more than its share. The first factor is weighted
-    /// by [`ShareTerms::coverage`], and the product is at least [`MIN_SURGE_RATIO`] in a surge.
+    /// The product of two ratios. The first is the team's service by all routers divided by its
+    /// share; it is weighted by [`ShareTerms::coverage`], so it is closer to 1 until the counts
+    /// cover the share window. The second, used if above 1, is the team's service divided by that
+    /// of the least served team that asks more than its share. In a surge the product is at least
+    /// [`MIN_SURGE_RATIO`].
     service_ratio: f64,
 }
 
@@ -300,13 +302,14 @@
         }
     }
 
-    /// Counts a request within its team's share that was refused because endpoints were full.
+    /// Counts a request within its team's share that was refused because the predicted time to its
+    /// first output exceeded the limit.
     pub fn turn_away(&mut self, now: Moment, tokens: f64) {
         self.turned_away.add(now, tokens);
     }
 
-    /// Returns the rate of requests within shares that were refused because endpoints were full, in
-    /// tokens a second.
+    /// Returns the rate of requests within shares that were refused because the predicted time to
+    /// their first output exceeded the limit, in tokens a second.
     pub fn turned_away_per_s(&mut self, now: Moment) -> f64 {
         let seconds = counted_s(now, self.begun, self.window);
         self.turned_away.sum(now) / seconds
--- a/src/gateway/decide/sizes.rs
+++ b/src/gateway/decide/sizes.rs
@@ -1,4 +1,4 @@
-//! Guaranteed minimum service for long prompts.
+//! Longer permitted waits for long prompts that are served too seldom.
 //!
 //! Load pattern: prompt sizes with a heavy tail under overload. Prefilling a long prompt takes most
 //! of its route's latency objective, so any queue causes it to be refused, on every retry. Adding a
@@ -32,7 +32,9 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct BandCounts {
+    /// Decaying number of requests that arrived.
     asked: f64,
+    /// Decaying number of requests that were sent to endpoints.
     served: f64,
 }
 
--- a/src/gateway/decide/surge.rs
+++ b/src/gateway/decide/surge.rs
@@ -14,29 +14,31 @@
 
 use super::shares::TeamFlow;
 
-/// Ratio of recent demand to the mean at which a surge begins, if [`SURGE_LEVELS`] is exceeded too.
+/// Ratio of the decaying peak of recent demand to the mean above which a surge begins, if
+/// [`SURGE_LEVELS`] is exceeded too.
 const SURGE_BEGINS: f64 = 3.0;
 
-/// Ratio of recent demand to the max-min level at which a surge begins, if [`SURGE_BEGINS`] is
-/// exceeded too. A flood of twice the level shows in the mean after three seconds, in which it gets
-/// half as much again as others do in six; smaller floods can wait for the mean. Without this bound
-/// normal teams would count as surging, since their requests come in bursts of several times their
-/// mean. While all demands fit, no team is short of capacity: the level is infinite then, and no
-/// surge begins.
+/// Ratio of the decaying peak of recent demand to the max-min level above which a surge begins, if
+/// [`SURGE_BEGINS`] is exceeded too. A flood of twice the level shows in the mean after three
+/// seconds, in which it gets half as much again as others do in six; smaller floods can wait for
+/// the mean. Without this bound normal teams would count as surging, since their requests come in
+/// bursts of several times their mean. While all demands fit, no team is short of capacity: the
+/// level is infinite then, and no surge begins.
 const SURGE_LEVELS: f64 = 2.0;
 
-/// Ratio of recent demand to the mean at which a surge ends. The mean has nearly caught up by then,
-/// and the routers' parts of a share are steadier when computed from it.
+/// Ratio of the decaying peak of recent demand to the mean at which a surge ends. The mean has
+/// nearly caught up by then, and the routers' parts of a share are steadier when computed from it.
 const SURGE_ENDS: f64 = 1.5;
 
 /// Factor by which the peak of recent demand decays per update, a tenth of a second: to half after
 /// 0.7 s. A single update that misses the busiest routers must not end a surge.
 const PEAK_DECAY: f64 = 0.9;
 
-/// Ratio of recent demand to the mean below which a flood counts as ending.
+/// Ratio of the fast-decaying peak of recent demand to the mean, both with capped request sizes,
+/// below which a flood counts as ending.
 const FALL_BEGINS: f64 = 0.5;
 
-/// Ratio of recent demand to the mean from which the mean is accurate again.
+/// The same ratio from which the mean is accurate again.
 const FALL_ENDS: f64 = 0.75;
 
 /// Decay factor per update of the peak that detects the end of a flood: to about a ninth after a
@@ -44,8 +46,8 @@
 const FAST_PEAK_DECAY: f64 = 0.8;
 
 /// Upper bound of the fraction of demand removed by the size cap, which counts a request in recent
-/// demand with at most twice the mean size. Even for a team that sends only the longest requests, a
-/// twentieth of the demand remains.
+/// demand with at most twice the mean size. At least a twentieth of the demand remains; a team that
+/// sends only the longest requests, of twenty times the mean size, keeps a tenth.
 const MAX_CAPPED_PART: f64 = 0.95;
 
 /// Demand of a team from which its share is computed.
@@ -72,7 +74,7 @@
 }
 
 impl SurgeDetector {
-    /// True while the team's recent demand is several times its mean.
+    /// True from the start of a surge (`SURGE_BEGINS`, `SURGE_LEVELS`) to its end (`SURGE_ENDS`).
     #[must_use]
     pub fn is_surging(&self) -> bool {
         self.is_surging
