--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -58,8 +58,8 @@
     NotReached,
     /// The connection was refused: nothing listens at the address.
     Gone,
-    /// The endpoint announced that it leaves or wants a pause while the connection was made, so the
-    /// request was not sent.
+    /// The endpoint announced while the connection was made that it is leaving or wants a pause
+    /// (either is named `Left`), so the request was not sent.
     Left,
     /// The endpoint refused the request.
     Refused,
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -43,9 +43,10 @@
 use super::routes::RouteEntry;
 use super::routes::RouteTable;
 
-/// Attempts that did not reach an endpoint, for any reason, after which a call is given up. An
-/// address that does not respond costs the connection timeout (`connect_timeout_ms`), so three of
-/// them use up most of the latency objective of a generation, about a second.
+/// Attempts in which no request was sent, after which a call is given up: no connection was made,
+/// it was refused, or the endpoint announced that it takes no work. An address that does not
+/// respond costs the connection timeout (`connect_timeout_ms`), so three of them use up most of the
+/// latency objective of a generation, about a second.
 const MAX_UNREACHED_ENDPOINTS: usize = 3;
 
 /// What happens to a caller's connection after a call.
--- a/src/gateway/call_record.rs
+++ b/src/gateway/call_record.rs
@@ -19,8 +19,8 @@
     queued: f64,
     /// Prompt tokens that the endpoint did not have cached.
     uncached: f64,
-    /// Uncached prompt tokens that belong to parts shared with other requests, which the endpoint
-    /// therefore prefills although another endpoint may have done so before.
+    /// Uncached prompt tokens that belong to parts shared with other requests. The endpoint has to
+    /// prefill them although another endpoint may have done so before.
     reread: f64,
 }
 
--- a/src/gateway/call_state.rs
+++ b/src/gateway/call_state.rs
@@ -57,7 +57,7 @@
     pub may_have_run: bool,
     /// Endpoints at which the call was tried.
     pub tried: Vec<EndpointKey>,
-    /// Number of attempts that did not reach an endpoint.
+    /// Number of attempts that count towards `MAX_UNREACHED_ENDPOINTS`.
     pub unreached: usize,
 }
 
@@ -110,8 +110,8 @@
         Duration::from_millis(self.route.objective_ms) + predicted * 2
     }
 
-    /// When silence within an answer counts as the endpoint's failure: at `stall`, or at the
-    /// deadline if the request can't be sent to another endpoint.
+    /// When silence within an answer counts as the endpoint's failure: at `stall`, the end of the
+    /// normal limit, or at the deadline if the request can't be sent to another endpoint.
     #[must_use]
     pub fn stall_at(&self, stall: Instant) -> Instant {
         if self.can_repeat() && self.has_attempts_left() {
--- a/src/gateway/config.rs
+++ b/src/gateway/config.rs
@@ -122,7 +122,9 @@
     pub link_mbps: LinkSpeed,
     /// File descriptors that the process may use.
     pub descriptors: usize,
-    /// Lag of the traffic thread's timers at which the router asks for fewer callers, in ms.
+    /// Lag that counts as 100 percent use, in ms: a moving average of the delay of the traffic
+    /// thread's timers or of its accept queue, whichever is longer. Above 75 percent the router
+    /// asks for fewer callers, until the use is at most 50 percent.
     pub overload_lag_ms: u64,
     /// Bytes of callers' bodies held in memory at the same time.
     pub body_memory_bytes: usize,
--- a/src/gateway/digest.rs
+++ b/src/gateway/digest.rs
@@ -1,9 +1,10 @@
-//! The gossip messages in which routers report their load to each other.
+//! The gossip messages in which routers report their load to each other. Such a message is called a
+//! digest (not in the sense of a hash).
 //!
 //! Each router sends a message to every other several times a second, so message size determines
 //! the cost of gossip. Loads and demands are encoded as columns: a small number in a column takes a
-//! byte or two per row, whereas one message per row adds a tag per field. With 12 endpoints and 16
-//! teams a digest has 410 bytes. A digest is one such message (not a hash).
+//! byte or two per row, whereas one protobuf sub-message per row adds a tag per field. With 12
+//! endpoints and 16 teams a digest has 410 bytes.
 //!
 //! Endpoints appear under three identifiers: the process hash
 //! ([`EndpointProcess::hash`](super::routes::EndpointProcess::hash), 64 bits, of the key and the
@@ -34,7 +35,7 @@
 /// The load of one router at one endpoint, with its health observations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadEntry {
-    /// Process number of the endpoint.
+    /// Process number of the endpoint (not the endpoint's number).
     pub endpoint: u32,
     /// Requests in progress.
     pub active: u32,
@@ -206,7 +207,8 @@
 /// The content of one gossip datagram.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouterDigest {
-    /// Incarnation of the sender: it is drawn at each start, and later ones have higher numbers.
+    /// Incarnation of the sender: a number made from the start time and a random part, so that
+    /// later incarnations have higher numbers.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
     /// Sequence number of the message, which grows within an incarnation.
--- a/src/gateway/endpoint_list.rs
+++ b/src/gateway/endpoint_list.rs
@@ -154,8 +154,8 @@
         }
         self.replace(content.entries, as_of);
         for (key, KeptEndpointMessage { entry, left_ms }) in content.kept {
-            // Counted from the request, the expiry can only be early, by the duration of the
-            // exchange.
+            // Counting from the request makes the expiry early by at most the duration of the
+            // exchange, and never late.
             let until = asked + TimeSpan::from_millis(left_ms);
             self.kept
                 .entry(key)
--- a/src/gateway/endpoint_view.rs
+++ b/src/gateway/endpoint_view.rs
@@ -1,4 +1,5 @@
-//! The endpoints registered in the store, as one reader follows them.
+//! The endpoints registered in the store, as followed by a reader, that is, a router that reads the
+//! store itself.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -153,7 +153,8 @@
     failures: u32,
 }
 
-/// Follows one section until the process ends, whenever this router is one of the store's readers.
+/// Follows one section until the process ends. Pauses while this router is not one of the store's
+/// readers.
 pub async fn follow_section<S: StateStore>(
     store: Arc<S>,
     shared: Arc<SharedState>,
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Applies the changes of a watch. A change of routes does not publish the endpoints anew.
+    /// Applies the changes of a watch. A change of routes does not put the endpoints in force anew.
     fn apply(&mut self, changes: StateChanges, as_of: StoreRevision) {
         let now = self.shared.clock.now();
         let mut is_new = false;
@@ -287,6 +288,7 @@
         }
     }
 
+    /// Puts the endpoints read from the store in force.
     fn publish_endpoints(&self, as_of: StoreRevision) {
         if self.shared.offer_endpoints(self.endpoints.at(as_of)) {
             let now = self.shared.clock.now();
--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -20,12 +20,12 @@
 /// Time to connect to the store and read it.
 const READING_TIME: Duration = Duration::from_millis(100);
 
-/// Time from the decision that places a call until its request reaches the endpoint: a host that
-/// lags by half of what counts as overload (30 ms by default), and the rest for network latency.
+/// Time from the decision that places a call until its request reaches the endpoint. It allows for
+/// a host's lag of half of `overload_lag_ms` (30 ms by default); the rest is for network latency.
 const SENDING_TIME: Duration = Duration::from_millis(100);
 
-/// Shortest wait of a watch. Below it the store would be polled in effect, so a smaller bound is
-/// not met.
+/// Shortest wait of a watch. Below it the store would be polled in effect, so an operator's bound
+/// ([`bound`]) that needs a shorter wait is not met.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(200);
 
 /// Returns how long a watch of the store waits for a change.
@@ -42,7 +42,8 @@
     watch_wait(config) + fixed_waits(config)
 }
 
-/// Returns the stricter of the operator's bounds.
+/// Returns the stricter of the operator's bounds on the propagation time, `leave_bound_ms` and
+/// `change_bound_ms`.
 #[must_use]
 pub fn bound(config: &GatewayConfig) -> Duration {
     Duration::from_millis(config.leave_bound_ms.min(config.change_bound_ms))
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -47,7 +47,7 @@
     pub protocol: P,
     /// Idle connections to endpoints.
     pub pool: EndpointPool,
-    /// Open connections of callers.
+    /// Open connections of callers, lag of the timers and delay of the accept queue.
     pub callers: CallerLoad,
 }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -89,11 +89,12 @@
 const START_JITTER_MS: u64 = 250;
 
 /// Time for which a router in contact with the store may have an older state than another router
-/// before it fetches that one's state. Readers normally differ by less; a longer lag means that a
+/// before it fetches that one's state. Readers normally differ by less; a longer delay means that a
 /// watch's connection is dead, which otherwise shows only by its timeout.
 const READER_LAG: TimeSpan = TimeSpan::from_millis(600);
 
-/// Addresses for gossip and the incarnation of this router, a number that is drawn at each start.
+/// Addresses for gossip and the incarnation of this router, a number made at each start from the
+/// time and a random part.
 #[derive(Debug, Clone)]
 pub struct GossipPlan {
     /// The address of this router's gossip socket; all routers use the same port.
@@ -110,13 +111,14 @@
     socket: UdpSocket,
     peers: PeerTable,
     round: u64,
+    /// Number of receivers chosen so far, from which the next round continues in the list of peers.
     next: usize,
     /// Addresses of routers with a new incarnation, to which the next round sends.
     new_peers: BTreeSet<IpAddr>,
     election: ReaderElection,
     /// Since when another router has had a newer state than this one.
     behind_since: Option<Moment>,
-    /// The versions in the last digest.
+    /// The version of the routes and the revision of the endpoint list in the last digest.
     sent_versions: (u64, u64),
     /// Whether the last digest reported contact with the store.
     sent_in_touch: bool,
@@ -161,9 +163,10 @@
     /// Returns the silence after which another router counts as gone.
     ///
     /// In a larger fleet each router is heard less often, so the timeout grows with the number of
-    /// peers. A router that sends the fewest messages reaches each peer once in a third as many
-    /// rounds as there are peers; with the default settings the timeout covers at least four such
-    /// intervals, unless the link limits the messages further.
+    /// peers. A router that sends the fewest messages, `MIN_MESSAGES`, reaches each peer once in a
+    /// third as many rounds as there are peers; with the default settings the timeout covers at
+    /// least four such intervals, unless the link limits the messages further. With 30 peers an
+    /// interval has 10 rounds, that is 1 s, and the timeout is 4.5 s.
     fn timeout(&self) -> TimeSpan {
         let rounds = self.peers.heard.len().div_ceil(SMALL_FLEET).max(1) as u64;
         TimeSpan::from_millis(self.shared.config.peer_timeout_ms * rounds)
--- a/src/gateway/http/events.rs
+++ b/src/gateway/http/events.rs
@@ -23,7 +23,8 @@
         }
     }
 
-    /// The id of the last event returned.
+    /// The id of the last event returned, or the one given to [`Self::after`] if none with an id
+    /// was returned.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
@@ -35,7 +36,7 @@
         !self.pending.is_empty()
     }
 
-    /// Drops an incomplete event, before another endpoint resumes the stream.
+    /// Drops an incomplete event, before another endpoint resumes the stream. The last id is kept.
     pub fn restart(&mut self) {
         self.pending.clear();
     }
--- a/src/gateway/http/framing.rs
+++ b/src/gateway/http/framing.rs
@@ -28,7 +28,8 @@
 /// Why a body's framing is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingFault {
-    /// The length is stated twice or can't be parsed, or the transfer coding is not just `chunked`.
+    /// The length is stated twice, together with a transfer coding, or in a form that can't be
+    /// parsed, or the transfer coding is not just `chunked`.
     Ambiguous,
     /// A malformed chunk.
     BadChunk,
@@ -79,7 +80,7 @@
     /// for one of them are a second request for the other. All such requests are refused.
     ///
     /// # Errors
-    /// If the head states the length twice or in a form that can't be parsed.
+    /// If the length is ambiguous, see [`FramingFault::Ambiguous`].
     pub fn of_request(head: &RequestHead) -> Result<Self, FramingFault> {
         match (content_length(&head.fields)?, is_chunked(&head.fields)?) {
             (Some(_), true) => Err(FramingFault::Ambiguous),
@@ -92,7 +93,7 @@
     /// The framing of an answer's body.
     ///
     /// # Errors
-    /// If the head states the length twice or in a form that can't be parsed.
+    /// If the length is ambiguous, see [`FramingFault::Ambiguous`].
     pub fn of_response(head: &ResponseHead, to_head_request: bool) -> Result<Self, FramingFault> {
         if to_head_request || matches!(head.status, 100..=199 | 204 | 304) {
             return Ok(Self::Length(0));
--- a/src/gateway/http/mod.rs
+++ b/src/gateway/http/mod.rs
@@ -2,7 +2,8 @@
 //! and connections whose unread bytes stay accessible.
 //!
 //! A general HTTP library hides what a router must see: bytes after a complete answer, an answer to
-//! an earlier request, a message with two lengths. These decide whether a request may have run.
+//! an earlier request, a message with two lengths. The first two decide whether a request may have
+//! run, the last one is refused as ambiguous.
 
 pub mod connection;
 pub mod events;
--- a/src/gateway/link.rs
+++ b/src/gateway/link.rs
@@ -1,4 +1,4 @@
-//! Measures the utilisation of this host's network link.
+//! Estimates the utilisation of this host's network link from the bytes that this process counts.
 //!
 //! Load pattern: small hosts on slow links receive prompts of many kilobytes. A host at 10 Mbit/s
 //! carries about a hundred such calls a second; a flood of one team through it fills the link while
--- a/src/gateway/load.rs
+++ b/src/gateway/load.rs
@@ -24,11 +24,12 @@
 /// Descriptors reserved for files, listeners, peers and the store, out of the process's limit.
 const OTHER_DESCRIPTORS: usize = 300;
 
-/// The pool may hold one idle connection to an endpoint for every eight descriptors of the limit.
+/// Divisor of the descriptor limit that gives the most idle connections in the pool: one for every
+/// eight descriptors.
 pub const IDLE_DIVISOR: usize = 8;
 
-/// Use of descriptors, of the link or of the allowed lag above which the router is overloaded, in
-/// percent.
+/// Use above which the router is overloaded, in percent of the descriptors, of the link's speed or
+/// of `overload_lag_ms`.
 const OVERLOAD_ENTER_PERCENT: usize = 75;
 
 /// Use at or below which the router is no longer overloaded, in percent. The gap between the two
@@ -53,9 +54,9 @@
 /// the lag may use up only a fraction of that.
 const REFUSE_ALL_LAG_MS: f64 = 150.0;
 
-/// Cap on the lag counted for a standing accept queue, in ms. The queue may stand for seconds while
-/// each connection waits for only a fraction of one, and an uncapped value would stay in the moving
-/// average and refuse callers after the queue has drained.
+/// Cap on the lag counted for a standing accept queue (one that is never empty), in ms. The queue
+/// may stay non-empty for seconds while each connection waits for only a fraction of one, and an
+/// uncapped value would stay in the moving average and refuse callers after the queue has drained.
 const MAX_STANDING_MS: f64 = 2.0 * REFUSE_ALL_LAG_MS;
 
 /// Use of the link above which this router's measurements of endpoints are distorted by its own
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -45,7 +45,8 @@
     /// In a large fleet the messages from one router are seconds apart, and so a sum over the last
     /// messages of all routers would be seconds old. The sum therefore covers only routers whose
     /// last message is younger than `RECENT_WINDOW`, each with the weight max(1, interval between
-    /// its messages / `RECENT_WINDOW`). It is right on average and no older than the window.
+    /// its messages / `RECENT_WINDOW`). A router that sends every three windows is in one sum of
+    /// three, with weight 3. The sum is right on average and no older than the window.
     #[allow(clippy::cast_precision_loss)]
     fn recency_weight(&self, now: Moment) -> f64 {
         if now.since(self.heard) >= RECENT_WINDOW {
@@ -175,7 +176,7 @@
         &self.loads
     }
 
-    /// Returns the number of other routers' calls at endpoints.
+    /// Returns the number of calls at endpoints of all other routers, without this one's.
     #[must_use]
     pub fn all_active(&self) -> u64 {
         self.loads.values().map(|load| u64::from(load.active)).sum()
@@ -216,8 +217,9 @@
             .count()
     }
 
-    /// Returns a live router with newer routes or endpoints than `known`. It is drawn at random, so
-    /// that requests spread over all such routers.
+    /// Returns a live router with newer routes or endpoints than `known`, the version of the routes
+    /// and the revision of the endpoint list. It is drawn at random, so that requests spread over
+    /// all such routers.
     #[must_use]
     pub fn ahead(&self, now: Moment, timeout: TimeSpan, known: (u64, u64)) -> Option<IpAddr> {
         let newer = self.live(now, timeout).filter(|(_, row)| {
@@ -292,7 +294,7 @@
         row.is_some_and(|row| row.digest.incarnation == incarnation)
     }
 
-    /// Drops routers that have been silent for longer than the retry budget counts them.
+    /// Drops routers that have been silent for `BUDGET_MEMORY`.
     pub fn forget(&mut self, now: Moment) {
         self.heard
             .retain(|_, row| now.since(row.heard) < BUDGET_MEMORY);
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -59,7 +59,7 @@
     pub call_id: SmolStr,
     /// The caller's API key, if it sent one.
     pub credential: Option<SmolStr>,
-    /// How long the caller waits, if it states a deadline.
+    /// How long the caller waits, counted from the call's arrival, if it states a deadline.
     pub deadline: Option<Duration>,
     /// The last event that the caller has, if it resumes a stream.
     pub last_event: Option<u64>,
@@ -71,7 +71,7 @@
 /// Why a call's head can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFault {
-    /// The head lacks the caller's id, or a value can't be read.
+    /// The head lacks the call id, or a value can't be read.
     Unreadable,
 }
 
--- a/src/gateway/readers.rs
+++ b/src/gateway/readers.rs
@@ -42,7 +42,7 @@
     pub in_touch: bool,
     /// True if its last call to the store failed.
     pub is_failing: bool,
-    /// Other routers whose last call to the store failed.
+    /// Other routers that are not in contact with the store and whose last call to it failed.
     pub failing: usize,
     /// Those of them that come before it in the order that all routers share.
     pub failing_before: usize,
@@ -50,7 +50,8 @@
     pub contact_count: usize,
     /// Those of them that come before it in the shared order.
     pub contact_before: usize,
-    /// Other routers that come before it in the shared order and have not tried to read the store.
+    /// Other routers that come before it in the shared order and are neither in contact with the
+    /// store nor counted in `failing`.
     pub untried_before: usize,
 }
 
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -102,7 +102,8 @@
     }
 }
 
-/// Hop-by-hop headers and `Content-Length`, which are not passed on: the router writes its own.
+/// Hop-by-hop headers and `Content-Length`, which are not passed on: where a message needs them,
+/// the router writes its own.
 const HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -52,7 +52,7 @@
     EndpointKey
 );
 text_key!(
-    /// A service: the endpoints that run the same requests.
+    /// The published name of a service, that is, of the endpoints that run the same requests.
     ServiceKey
 );
 text_key!(
@@ -96,7 +96,7 @@
     pub objective_ms: u64,
     /// Priority; 0 is served first.
     pub priority: u32,
-    /// True if calls need no key.
+    /// True if calls need no API key.
     pub public: bool,
 }
 
@@ -136,7 +136,7 @@
     }
 }
 
-/// Limits on callers.
+/// Limits on callers, and the capacity of which the teams have shares.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// Largest request head, in bytes.
@@ -145,7 +145,8 @@
     pub max_body_bytes: usize,
     /// Time limit for receiving a head, in ms.
     pub head_timeout_ms: u64,
-    /// Time after which an idle connection is closed, in ms.
+    /// Time after which an idle connection is closed, and longest pause between two reads of a
+    /// request's body, in ms.
     pub idle_timeout_ms: u64,
     /// Tokens per second that all engines together process; 0 if not published. Teams' shares are
     /// parts of it.
@@ -174,7 +175,7 @@
     pub hosts: BTreeMap<SmolStr, Vec<RouteEntry>>,
     /// Services.
     pub services: BTreeMap<ServiceKey, ServiceEntry>,
-    /// Teams by key.
+    /// Teams by API key.
     pub keys: BTreeMap<SmolStr, TeamKey>,
     /// True if the publication defines teams, so that calls need a key unless their route is
     /// public.
@@ -210,7 +211,7 @@
             .find(|route| path.starts_with(route.prefix.as_bytes()))
     }
 
-    /// Returns the team of a key.
+    /// Returns the team of a caller's API key.
     #[must_use]
     pub fn team(&self, key: &str) -> Option<&TeamKey> {
         self.keys.get(key)
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -68,7 +68,7 @@
 pub struct StoreContact {
     /// True if it reads all changes from the store directly.
     pub in_touch: bool,
-    /// True if its last call to the store failed.
+    /// True if its last call to the store, for either section, failed.
     pub is_failing: bool,
 }
 
@@ -83,8 +83,8 @@
     regained: Option<Moment>,
 }
 
-/// State shared by the control thread and the traffic thread. A lock is held for one read or change
-/// only, never across an await.
+/// State shared by the control thread and the traffic thread. A lock is held for one operation only
+/// (such as a change of the endpoint list or the making of a digest), never across an await.
 #[derive(Debug)]
 pub struct SharedState {
     core: Mutex<GatewayCore>,
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Locks the decision core. It stays usable after a panic of a thread that held the lock: each
-    /// change is complete in itself, so only the change that panicked may be missing in part.
+    /// Locks the decision core. It stays usable after a panic of a thread that held the lock:
+    /// changes don't depend on each other, so at worst the one that panicked is half done.
     pub fn core(&self) -> MutexGuard<'_, GatewayCore> {
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -212,10 +212,10 @@
         }
     }
 
-    /// Records that the store came back after an outage for all routers, the start of which this
-    /// router noticed at `since`. Lapsed registrations are restored within seconds of the store's
-    /// return, which may be before this router reaches it: an endpoint that leaves the list after
-    /// that has really left.
+    /// Records that the store came back after an outage for all routers. This router noticed the
+    /// start of the outage at `since`. The store may return before this router reaches it. Lapsed
+    /// registrations are restored within seconds of the store's return; an endpoint that leaves the
+    /// list after that has really left.
     pub fn outage_ended(&self, since: Moment) {
         let now = self.clock.now();
         let returned = self.peers_regained_contact(since).unwrap_or(now).min(now);
