--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -203,7 +203,7 @@
     },
     /// An operator asked this router to drain.
     DrainAsked,
-    /// Time passed. The driver sends one every `tick_micros`, and after a pause as soon as
+    /// Time passed. The driver sends one every few milliseconds, and after a pause as soon as
     /// possible.
     Tick,
 }
--- a/src/core/systems/ownership/grants.rs
+++ b/src/core/systems/ownership/grants.rs
@@ -6,8 +6,8 @@
 
 /// Grants vacant slots, first to the entry routers that are furthest below their targets.
 ///
-/// Routers with waiting requests are always considered; the others only if `include_idle` is true, since
-/// granting them spare slots costs messages that serve no waiting request.
+/// Routers with waiting requests are always considered; the others only if `include_idle` is true,
+/// since granting them spare slots costs messages that serve no waiting request.
 pub(super) fn grant_vacant(pool: &mut OwnedPool, include_idle: bool) {
     let mut hosts: Vec<(u32, HostName)> = pool
         .members
--- a/src/core/systems/quarantine/trials.rs
+++ b/src/core/systems/quarantine/trials.rs
@@ -193,16 +193,10 @@
 /// Records which leases homes granted or withheld.
 pub fn handle_lease_answers(state: &mut CoreState, notice: &QuarantineNotice) {
     let span = super::check_window(state);
-    let lease_granted = notice
-        .lease_granted
-        .iter()
-        .map(|lease_granted| (*lease_granted, true));
-    let lease_denied = notice
-        .lease_denied
-        .iter()
-        .map(|lease_denied| (*lease_denied, false));
-    for (fingerprint, is_granted) in lease_granted.chain(lease_denied) {
-        let fingerprint = RequestFingerprint(fingerprint);
+    let granted = notice.lease_granted.iter().map(|number| (*number, true));
+    let denied = notice.lease_denied.iter().map(|number| (*number, false));
+    for (number, is_granted) in granted.chain(denied) {
+        let fingerprint = RequestFingerprint(number);
         state
             .trials
             .answered(fingerprint, is_granted, state.now, span);
